--- a/cmd/papayatided/daemon.go
+++ b/cmd/papayatided/daemon.go
@@ -15,7 +15,7 @@
 func runDaemon() error {
 	path := flag.String("config", "papayatided.ini", "path of the INI settings file")
 	flag.Parse()
-	cfg, err := settings.Load(*path)
+	cfg, err := settings.LoadDaemon(*path)
 	if err != nil {
 		return settingsError{err}
 	}
--- a/cmd/papayatided/entry.go
+++ b/cmd/papayatided/entry.go
@@ -32,7 +32,7 @@
 // runEntry runs an entry host on the users' platform.
 func runEntry() error {
 	path := os.Getenv(platform.SettingsEnv)
-	cfg, err := settings.LoadEntry(path)
+	cfg, err := settings.LoadEntryHost(path)
 	if err != nil {
 		return settingsError{err}
 	}
@@ -44,7 +44,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	reload := make(chan *settings.Entry)
+	reload := make(chan *settings.EntryHost)
 	go watchSettings(ctx, path, reload, zl)
 	plat := entryhost.Platform{Store: platform.NewStore(cfg.LogAddr, platform.NewHTTPClient(storeConns)), Decoder: platform.Decoder{},
 		Granter: platform.NewGranter(orderConns), Headers: platform.Headers, ReadyPath: platform.PathReady,
@@ -64,7 +64,7 @@
 
 // watchSettings reads the settings file again when told to by a signal and
 // when it has changed. Settings that are not valid leave the old in force.
-func watchSettings(ctx context.Context, path string, out chan<- *settings.Entry, zl *zap.Logger) {
+func watchSettings(ctx context.Context, path string, out chan<- *settings.EntryHost, zl *zap.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	last, _ := os.ReadFile(path)
@@ -82,9 +82,9 @@
 			continue
 		}
 		last = data
-		cfg, err := settings.LoadEntry(path)
+		cfg, err := settings.LoadEntryHost(path)
 		if err != nil {
-			zl.Error("changed settings refused; the old ones stay", zap.Int("event", events.SettingsRefused), entryhost.ErrorField(err))
+			zl.Error("changed settings refused; the old ones stay", zap.Int("event", events.SettingsRejected), entryhost.ErrorField(err))
 			continue
 		}
 		select {
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -46,18 +46,18 @@
 	smoothing   = 0.2
 )
 
-// Verdict is what an end says of the upstream.
-type Verdict int
+// Signal is what an end says of the upstream.
+type Signal int
 
 const (
 	// InTime means an answer came soon enough.
-	InTime Verdict = iota
+	InTime Signal = iota
 	// Late means an answer came too late to be worth its full value.
 	Late
 	// Full means the upstream refused for want of room.
 	Full
-	// NoSign means the end says nothing of the upstream's load.
-	NoSign
+	// NoSignal means the end says nothing of the upstream's load.
+	NoSignal
 )
 
 // Limiter bounds this host's requests under way to one upstream.
@@ -187,8 +187,8 @@
 // part is how much less than a dozen hosts' floor the share's is.
 func (s Share) part() float64 { return s.Least / leastLimit }
 
-// UnderWay returns how many requests are under way.
-func (l *Limiter) UnderWay() int {
+// InFlight returns how many requests are under way.
+func (l *Limiter) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.underWay
@@ -197,19 +197,19 @@
 // State is what a limiter decides by, for logs.
 type State struct {
 	Limit             float64
-	UnderWay, Waiting int
+	InFlight, Waiting int
 	Latency           time.Duration
-	// Wait is how long one more request would wait for its turn.
-	Wait time.Duration
+	// ExpectedWait is how long one more request would wait for its turn.
+	ExpectedWait time.Duration
 }
 
 // State returns the limiter's present state.
 func (l *Limiter) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := State{Limit: l.allowed(), UnderWay: l.underWay, Waiting: len(l.waiters), Latency: l.latency}
+	s := State{Limit: l.allowed(), InFlight: l.underWay, Waiting: len(l.waiters), Latency: l.latency}
 	if now := time.Now(); s.Waiting > 0 || !l.room(now) {
-		s.Wait = l.expectedWait(now)
+		s.ExpectedWait = l.expectedWait(now)
 	}
 	return s
 }
@@ -246,7 +246,7 @@
 	if l.underWay > 1 {
 		return float64(l.underWay)
 	}
-	span := max(decay.Span(startMemory, now.Sub(l.firstStart)), l.latency.Seconds())
+	span := max(decay.EffectiveWindow(startMemory, now.Sub(l.firstStart)), l.latency.Seconds())
 	return min(l.starts.Value(startMemory, now)*l.latency.Seconds()/span, 1)
 }
 
@@ -281,7 +281,7 @@
 }
 
 // Done ends a request that took this long at the upstream.
-func (t *Ticket) Done(v Verdict, took time.Duration) {
+func (t *Ticket) Done(v Signal, took time.Duration) {
 	l, now := t.l, time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -295,7 +295,7 @@
 		l.cut(lateFactor, t.used, now)
 	case Full:
 		l.cut(fullFactor, t.used, now)
-	case NoSign:
+	case NoSignal:
 	}
 	if l.limit < 1 {
 		l.nextStart = now.Add(time.Duration((1/l.limit - 1) * float64(l.latency)))
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -215,7 +215,7 @@
 		if tk := <-got; tk == nil {
 			t.Fatal("the next waiter got no turn")
 		}
-		if n := l.UnderWay(); n != 1 {
+		if n := l.InFlight(); n != 1 {
 			t.Errorf("%d under way, want 1", n)
 		}
 	})
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -19,19 +19,19 @@
 const (
 	// Served means an answer came.
 	Served Outcome = iota
-	// Full means the upstream refused for want of room.
-	Full
-	// TurnedAway means it ended a new connection at once: it has too many, or whoever
+	// Overloaded means the upstream refused for want of room.
+	Overloaded
+	// ConnRejected means it ended a new connection at once: it has too many, or whoever
 	// takes connections for it does not reach it.
-	TurnedAway
+	ConnRejected
 	// Failed means that it could not be reached, answered that it failed, or too late.
 	Failed
 	// Broken means that it broke off.
 	Broken
-	// Ended means that nobody listens there any more.
-	Ended
-	// Abandoned means the caller left; it says nothing of the upstream.
-	Abandoned
+	// Crashed means that nobody listens there any more.
+	Crashed
+	// Inconclusive means the caller left; it says nothing of the upstream.
+	Inconclusive
 )
 
 const (
@@ -66,10 +66,10 @@
 	answered int
 	latency  time.Duration
 	// others is what the other hosts have there, as of learnedAt.
-	others    Others
+	others    PeerLoad
 	learnedAt time.Time
 	// gate lets requests through while the upstream is cold.
-	gate ratelimit.Gate
+	gate ratelimit.IntervalLimiter
 	// endedAt is when it last seemed to have ended, backAt when it answered again;
 	// see slowUntil.
 	endedAt, backAt time.Time
@@ -90,8 +90,8 @@
 	return u.SlowUntil
 }
 
-// Board keeps one record of each upstream.
-type Board struct {
+// Picker keeps one record of each upstream.
+type Picker struct {
 	// host is this host's name.
 	host string
 	mu   sync.Mutex
@@ -102,12 +102,12 @@
 	sets map[string]*set
 }
 
-// NewBoard returns the empty board of a host.
-func NewBoard(host string) *Board {
-	return &Board{host: host, by: map[string]*record{}, sets: map[string]*set{}}
+// NewPicker returns the empty board of a host.
+func NewPicker(host string) *Picker {
+	return &Picker{host: host, by: map[string]*record{}, sets: map[string]*set{}}
 }
 
-func (b *Board) of(id string) *record {
+func (b *Picker) of(id string) *record {
 	r := b.by[id]
 	if r == nil {
 		r = &record{limiter: admission.NewLimiter()}
@@ -117,7 +117,7 @@
 }
 
 // Limiter returns the upstream's limiter.
-func (b *Board) Limiter(id string) *admission.Limiter {
+func (b *Picker) Limiter(id string) *admission.Limiter {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.of(id).limiter
@@ -125,7 +125,7 @@
 
 // Done takes in how a send to the upstream ended, and how long it took. It reports
 // whether the upstream seems to have ended.
-func (b *Board) Done(id string, o Outcome, took time.Duration, now time.Time) (ended bool) {
+func (b *Picker) Done(id string, o Outcome, took time.Duration, now time.Time) (ended bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.of(id)
@@ -137,26 +137,26 @@
 		if r.backAt.Before(r.endedAt) {
 			r.backAt = now
 		}
-	case Full:
+	case Overloaded:
 		r.failures = 0
 		r.fullTill = now.Add(fullPause)
-	case TurnedAway:
+	case ConnRejected:
 		r.fullTill = now.Add(fullPause)
-	case Failed, Broken, Ended:
+	case Failed, Broken, Crashed:
 		r.failures++
-		if ended = o == Ended || (o == Broken && r.failures >= ejectAfter); ended {
+		if ended = o == Crashed || (o == Broken && r.failures >= ejectAfter); ended {
 			r.endedAt = now
 		}
 		if r.failures >= ejectAfter {
 			r.outUntil = now.Add(min(ejectFirst<<min(r.failures-ejectAfter, 4), ejectMost))
 		}
-	case Abandoned:
+	case Inconclusive:
 	}
 	return ended
 }
 
-// NoteEnded takes note that the upstream was seen to end at the time.
-func (b *Board) NoteEnded(id string, at time.Time) {
+// RecordCrash takes note that the upstream was seen to end at the time.
+func (b *Picker) RecordCrash(id string, at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.of(id); at.After(r.endedAt) && b.written.Sub(at) <= writtenWithin {
@@ -164,9 +164,9 @@
 	}
 }
 
-// Confirm takes note that all entries were read that upstreams had written by the
+// MarkSynced takes note that all entries were read that upstreams had written by the
 // given time: one that ended well before is listed as what it is now.
-func (b *Board) Confirm(written time.Time) {
+func (b *Picker) MarkSynced(written time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.written = written
@@ -177,20 +177,20 @@
 	}
 }
 
-// Out reports whether the upstream fails so often that it is left alone for
+// IsEjected reports whether the upstream fails so often that it is left alone for
 // now.
-func (b *Board) Out(id string, now time.Time) bool {
+func (b *Picker) IsEjected(id string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now.Before(b.of(id).outUntil)
 }
 
 // Prune forgets upstreams that keep does not know.
-func (b *Board) Prune(keep func(id string) bool) {
+func (b *Picker) Prune(keep func(id string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, r := range b.by {
-		if !keep(id) && r.limiter.UnderWay() == 0 {
+		if !keep(id) && r.limiter.InFlight() == 0 {
 			delete(b.by, id)
 		}
 	}
@@ -198,36 +198,36 @@
 
 // SlowStart is what the upstreams of a service bear while they are cold.
 type SlowStart struct {
-	// Lasts is how long an upstream is cold after its start.
-	Lasts time.Duration
+	// Duration is how long an upstream is cold after its start.
+	Duration time.Duration
 	// Share returns this host's share of a cold upstream; nil where that is not
 	// bounded.
-	Share func() ratelimit.Share
+	Share func() ratelimit.HostRate
 }
 
-// Choice is what a request asks of an upstream.
-type Choice struct {
-	// Home is this host's data centre. Bytes between data centres are
+// Criteria is what a request asks of an upstream.
+type Criteria struct {
+	// LocalDataCentre is this host's data centre. Bytes between data centres are
 	// dear, so another one's upstream must be faster by FarPenalty.
-	Home       string
-	FarPenalty time.Duration
-	// Not lists upstreams that were tried already.
-	Not []string
+	LocalDataCentre string
+	FarPenalty      time.Duration
+	// Excluded lists upstreams that were tried already.
+	Excluded []string
 	// SlowStart is that of the service's upstreams. Cold ones whose share is used
 	// up are no choice.
 	SlowStart SlowStart
 	// Closed, if set, reports whether an upstream takes no requests of this host
 	// at present. Such upstreams are no choice.
-	Closed func(id string) bool
+	Unavailable func(id string) bool
 }
 
 // Pick returns the upstream from which an answer is expected first, of some
 // that are drawn, or nil if there is none. Upstreams that fail are only used if
 // all do.
-func (b *Board) Pick(ups []*catalogue.Upstream, c Choice, now time.Time) *catalogue.Upstream {
+func (b *Picker) Pick(ups []*catalogue.Upstream, c Criteria, now time.Time) *catalogue.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.setOf(ups, c.Home)
+	s := b.setOf(ups, c.LocalDataCentre)
 	best, last := b.draw(s.near, c, now)
 	far, lastFar := b.draw(s.far, c, now)
 	best.orBetter(far)
@@ -248,23 +248,23 @@
 // draw looks at upstreams in a random order until it has found drawn that will
 // do, and returns the best of them. If there are none it returns the best of
 // those that fail or are full.
-func (b *Board) draw(ups []*catalogue.Upstream, c Choice, now time.Time) (best, last candidate) {
+func (b *Picker) draw(ups []*catalogue.Upstream, c Criteria, now time.Time) (best, last candidate) {
 	found := 0
 	order := newOrder(len(ups))
 	for range ups {
 		u := ups[order.next()]
-		if u.Retiring() || slices.Contains(c.Not, u.ID) {
+		if u.Draining() || slices.Contains(c.Excluded, u.ID) {
 			continue
 		}
 		r := b.of(u.ID)
 		if !r.open(u, c.SlowStart, now) {
 			continue
 		}
-		if c.Closed != nil && c.Closed(u.ID) {
+		if c.Unavailable != nil && c.Unavailable(u.ID) {
 			continue
 		}
 		cost := r.cost(u, now)
-		if u.DataCentre != c.Home {
+		if u.DataCentre != c.LocalDataCentre {
 			cost += c.FarPenalty
 		}
 		if now.Before(r.outUntil) || now.Before(r.fullTill) {
@@ -308,9 +308,9 @@
 	return a == 1
 }
 
-// ColdOpen reports whether the upstream is warm, or this host's share of it allows a
+// SlowStartAllows reports whether the upstream is warm, or this host's share of it allows a
 // request now.
-func (b *Board) ColdOpen(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
+func (b *Picker) SlowStartAllows(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.of(u.ID).open(u, s, now)
@@ -318,16 +318,16 @@
 
 // open is ColdOpen for the record's upstream.
 func (r *record) open(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
-	until := r.slowUntil(u, s.Lasts, now)
-	return s.Share == nil || !now.Before(until) || r.gate.Open(s.Share(), until, now)
+	until := r.slowUntil(u, s.Duration, now)
+	return s.Share == nil || !now.Before(until) || r.gate.Allows(s.Share(), until, now)
 }
 
-// ColdTake is ColdOpen for a request that is sent now, which it counts.
-func (b *Board) ColdTake(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
+// TakeSlowStartPermit is ColdOpen for a request that is sent now, which it counts.
+func (b *Picker) TakeSlowStartPermit(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.of(u.ID)
-	until := r.slowUntil(u, s.Lasts, now)
+	until := r.slowUntil(u, s.Duration, now)
 	return s.Share == nil || !now.Before(until) || r.gate.Take(s.Share(), until, now)
 }
 
@@ -360,29 +360,29 @@
 // say more, in a large one the latter.
 func (r *record) cost(u *catalogue.Upstream, now time.Time) time.Duration {
 	s := r.limiter.State()
-	c := s.Latency + s.Latency*time.Duration(s.UnderWay)/time.Duration(u.Slots)
+	c := s.Latency + s.Latency*time.Duration(s.InFlight)/time.Duration(u.Slots)
 	if r.learnt(now) {
-		there := s.UnderWay + r.others.UnderWay
-		c = (c + r.others.Work + r.others.Work*time.Duration(there)/time.Duration(u.Slots)) / 2
+		there := s.InFlight + r.others.InFlight
+		c = (c + r.others.WorkTime + r.others.WorkTime*time.Duration(there)/time.Duration(u.Slots)) / 2
 	}
 	if now.Before(u.SlowUntil) {
 		c *= coldFactor
 	}
-	return s.Wait + c
+	return s.ExpectedWait + c
 }
 
 // learnt reports whether what the other hosts have there is known.
 func (r *record) learnt(now time.Time) bool { return now.Sub(r.learnedAt) <= learnedFor }
 
-// Expected returns how long an answer of the upstream would take, as far as
+// ExpectedLatency returns how long an answer of the upstream would take, as far as
 // all hosts' requests there are known; 0 if they are not.
-func (b *Board) Expected(u *catalogue.Upstream, now time.Time) time.Duration {
+func (b *Picker) ExpectedLatency(u *catalogue.Upstream, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.of(u.ID)
 	if !r.learnt(now) {
 		return 0
 	}
-	ahead := r.limiter.UnderWay() + r.others.UnderWay - u.Slots + 1
-	return r.others.Work + r.others.Work*time.Duration(max(ahead, 0))/time.Duration(u.Slots)
+	ahead := r.limiter.InFlight() + r.others.InFlight - u.Slots + 1
+	return r.others.WorkTime + r.others.WorkTime*time.Duration(max(ahead, 0))/time.Duration(u.Slots)
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -17,7 +17,7 @@
 // A host's limit at one of two upstreams is spent, though nothing is under way
 // there. Callers are sent to the other one instead of being refused.
 func TestUpstreamWithoutATurnIsNotChosen(t *testing.T) {
-	b, ups := NewBoard("h"), two()
+	b, ups := NewPicker("h"), two()
 	share := admission.ShareOf(3, 0, 100)
 	for range 40 {
 		if tk := b.Limiter("a").Acquire(context.Background(), 0, share); tk != nil {
@@ -25,10 +25,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if s := b.Limiter("a").State(); s.Wait == 0 {
+	if s := b.Limiter("a").State(); s.ExpectedWait == 0 {
 		t.Fatalf("there is still a turn at the first one: %+v", s)
 	}
-	if u := b.Pick(ups, Choice{Home: "dc"}, time.Now()); u.ID != "b" {
+	if u := b.Pick(ups, Criteria{LocalDataCentre: "dc"}, time.Now()); u.ID != "b" {
 		t.Errorf("%s is chosen", u.ID)
 	}
 }
@@ -37,16 +37,16 @@
 // the bytes between data centres cost; failing and leaving ones are last.
 func TestPick(t *testing.T) {
 	now := time.Now()
-	b, ups := NewBoard("h"), two()
+	b, ups := NewPicker("h"), two()
 	ups[0].DataCentre = "far"
-	c := Choice{Home: "dc", FarPenalty: 100 * time.Millisecond}
+	c := Criteria{LocalDataCentre: "dc", FarPenalty: 100 * time.Millisecond}
 	if u := b.Pick(ups, c, now); u.ID != "b" {
 		t.Errorf("the far one is chosen while both are idle")
 	}
 	for range ejectAfter {
 		b.Done("b", Failed, 0, now)
 	}
-	if u := b.Pick(ups, c, now); u.ID != "a" || !b.Out("b", now) {
+	if u := b.Pick(ups, c, now); u.ID != "a" || !b.IsEjected("b", now) {
 		t.Errorf("%s is chosen though it fails", u.ID)
 	}
 	if u := b.Pick(ups, c, now.Add(ejectMost)); u.ID != "b" {
@@ -56,7 +56,7 @@
 	if u := b.Pick(ups, c, now.Add(ejectMost)); u.ID != "a" {
 		t.Errorf("the leaving one is chosen")
 	}
-	c.Not = []string{"a"}
+	c.Excluded = []string{"a"}
 	if u := b.Pick(ups, c, now); u != nil {
 		t.Errorf("%s is chosen though it was tried", u.ID)
 	}
@@ -68,11 +68,11 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			board, ups := NewBoard("h"), make([]*catalogue.Upstream, n)
+			board, ups := NewPicker("h"), make([]*catalogue.Upstream, n)
 			for i := range ups {
 				ups[i] = &catalogue.Upstream{ID: fmt.Sprint("u", i), Service: "s", Slots: 3, DataCentre: fmt.Sprint("dc", i%3)}
 			}
-			c := Choice{Home: "dc0", FarPenalty: 100 * time.Millisecond}
+			c := Criteria{LocalDataCentre: "dc0", FarPenalty: 100 * time.Millisecond}
 			now := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/balance/report.go
+++ b/internal/balance/report.go
@@ -7,35 +7,35 @@
 // reports up is gone, and this host's own answers say more.
 const learnedFor = time.Second
 
-// Use is what one host has at an upstream.
-type Use struct {
+// LoadStats is what one host has at an upstream.
+type LoadStats struct {
 	ID string
-	// UnderWay is how many requests it has there now.
-	UnderWay int
+	// InFlight is how many requests it has there now.
+	InFlight int
 	// Answered is how many were answered since its last report, Latency how
 	// long those took together.
 	Answered int
 	Latency  time.Duration
 }
 
-// Others is what the other hosts of the data centre have at an upstream.
-type Others struct {
+// PeerLoad is what the other hosts of the data centre have at an upstream.
+type PeerLoad struct {
 	ID string
-	// UnderWay is how many requests they have there.
-	UnderWay int
-	// Work is how long the upstream works on a request.
-	Work time.Duration
+	// InFlight is how many requests they have there.
+	InFlight int
+	// WorkTime is how long the upstream works on a request.
+	WorkTime time.Duration
 }
 
-// Report returns what this host has at the upstreams that were chosen by Pick,
+// FlushLoadStats returns what this host has at the upstreams that were chosen by Pick,
 // and begins to count answers anew.
-func (b *Board) Report() []Use {
+func (b *Picker) FlushLoadStats() []LoadStats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []Use
+	var out []LoadStats
 	for id, r := range b.by {
-		u := Use{ID: id, UnderWay: r.limiter.UnderWay(), Answered: r.answered, Latency: r.latency}
-		if !r.chosen || (u.UnderWay == 0 && u.Answered == 0) {
+		u := LoadStats{ID: id, InFlight: r.limiter.InFlight(), Answered: r.answered, Latency: r.latency}
+		if !r.chosen || (u.InFlight == 0 && u.Answered == 0) {
 			continue
 		}
 		out = append(out, u)
@@ -44,9 +44,9 @@
 	return out
 }
 
-// Learn takes in what the other hosts of this data centre have at each
+// SetPeerLoads takes in what the other hosts of this data centre have at each
 // upstream. Entries without an ID say nothing.
-func (b *Board) Learn(others []Others, now time.Time) {
+func (b *Picker) SetPeerLoads(others []PeerLoad, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, o := range others {
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -32,7 +32,7 @@
 }
 
 // setOf returns the host's set of a service's upstreams.
-func (b *Board) setOf(ups []*catalogue.Upstream, home string) *set {
+func (b *Picker) setOf(ups []*catalogue.Upstream, home string) *set {
 	if len(ups) == 0 {
 		return &set{}
 	}
@@ -43,7 +43,7 @@
 	s := &set{of: ups}
 	for _, u := range ups {
 		switch {
-		case u.Retiring():
+		case u.Draining():
 		case u.DataCentre == home:
 			s.near = append(s.near, u)
 		default:
@@ -55,18 +55,18 @@
 	return s
 }
 
-// Using is a list of upstreams, and a number that stands for it.
-type Using struct {
-	IDs   []string
-	Token uint64
+// Subset is a list of upstreams, and a number that stands for it.
+type Subset struct {
+	IDs  []string
+	Hash uint64
 }
 
-// Using returns the upstreams that this host uses of all services for which it
+// Subset returns the upstreams that this host uses of all services for which it
 // has chosen one.
-func (b *Board) Using() Using {
+func (b *Picker) Subset() Subset {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var u Using
+	var u Subset
 	for _, s := range b.sets {
 		for _, list := range [][]*catalogue.Upstream{s.near, s.far} {
 			for _, up := range list {
@@ -75,7 +75,7 @@
 		}
 	}
 	slices.Sort(u.IDs)
-	u.Token = xxhash.Sum64String(strings.Join(u.IDs, " "))
+	u.Hash = xxhash.Sum64String(strings.Join(u.IDs, " "))
 	return u
 }
 
--- a/internal/balance/subset_test.go
+++ b/internal/balance/subset_test.go
@@ -51,11 +51,11 @@
 // All upstreams that a host uses fail, while others of the service do not. Its
 // callers are sent to those.
 func TestOthersAreUsedWhereNoneOfTheSubsetWillDo(t *testing.T) {
-	b, ups, now := NewBoard("h"), manyUpstreams(100), time.Now()
-	c := Choice{Home: "dc"}
+	b, ups, now := NewPicker("h"), manyUpstreams(100), time.Now()
+	c := Criteria{LocalDataCentre: "dc"}
 	b.Pick(ups, c, now)
 	mine := map[string]bool{}
-	for _, id := range b.Using().IDs {
+	for _, id := range b.Subset().IDs {
 		mine[id] = true
 		for range ejectAfter {
 			b.Done(id, Failed, 0, now)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -71,16 +71,16 @@
 	b.limits = l
 }
 
-// Request counts one request for service.
-func (b *Budget) Request(service string, now time.Time) {
+// RecordRequest counts one request for service.
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.slot(service, now).requests++
 }
 
-// Repeat takes one repeat from service's budget and reports whether there
+// AllowRetry takes one repeat from service's budget and reports whether there
 // was one left. Requests that are not urgent leave the reserve alone.
-func (b *Budget) Repeat(service string, urgent bool, now time.Time) bool {
+func (b *Budget) AllowRetry(service string, urgent bool, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	left, allowed := b.left(service, now)
@@ -91,8 +91,8 @@
 	return true
 }
 
-// Left returns how many repeats each service has left, for metrics.
-func (b *Budget) Left(now time.Time) map[string]float64 {
+// Remaining returns how many repeats each service has left, for metrics.
+func (b *Budget) Remaining(now time.Time) map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]float64{}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -12,8 +12,8 @@
 func spend(b *Budget, start, end time.Time, perSecond int) []time.Time {
 	var out []time.Time
 	for at := start; at.Before(end); at = at.Add(time.Second / time.Duration(perSecond)) {
-		b.Request("s", at)
-		for b.Repeat("s", true, at) {
+		b.RecordRequest("s", at)
+		for b.AllowRetry("s", true, at) {
 			out = append(out, at)
 		}
 	}
@@ -73,7 +73,7 @@
 	now := time.Unix(1000, 0)
 	b := New(limits, now.Add(-time.Minute))
 	spend(b, now, now.Add(time.Second), 30)
-	if !b.Repeat("other", true, now.Add(time.Second)) {
+	if !b.AllowRetry("other", true, now.Add(time.Second)) {
 		t.Error("another service's budget is spent")
 	}
 }
@@ -84,16 +84,16 @@
 	start := time.Unix(1000, 0)
 	b := New(Limits{Ratio: 0.2, Window: 10 * time.Second}, start.Add(-time.Minute))
 	for range 1000 {
-		b.Request("s", start)
+		b.RecordRequest("s", start)
 	}
 	lookups, bids := 0, 0
 	for range 1000 {
-		if b.Repeat("s", false, start) {
+		if b.AllowRetry("s", false, start) {
 			lookups++
 		}
 	}
 	for range 1000 {
-		if b.Repeat("s", true, start) {
+		if b.AllowRetry("s", true, start) {
 			bids++
 		}
 	}
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -113,9 +113,9 @@
 // burn is told: with less, one failed request looks like a burn of hundreds.
 const fewestBad = 1
 
-// FewestRequests returns how many requests a window needs for its burn of the
+// MinRequests returns how many requests a window needs for its burn of the
 // objective to mean anything: 1,000 for 0.999.
-func FewestRequests(objective float64) int64 {
+func MinRequests(objective float64) int64 {
 	if objective >= 1 {
 		return 1
 	}
--- a/internal/burn/recorder_test.go
+++ b/internal/burn/recorder_test.go
@@ -31,7 +31,7 @@
 // seen to tell.
 func TestFewestRequests(t *testing.T) {
 	for objective, want := range map[float64]int64{0.999: 1000, 0.99: 100, 0.5: 2, 1: 1} {
-		if got := FewestRequests(objective); got != want {
+		if got := MinRequests(objective); got != want {
 			t.Errorf("objective %v needs %d requests, want %d", objective, got, want)
 		}
 	}
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -34,9 +34,9 @@
 // HandingOver reports whether it is to lose what it owns by LeaveBy.
 func (u *Upstream) HandingOver() bool { return !u.LeaveBy.IsZero() }
 
-// Retiring reports whether it is to lose what it owns and gets nothing that
+// Draining reports whether it is to lose what it owns and gets nothing that
 // another upstream could do.
-func (u *Upstream) Retiring() bool { return u.Leaving || u.HandingOver() }
+func (u *Upstream) Draining() bool { return u.Leaving || u.HandingOver() }
 
 // Cold reports whether it is in its slow start.
 func (u *Upstream) Cold(now time.Time) bool { return now.Before(u.SlowUntil) }
@@ -60,5 +60,5 @@
 	return s
 }
 
-// Of returns the service's upstreams, leaving ones included.
-func (s *Snapshot) Of(service string) []*Upstream { return s.byService[service] }
+// ForService returns the service's upstreams, leaving ones included.
+func (s *Snapshot) ForService(service string) []*Upstream { return s.byService[service] }
--- a/internal/catalogue/life.go
+++ b/internal/catalogue/life.go
@@ -8,37 +8,37 @@
 // lifeMark stands between a server's ID and the start of one of its lives.
 const lifeMark = "@"
 
-// LifeID returns the ID of the life of a server that began at start, in Unix
+// IncarnationID returns the ID of the life of a server that began at start, in Unix
 // milliseconds by the server's own clock; 0 if it does not tell.
 //
 // A server that starts again under its old ID has forgotten its grants and the
 // fencing tokens it has seen. If both lives bore one ID, an acknowledgement of
 // the first would count for the second, which a late order of an earlier
 // planner could still give keys that belong to another upstream by now.
-func LifeID(server string, start int64) string {
+func IncarnationID(server string, start int64) string {
 	if start == 0 && !strings.Contains(server, lifeMark) {
 		return server
 	}
 	return server + lifeMark + strconv.FormatInt(start, 10)
 }
 
-// ServerOf returns the ID by which the server of a life answers. Lives that
+// ServerID returns the ID by which the server of a life answers. Lives that
 // follow one another may share it.
-func ServerOf(life string) string {
+func ServerID(life string) string {
 	server, _ := cutLife(life)
 	return server
 }
 
-// StartOf returns when a life began, in Unix milliseconds by its server's
+// StartUnixMilli returns when a life began, in Unix milliseconds by its server's
 // clock; 0 if that is not known.
-func StartOf(life string) int64 {
+func StartUnixMilli(life string) int64 {
 	_, start := cutLife(life)
 	return start
 }
 
-// Succeeds reports whether both are lives of one server and life began after
+// IsLaterIncarnation reports whether both are lives of one server and life began after
 // old, which has therefore ended.
-func Succeeds(life, old string) bool {
+func IsLaterIncarnation(life, old string) bool {
 	server, start := cutLife(life)
 	oldServer, oldStart := cutLife(old)
 	return server == oldServer && start > oldStart
--- a/internal/catalogue/life_test.go
+++ b/internal/catalogue/life_test.go
@@ -13,8 +13,8 @@
 	p := gopter.NewProperties(nil)
 	server := gen.OneGenOf(gen.AlphaString(), gen.AnyString(), gen.OneConstOf("a@b", "a@7", "@", ""))
 	p.Property("server and start are found again", prop.ForAll(func(server string, start int64) bool {
-		id := LifeID(server, start)
-		return ServerOf(id) == server && StartOf(id) == start
+		id := IncarnationID(server, start)
+		return ServerID(id) == server && StartUnixMilli(id) == start
 	}, server, gen.Int64Range(0, 1<<45)))
 	p.TestingRun(t)
 }
@@ -24,13 +24,13 @@
 		life, old string
 		want      bool
 	}{
-		{LifeID("a", 2), LifeID("a", 1), true},
-		{LifeID("a", 1), LifeID("a", 0), true},
-		{LifeID("a", 1), LifeID("a", 1), false},
-		{LifeID("a", 1), LifeID("a", 2), false},
-		{LifeID("b", 2), LifeID("a", 1), false},
+		{IncarnationID("a", 2), IncarnationID("a", 1), true},
+		{IncarnationID("a", 1), IncarnationID("a", 0), true},
+		{IncarnationID("a", 1), IncarnationID("a", 1), false},
+		{IncarnationID("a", 1), IncarnationID("a", 2), false},
+		{IncarnationID("b", 2), IncarnationID("a", 1), false},
 	} {
-		if got := Succeeds(c.life, c.old); got != c.want {
+		if got := IsLaterIncarnation(c.life, c.old); got != c.want {
 			t.Errorf("Succeeds(%q, %q) = %v", c.life, c.old, got)
 		}
 	}
--- a/internal/cli/burn.go
+++ b/internal/cli/burn.go
@@ -59,7 +59,7 @@
 
 // rateText is the burn, or that too few requests were seen to tell one.
 func rateText(bad, total int64, objective float64) string {
-	if least := burn.FewestRequests(objective); total < least {
+	if least := burn.MinRequests(objective); total < least {
 		return fmt.Sprintf("under %d requests", least)
 	}
 	return fmt.Sprintf("%.2f", burn.Rate(bad, total, objective))
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -33,7 +33,7 @@
 				return err
 			}
 			story := explain.Find(lines, args[0])
-			if len(story.Own) == 0 {
+			if len(story.RequestLines) == 0 {
 				return eris.Errorf("no line bears the request ID %s (served requests are sampled)", args[0])
 			}
 			return story.Write(cmd.OutOrStdout())
--- a/internal/cli/refused_test.go
+++ b/internal/cli/refused_test.go
@@ -17,12 +17,12 @@
 // Operators must be able to see what is refused and to have it served again; what no
 // host refuses, and hosts that cannot be reached, make the command fail.
 func TestOperatorsListAndClearRefusedContents(t *testing.T) {
-	ledger, now := crashes.NewLedger(nil), time.Now()
+	ledger, now := crashes.NewTracker(nil), time.Now()
 	const content = "39542d3733239a3db13ec1bc4bff5994"
 	for _, server := range []string{"s1", "s2", "s3"} {
-		ledger.Saw(crashes.End{Content: content, Server: server, At: now})
+		ledger.RecordCrash(crashes.Crash{Fingerprint: content, Server: server, At: now})
 	}
-	srv := httptest.NewServer(refusedpb.NewRefusedServer(&refused.Server{Host: "front-1", Ledger: ledger, Log: zap.NewNop()}))
+	srv := httptest.NewServer(refusedpb.NewRefusedServer(&refused.Server{Host: "front-1", Crashes: ledger, Log: zap.NewNop()}))
 	defer srv.Close()
 	run := func(args ...string) (string, error) {
 		var out bytes.Buffer
@@ -41,7 +41,7 @@
 	if out, err = run("clear", content, "--admin", srv.URL); err != nil || !strings.Contains(out, "front-1: cleared=true") {
 		t.Errorf("clear: %v\n%s", err, out)
 	}
-	if left := ledger.Refused(content, now); left > 0 {
+	if left := ledger.RefusedFor(content, now); left > 0 {
 		t.Errorf("still refused for %v", left)
 	}
 	if out, err = run("list", "--admin", srv.URL); err != nil || strings.Contains(out, content) {
--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -114,7 +114,7 @@
 				continue
 			}
 			g := &target.Grant{Service: svc.Name, Epoch: st.state.Epoch, Since: st.since[u.Name],
-				LeaseMs: l.opts.GrantLease.Milliseconds()}
+				TTLMs: l.opts.GrantTTL.Milliseconds()}
 			if l.granted[u.Name] == g.Epoch {
 				g.Renew = true
 			} else {
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -30,8 +30,8 @@
 	ProbeInterval time.Duration
 	// ProbeFailures is how many failed probes in a row mark an upstream down.
 	ProbeFailures int
-	// GrantLease is how long a grant holds at the target unless renewed.
-	GrantLease time.Duration
+	// GrantTTL is how long a grant holds at the target unless renewed.
+	GrantTTL time.Duration
 	// SnapshotEvery is how many placement records may follow the last
 	// snapshot before this host writes a new one.
 	SnapshotEvery int
@@ -41,11 +41,11 @@
 	SnapshotInterval time.Duration
 	// HeartbeatInterval is how often this host appends a heartbeat.
 	HeartbeatInterval time.Duration
-	// HostLease is how long a host counts as alive after its last heartbeat.
-	HostLease time.Duration
-	// Renewers is how many of a data centre's live entry hosts grant and
+	// HeartbeatTimeout is how long a host counts as alive after its last heartbeat.
+	HeartbeatTimeout time.Duration
+	// RenewersPerUpstream is how many of a data centre's live entry hosts grant and
 	// probe each upstream; 0 means all of them.
-	Renewers int
+	RenewersPerUpstream int
 	// HostList, when set, is read every HostListInterval; an upstream it
 	// lists as leaving is taken out of placement like a failed one.
 	HostList         *hostlist.Client
@@ -110,7 +110,7 @@
 	return &Loop{opts: opts, logc: logc, targets: targets, zl: zl, wake: make(chan struct{}, 1),
 		manOffset: -1, states: map[string]*dcState{}, homes: map[string][]uint8{},
 		health: map[string]*health{}, lastPropose: map[string]time.Time{}, granted: map[string]int64{},
-		hosts: membership.NewView(opts.HostLease.Milliseconds())}
+		hosts: membership.NewView(opts.HeartbeatTimeout.Milliseconds())}
 }
 
 // Table returns the routing table in force, or nil before the first
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -51,9 +51,9 @@
 // with all of its data centre's upstreams; with fewer live hosts known
 // (at start, before any heartbeat is read) this host does all of it.
 func (l *Loop) renews(upstream string) bool {
-	if l.opts.Renewers <= 0 {
+	if l.opts.RenewersPerUpstream <= 0 {
 		return true
 	}
 	alive := l.hosts.Alive(l.opts.DataCentre, l.opts.Host)
-	return slices.Contains(placement.Pick(upstream, alive, l.opts.Renewers), l.opts.Host)
+	return slices.Contains(placement.Pick(upstream, alive, l.opts.RenewersPerUpstream), l.opts.Host)
 }
--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -86,7 +86,7 @@
 		}
 		return
 	}
-	until := now.Add(l.opts.GrantLease)
+	until := now.Add(l.opts.GrantTTL)
 	changed := map[string]bool{}
 	for _, shard := range placement.Moved(old, st.assign) {
 		if o := old.Owner(shard); o != nil {
--- a/internal/crashes/bound_test.go
+++ b/internal/crashes/bound_test.go
@@ -9,22 +9,22 @@
 // A flood of contents must not grow the ledger without end, nor push out those that
 // are refused.
 func TestLedgerIsBoundedUnderAFlood(t *testing.T) {
-	l, now := NewLedger(nil), time.Now()
+	l, now := NewTracker(nil), time.Now()
 	for i := range Limit {
-		l.Saw(End{"fatal", fmt.Sprint("s", i), now})
+		l.RecordCrash(Crash{"fatal", fmt.Sprint("s", i), now})
 	}
 	for i := range maxContents + 500 {
 		at := now.Add(time.Duration(i) * time.Millisecond)
-		c := Content(fmt.Sprint("c", i))
-		l.Saw(End{c, "s", at})
+		c := Fingerprint(fmt.Sprint("c", i))
+		l.RecordCrash(Crash{c, "s", at})
 	}
 	if known, _ := l.Counts(); known != maxContents {
 		t.Errorf("%d contents kept, want %d", known, maxContents)
 	}
-	if l.Refused("fatal", now) == 0 {
+	if l.RefusedFor("fatal", now) == 0 {
 		t.Error("the refused content was dropped")
 	}
-	if len(l.ends["c0"]) > 0 || len(l.ends[Content(fmt.Sprint("c", maxContents+499))]) == 0 {
+	if len(l.ends["c0"]) > 0 || len(l.ends[Fingerprint(fmt.Sprint("c", maxContents+499))]) == 0 {
 		t.Error("not the oldest was dropped")
 	}
 	if n := len(l.pending); n > maxContents+Limit {
--- a/internal/crashes/content.go
+++ b/internal/crashes/content.go
@@ -12,13 +12,13 @@
 // two that differ never share 128 bits.
 const contentBytes = 16
 
-// Content identifies what a request asks: the hex digest of its method, its
+// Fingerprint identifies what a request asks: the hex digest of its method, its
 // target, its key and its body. It leaves out what differs each time a caller
 // asks for the same, such as the request's ID and its time limit.
-type Content string
+type Fingerprint string
 
-// Ask is what a request's content is made of.
-type Ask struct {
+// Request is what a request's content is made of.
+type Request struct {
 	Method, Host string
 	// URI is the request target as the caller sent it.
 	URI string
@@ -28,8 +28,8 @@
 	Body []byte
 }
 
-// Content returns the digest.
-func (a Ask) Content() Content {
+// Fingerprint returns the digest.
+func (a Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{a.Method, a.Host, a.URI, strconv.Itoa(a.Key)} {
 		// Each part's length goes first, so that no two asks write the same.
@@ -37,5 +37,5 @@
 		_, _ = io.WriteString(h, part)
 	}
 	_, _ = h.Write(a.Body)
-	return Content(hex.EncodeToString(h.Sum(nil)[:contentBytes]))
+	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:contentBytes]))
 }
--- a/internal/crashes/content_test.go
+++ b/internal/crashes/content_test.go
@@ -13,14 +13,14 @@
 func TestContentTellsAsksApart(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("equal asks, equal contents", prop.ForAll(func(uri, body string, key int) bool {
-		a := Ask{Method: "PUT", Host: "a.example", URI: uri, Key: key, Body: []byte(body)}
+		a := Request{Method: "PUT", Host: "a.example", URI: uri, Key: key, Body: []byte(body)}
 		b := a
 		b.Body = []byte(body)
-		return a.Content() == b.Content()
+		return a.Fingerprint() == b.Fingerprint()
 	}, gen.AnyString(), gen.AnyString(), gen.IntRange(-1, 65535)))
 	p.TestingRun(t)
-	base := Ask{Method: "PUT", Host: "a.example", URI: "/x", Key: 7, Body: []byte("b")}
-	for name, other := range map[string]Ask{
+	base := Request{Method: "PUT", Host: "a.example", URI: "/x", Key: 7, Body: []byte("b")}
+	for name, other := range map[string]Request{
 		"method": {Method: "POST", Host: "a.example", URI: "/x", Key: 7, Body: []byte("b")},
 		"host":   {Method: "PUT", Host: "b.example", URI: "/x", Key: 7, Body: []byte("b")},
 		"target": {Method: "PUT", Host: "a.example", URI: "/x?page=2", Key: 7, Body: []byte("b")},
@@ -28,7 +28,7 @@
 		"body":   {Method: "PUT", Host: "a.example", URI: "/x", Key: 7, Body: []byte("c")},
 		"border": {Method: "PUT", Host: "a.example/", URI: "x", Key: 7, Body: []byte("b")},
 	} {
-		if other.Content() == base.Content() {
+		if other.Fingerprint() == base.Fingerprint() {
 			t.Errorf("asks that differ in %s have one content", name)
 		}
 	}
--- a/internal/crashes/crowd.go
+++ b/internal/crashes/crowd.go
@@ -24,10 +24,10 @@
 // three of them, and a data centre's cut cost some thousands of calls of the log
 // service to write and read what told nothing. A request that ends its servers
 // ends them one by one, while those without it live.
-type crowd struct{ breaks []End }
+type crowd struct{ breaks []Crash }
 
 // add takes note of a break.
-func (c *crowd) add(e End) {
+func (c *crowd) add(e Crash) {
 	for len(c.breaks) > 0 && (len(c.breaks) >= breaksKept || e.At.Sub(c.breaks[0].At) > breakMemory) {
 		c.breaks = c.breaks[1:]
 	}
@@ -37,11 +37,11 @@
 // explains reports whether the end has a cause that it shares with others: at
 // its moment sends broke off at many servers, at most of them without one of its
 // content.
-func (c *crowd) explains(e End) bool {
+func (c *crowd) explains(e Crash) bool {
 	with := map[string]bool{}
 	for _, b := range c.breaks {
 		if apart := b.At.Sub(e.At); apart <= together && apart >= -together {
-			with[b.Server] = with[b.Server] || b.Content == e.Content
+			with[b.Server] = with[b.Server] || b.Fingerprint == e.Fingerprint
 		}
 	}
 	under := 0
--- a/internal/crashes/crowd_test.go
+++ b/internal/crashes/crowd_test.go
@@ -10,16 +10,16 @@
 // one moment, and the servers' entries lapse, as they cannot heartbeat. One page
 // is read by a third of all callers. Nothing is counted for it, nor told.
 func TestACutIsNotTakenForEnds(t *testing.T) {
-	l := NewLedger(nil)
+	l := NewTracker(nil)
 	for i := range 30 {
-		e := End{content(i % 3), fmt.Sprint("s", i), noon.Add(time.Duration(i) * 10 * time.Millisecond)}
+		e := Crash{content(i % 3), fmt.Sprint("s", i), noon.Add(time.Duration(i) * 10 * time.Millisecond)}
 		if i%2 == 0 {
-			l.Broke(e)
+			l.RecordBrokenSend(e)
 		}
-		l.Saw(e)
+		l.RecordCrash(e)
 	}
-	if changes := l.Pending(); len(changes) > 0 || l.Any() {
-		t.Errorf("%d ends are told, any left: %v", len(changes), l.Any())
+	if changes := l.Pending(); len(changes) > 0 || l.HasCrashes() {
+		t.Errorf("%d ends are told, any left: %v", len(changes), l.HasCrashes())
 	}
 }
 
@@ -28,23 +28,23 @@
 // the same, and so it is where it ends four servers at once and nothing else
 // breaks off.
 func TestARequestAmongLostAnswersIsStillRefused(t *testing.T) {
-	l := NewLedger(nil)
+	l := NewTracker(nil)
 	for i := range Limit {
 		at := noon.Add(time.Duration(i) * 2 * time.Second)
 		for n := range crowdFrom - 2 {
-			l.Broke(End{content(9), fmt.Sprint("other", n), at})
+			l.RecordBrokenSend(Crash{content(9), fmt.Sprint("other", n), at})
 		}
-		l.Saw(End{content(1), fmt.Sprint("s", i), at})
+		l.RecordCrash(Crash{content(1), fmt.Sprint("s", i), at})
 		l.Pending()
 	}
-	if l.Refused(content(1), noon) == 0 {
+	if l.RefusedFor(content(1), noon) == 0 {
 		t.Error("not refused after three ends, one by one")
 	}
-	l = NewLedger(nil)
+	l = NewTracker(nil)
 	for i := range crowdFrom {
-		l.Saw(End{content(1), fmt.Sprint("s", i), noon})
+		l.RecordCrash(Crash{content(1), fmt.Sprint("s", i), noon})
 	}
-	if l.Pending(); l.Refused(content(1), noon) == 0 {
+	if l.Pending(); l.RefusedFor(content(1), noon) == 0 {
 		t.Error("not refused after ends at once that are all its own")
 	}
 }
@@ -55,32 +55,32 @@
 // answered it is refused nowhere.
 func TestARefusedContentIsTriedAgain(t *testing.T) {
 	f := newFleet(t, 2)
-	f.hosts[0].TryIf(func() bool { return true })
+	f.hosts[0].AllowTrialsIf(func() bool { return true })
 	for i := range Limit {
-		f.hosts[1].Saw(End{content(1), fmt.Sprint("s", i), noon})
+		f.hosts[1].RecordCrash(Crash{content(1), fmt.Sprint("s", i), noon})
 	}
 	f.write(1)
 	tries, last := 0, noon
 	for now := noon; now.Before(noon.Add(time.Hour)); now = now.Add(100 * time.Millisecond) {
-		if f.hosts[1].Try(content(1), now) {
+		if f.hosts[1].AllowTrial(content(1), now) {
 			t.Fatal("another host tries too")
 		}
-		if !f.hosts[0].Try(content(1), now) {
+		if !f.hosts[0].AllowTrial(content(1), now) {
 			continue
 		}
 		if tries++; now.Sub(last) < tryFirst {
 			t.Errorf("tried %v after the try before", now.Sub(last))
 		}
 		last = now
-		f.hosts[0].Saw(End{content(1), fmt.Sprint("again", tries), now})
+		f.hosts[0].RecordCrash(Crash{content(1), fmt.Sprint("again", tries), now})
 		f.write(0)
 	}
 	if tries < 5 || tries > 10 {
 		t.Errorf("%d tries in an hour", tries)
 	}
-	f.hosts[0].Survived(content(1))
+	f.hosts[0].RecordSuccess(content(1))
 	f.write(0)
-	if f.hosts[0].Refused(content(1), last)+f.hosts[1].Refused(content(1), last) > 0 {
+	if f.hosts[0].RefusedFor(content(1), last)+f.hosts[1].RefusedFor(content(1), last) > 0 {
 		t.Error("still refused after an answer")
 	}
 }
--- a/internal/crashes/ledger.go
+++ b/internal/crashes/ledger.go
@@ -23,9 +23,9 @@
 	maxContents = 4096
 )
 
-// End is the end of a server while it ran a request.
-type End struct {
-	Content Content
+// Crash is the end of a server while it ran a request.
+type Crash struct {
+	Fingerprint Fingerprint
 	// Server is the ID of the life that ended.
 	Server string
 	// At is when it was seen.
@@ -34,25 +34,25 @@
 
 // Change is an end to be told to the other hosts, or one to be forgotten.
 type Change struct {
-	End
+	Crash
 	// Forget is set if the end no longer counts.
 	Forget bool
 }
 
 type endKey struct {
-	content Content
+	content Fingerprint
 	server  string
 }
 
-// Ledger is what one host knows of ends, its own and those that other hosts
+// Tracker is what one host knows of ends, its own and those that other hosts
 // have written. It is safe for concurrent use.
-type Ledger struct {
+type Tracker struct {
 	// refusing is told of each content that is refused from now on.
-	refusing func(Content)
+	refusing func(Fingerprint)
 
 	mu sync.Mutex
 	// ends are by content, then by server.
-	ends map[Content]map[string]time.Time
+	ends map[Fingerprint]map[string]time.Time
 	// pending are this host's changes that are not written yet.
 	pending map[endKey]Change
 	wake    chan struct{}
@@ -60,81 +60,81 @@
 	crowd crowd
 	// trier reports whether this host tries refused contents, trials are when.
 	trier  func() bool
-	trials map[Content]trial
+	trials map[Fingerprint]trial
 }
 
-// NewLedger returns a ledger that knows of no ends. It calls refusing, unless
+// NewTracker returns a ledger that knows of no ends. It calls refusing, unless
 // nil, for each content that is refused from now on, as this host saw or read.
-func NewLedger(refusing func(Content)) *Ledger {
+func NewTracker(refusing func(Fingerprint)) *Tracker {
 	if refusing == nil {
-		refusing = func(Content) {}
+		refusing = func(Fingerprint) {}
 	}
-	return &Ledger{refusing: refusing, ends: map[Content]map[string]time.Time{}, pending: map[endKey]Change{}, wake: make(chan struct{}, 1),
-		trials: map[Content]trial{}}
+	return &Tracker{refusing: refusing, ends: map[Fingerprint]map[string]time.Time{}, pending: map[endKey]Change{}, wake: make(chan struct{}, 1),
+		trials: map[Fingerprint]trial{}}
 }
 
-// Saw takes in an end that this host saw itself. It returns how many servers
+// RecordCrash takes in an end that this host saw itself. It returns how many servers
 // have ended under the content.
-func (l *Ledger) Saw(e End) int {
+func (l *Tracker) RecordCrash(e Crash) int {
 	l.mu.Lock()
 	l.crowd.add(e)
 	ends, news := l.add(e)
 	if news {
-		l.change(Change{End: e})
+		l.change(Change{Crash: e})
 	}
 	l.mu.Unlock()
-	l.tell(e.Content, ends, news)
+	l.tell(e.Fingerprint, ends, news)
 	return ends
 }
 
-// Broke takes note of a send that broke off while its server, as far as is known
+// RecordBrokenSend takes note of a send that broke off while its server, as far as is known
 // yet, goes on.
-func (l *Ledger) Broke(e End) {
+func (l *Tracker) RecordBrokenSend(e Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crowd.add(e)
 }
 
-func (l *Ledger) tell(c Content, ends int, news bool) {
+func (l *Tracker) tell(c Fingerprint, ends int, news bool) {
 	if news && ends == Limit {
 		l.refusing(c)
 	}
 }
 
-// Survived takes note that a server ran the content and answered: what ended
+// RecordSuccess takes note that a server ran the content and answered: what ended
 // with others was beside it by chance. A page that many callers read, at the
 // owner of the same keys as a request that ends its servers, was otherwise
 // refused with it. It reports whether ends were forgotten.
-func (l *Ledger) Survived(c Content) bool {
+func (l *Tracker) RecordSuccess(c Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ends := l.ends[c]
 	for server, at := range ends {
-		l.change(Change{End: End{c, server, at}, Forget: true})
+		l.change(Change{Crash: Crash{c, server, at}, Forget: true})
 	}
 	delete(l.ends, c)
 	delete(l.trials, c)
 	return len(ends) > 0
 }
 
-// Any reports whether there are ends at all. While there are none, requests
+// HasCrashes reports whether there are ends at all. While there are none, requests
 // need not be looked at.
-func (l *Ledger) Any() bool {
+func (l *Tracker) HasCrashes() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.ends) > 0
 }
 
-// Suspect reports whether a server has ended under the content, and none has
+// IsSuspect reports whether a server has ended under the content, and none has
 // answered it since.
-func (l *Ledger) Suspect(c Content) bool {
+func (l *Tracker) IsSuspect(c Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.ends[c]) > 0
 }
 
-// Refused returns for how much longer a content is refused; zero if it is not.
-func (l *Ledger) Refused(c Content, now time.Time) time.Duration {
+// RefusedFor returns for how much longer a content is refused; zero if it is not.
+func (l *Tracker) RefusedFor(c Fingerprint, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ends := make([]time.Time, 0, len(l.ends[c]))
@@ -149,22 +149,22 @@
 	return max(ends[Limit-1].Add(KeepFor).Sub(now), 0)
 }
 
-// RefusedContents returns the contents that are refused, in order.
-func (l *Ledger) RefusedContents(now time.Time) []Content {
+// RefusedFingerprints returns the contents that are refused, in order.
+func (l *Tracker) RefusedFingerprints(now time.Time) []Fingerprint {
 	l.mu.Lock()
-	var all []Content
+	var all []Fingerprint
 	for c := range l.ends {
 		all = append(all, c)
 	}
 	l.mu.Unlock()
-	all = slices.DeleteFunc(all, func(c Content) bool { return l.Refused(c, now) == 0 })
+	all = slices.DeleteFunc(all, func(c Fingerprint) bool { return l.RefusedFor(c, now) == 0 })
 	slices.Sort(all)
 	return all
 }
 
 // Counts returns how many contents servers have ended under, and how many of
 // them are refused.
-func (l *Ledger) Counts() (known, refused int) {
+func (l *Tracker) Counts() (known, refused int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, ends := range l.ends {
@@ -175,8 +175,8 @@
 	return len(l.ends), refused
 }
 
-// Servers returns those that have ended under the content, in order.
-func (l *Ledger) Servers(c Content) []string {
+// CrashedServers returns those that have ended under the content, in order.
+func (l *Tracker) CrashedServers(c Fingerprint) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
@@ -187,22 +187,22 @@
 	return out
 }
 
-// Take takes in a change that was read, this host's own or another's.
-func (l *Ledger) Take(c Change) {
+// Apply takes in a change that was read, this host's own or another's.
+func (l *Tracker) Apply(c Change) {
 	l.mu.Lock()
 	ends, news := 0, false
 	if c.Forget {
-		l.remove(c.Content, c.Server)
-	} else if !l.pending[endKey{c.Content, c.Server}].Forget {
-		ends, news = l.add(c.End)
+		l.remove(c.Fingerprint, c.Server)
+	} else if !l.pending[endKey{c.Fingerprint, c.Server}].Forget {
+		ends, news = l.add(c.Crash)
 	}
 	l.mu.Unlock()
-	l.tell(c.Content, ends, news)
+	l.tell(c.Fingerprint, ends, news)
 }
 
 // Replace takes the given ends in place of all that were read before. What
 // this host has not written yet stays.
-func (l *Ledger) Replace(ends []End) {
+func (l *Tracker) Replace(ends []Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.ends)
@@ -213,14 +213,14 @@
 		if c.Forget {
 			l.remove(k.content, k.server)
 		} else {
-			l.add(c.End)
+			l.add(c.Crash)
 		}
 	}
 }
 
 // Expire forgets ends that no longer count. If told is set the other hosts and
 // the log service are to forget them too.
-func (l *Ledger) Expire(now time.Time, told bool) {
+func (l *Tracker) Expire(now time.Time, told bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for content, ends := range l.ends {
@@ -230,7 +230,7 @@
 			}
 			l.remove(content, server)
 			if told {
-				l.change(Change{End: End{content, server, at}, Forget: true})
+				l.change(Change{Crash: Crash{content, server, at}, Forget: true})
 			}
 		}
 	}
@@ -239,12 +239,12 @@
 // Pending returns the changes that are not written yet. Ends that have turned
 // out to have a common cause are forgotten, so it is best asked once the others
 // of their moment are known.
-func (l *Ledger) Pending() []Change {
+func (l *Tracker) Pending() []Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]Change, 0, len(l.pending))
 	for k, c := range l.pending {
-		if !c.Forget && l.crowd.explains(c.End) {
+		if !c.Forget && l.crowd.explains(c.Crash) {
 			delete(l.pending, k)
 			l.remove(k.content, k.server)
 			continue
@@ -254,15 +254,15 @@
 	return out
 }
 
-// Wake returns a channel that gets a value when there is something to write.
-func (l *Ledger) Wake() <-chan struct{} { return l.wake }
+// PendingC returns a channel that gets a value when there is something to write.
+func (l *Tracker) PendingC() <-chan struct{} { return l.wake }
 
-// Written takes note that the changes have been written.
-func (l *Ledger) Written(changes []Change) {
+// MarkWritten takes note that the changes have been written.
+func (l *Tracker) MarkWritten(changes []Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range changes {
-		k := endKey{c.Content, c.Server}
+		k := endKey{c.Fingerprint, c.Server}
 		if l.pending[k] == c {
 			delete(l.pending, k)
 		}
@@ -271,21 +271,21 @@
 
 // add returns how many servers have ended under the content, and whether this
 // end was not known yet.
-func (l *Ledger) add(e End) (ends int, news bool) {
-	if l.ends[e.Content] == nil {
+func (l *Tracker) add(e Crash) (ends int, news bool) {
+	if l.ends[e.Fingerprint] == nil {
 		if len(l.ends) >= maxContents {
 			l.drop(l.leastTelling())
 		}
-		l.ends[e.Content] = map[string]time.Time{}
+		l.ends[e.Fingerprint] = map[string]time.Time{}
 	}
-	_, known := l.ends[e.Content][e.Server]
-	l.ends[e.Content][e.Server] = e.At
-	return len(l.ends[e.Content]), !known
+	_, known := l.ends[e.Fingerprint][e.Server]
+	l.ends[e.Fingerprint][e.Server] = e.At
+	return len(l.ends[e.Fingerprint]), !known
 }
 
 // leastTelling returns the content with the fewest ends, of several the one whose
 // last end is the oldest.
-func (l *Ledger) leastTelling() (least Content) {
+func (l *Tracker) leastTelling() (least Fingerprint) {
 	fewest, oldest := 0, time.Time{}
 	for c, ends := range l.ends {
 		last := slices.MaxFunc(slices.Collect(maps.Values(ends)), time.Time.Compare)
@@ -298,7 +298,7 @@
 
 // drop forgets a content. What this host saw of it and has not written is not
 // written; records of it stay until they expire.
-func (l *Ledger) drop(c Content) {
+func (l *Tracker) drop(c Fingerprint) {
 	for server := range l.ends[c] {
 		delete(l.pending, endKey{c, server})
 	}
@@ -306,7 +306,7 @@
 	delete(l.trials, c)
 }
 
-func (l *Ledger) remove(c Content, server string) {
+func (l *Tracker) remove(c Fingerprint, server string) {
 	delete(l.ends[c], server)
 	if len(l.ends[c]) == 0 {
 		delete(l.ends, c)
@@ -314,8 +314,8 @@
 	}
 }
 
-func (l *Ledger) change(c Change) {
-	l.pending[endKey{c.Content, c.Server}] = c
+func (l *Tracker) change(c Change) {
+	l.pending[endKey{c.Fingerprint, c.Server}] = c
 	select {
 	case l.wake <- struct{}{}:
 	default: // the writer has been woken already
--- a/internal/crashes/ledger_test.go
+++ b/internal/crashes/ledger_test.go
@@ -15,21 +15,21 @@
 
 var noon = time.UnixMilli(1_700_000_000_000)
 
-func content(i int) Content {
-	return Ask{Method: "GET", Host: "a.example", URI: fmt.Sprint("/", i), Key: -1}.Content()
+func content(i int) Fingerprint {
+	return Request{Method: "GET", Host: "a.example", URI: fmt.Sprint("/", i), Key: -1}.Fingerprint()
 }
 
 // fleet is a few hosts' ledgers over one stream of records.
 type fleet struct {
 	t       *testing.T
-	hosts   []*Ledger
+	hosts   []*Tracker
 	records map[string][]byte
 }
 
 func newFleet(t *testing.T, hosts int) *fleet {
 	f := &fleet{t: t, records: map[string][]byte{}}
 	for range hosts {
-		f.hosts = append(f.hosts, NewLedger(nil))
+		f.hosts = append(f.hosts, NewTracker(nil))
 	}
 	return f
 }
@@ -49,23 +49,23 @@
 			f.t.Fatal(err)
 		}
 		for _, l := range f.hosts {
-			l.Take(got)
+			l.Apply(got)
 		}
 	}
-	f.hosts[host].Written(changes)
+	f.hosts[host].MarkWritten(changes)
 }
 
 // newest lets a host read the newest record of each key.
-func (f *fleet) newest(l *Ledger) {
+func (f *fleet) newest(l *Tracker) {
 	f.t.Helper()
-	var ends []End
+	var ends []Crash
 	for key, data := range f.records {
 		c, err := Decode(key, data, noon)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		if !c.Forget {
-			ends = append(ends, c.End)
+			ends = append(ends, c.Crash)
 		}
 	}
 	l.Replace(ends)
@@ -77,19 +77,19 @@
 func TestEndsSeenByDifferentHostsAddUp(t *testing.T) {
 	f := newFleet(t, 4)
 	for i := range Limit {
-		if f.hosts[3].Refused(content(1), noon) > 0 {
+		if f.hosts[3].RefusedFor(content(1), noon) > 0 {
 			t.Fatalf("refused after %d ends", i)
 		}
-		f.hosts[i].Saw(End{content(1), fmt.Sprint("s", i), noon})
+		f.hosts[i].RecordCrash(Crash{content(1), fmt.Sprint("s", i), noon})
 		f.write(i)
 	}
-	late := NewLedger(nil)
+	late := NewTracker(nil)
 	f.newest(late)
 	for i, l := range append(f.hosts, late) {
-		if got := l.Refused(content(1), noon.Add(time.Hour)); got != KeepFor-time.Hour {
+		if got := l.RefusedFor(content(1), noon.Add(time.Hour)); got != KeepFor-time.Hour {
 			t.Errorf("host %d refuses it for %v more", i, got)
 		}
-		if l.Refused(content(2), noon) > 0 {
+		if l.RefusedFor(content(2), noon) > 0 {
 			t.Errorf("host %d refuses a request that has ended nothing", i)
 		}
 	}
@@ -98,29 +98,29 @@
 // Many hosts' requests break off as one server ends; that is one end. The host
 // that sees the third end refuses before anybody has written anything.
 func TestOneServersEndCountsOnce(t *testing.T) {
-	l := NewLedger(nil)
+	l := NewTracker(nil)
 	for range 10 {
-		l.Saw(End{content(1), "s1", noon})
+		l.RecordCrash(Crash{content(1), "s1", noon})
 	}
-	if n := l.Saw(End{content(1), "s2", noon}); n != 2 || l.Refused(content(1), noon) > 0 {
+	if n := l.RecordCrash(Crash{content(1), "s2", noon}); n != 2 || l.RefusedFor(content(1), noon) > 0 {
 		t.Errorf("two servers ended, counted as %d", n)
 	}
-	if l.Saw(End{content(1), "s3", noon}); l.Refused(content(1), noon) != KeepFor {
+	if l.RecordCrash(Crash{content(1), "s3", noon}); l.RefusedFor(content(1), noon) != KeepFor {
 		t.Error("not refused by the host that saw the third end")
 	}
 }
 
 // On-call is told once of each request that is refused, whoever saw its ends.
 func TestEachRefusedContentIsToldOnce(t *testing.T) {
-	told := map[Content]int{}
-	l := NewLedger(func(c Content) { told[c]++ })
+	told := map[Fingerprint]int{}
+	l := NewTracker(func(c Fingerprint) { told[c]++ })
 	for round := range 3 {
 		for i := range Limit + round {
-			l.Saw(End{content(1), fmt.Sprint("s", i), noon})
-			l.Take(Change{End: End{content(2), fmt.Sprint("s", i), noon}})
+			l.RecordCrash(Crash{content(1), fmt.Sprint("s", i), noon})
+			l.Apply(Change{Crash: Crash{content(2), fmt.Sprint("s", i), noon}})
 		}
 	}
-	l.Saw(End{content(3), "s1", noon})
+	l.RecordCrash(Crash{content(3), "s1", noon})
 	if known, refused := l.Counts(); known != 3 || refused != 2 {
 		t.Errorf("%d contents known, %d refused", known, refused)
 	}
@@ -135,16 +135,16 @@
 func TestBystanderThatIsAnsweredIsNotRefused(t *testing.T) {
 	f := newFleet(t, 2)
 	for i := range 3 * Limit {
-		f.hosts[0].Saw(End{content(1), fmt.Sprint("s", i), noon})
+		f.hosts[0].RecordCrash(Crash{content(1), fmt.Sprint("s", i), noon})
 		f.write(0)
 		if i%2 == 1 {
-			if !f.hosts[1].Survived(content(1)) {
+			if !f.hosts[1].RecordSuccess(content(1)) {
 				t.Fatal("the other host does not know of the ends")
 			}
 			f.write(1)
 		}
 		for h, l := range f.hosts {
-			if l.Refused(content(1), noon) > 0 {
+			if l.RefusedFor(content(1), noon) > 0 {
 				t.Fatalf("host %d refuses a page that is answered", h)
 			}
 		}
@@ -156,14 +156,14 @@
 func TestEndsAreKeptWhileTheyCannotBeWritten(t *testing.T) {
 	f := newFleet(t, 2)
 	for i := range Limit {
-		f.hosts[0].Saw(End{content(1), fmt.Sprint("s", i), noon})
+		f.hosts[0].RecordCrash(Crash{content(1), fmt.Sprint("s", i), noon})
 	}
 	f.newest(f.hosts[0])
-	if f.hosts[0].Refused(content(1), noon) == 0 {
+	if f.hosts[0].RefusedFor(content(1), noon) == 0 {
 		t.Error("what was not written yet is forgotten with the newest records")
 	}
 	f.write(0)
-	if f.hosts[1].Refused(content(1), noon) == 0 || len(f.hosts[0].Pending()) > 0 {
+	if f.hosts[1].RefusedFor(content(1), noon) == 0 || len(f.hosts[0].Pending()) > 0 {
 		t.Errorf("not written later: %d changes left", len(f.hosts[0].Pending()))
 	}
 }
@@ -173,16 +173,16 @@
 func TestEndsExpire(t *testing.T) {
 	f := newFleet(t, 2)
 	for i := range Limit {
-		f.hosts[0].Saw(End{content(1), fmt.Sprint("s", i), noon})
+		f.hosts[0].RecordCrash(Crash{content(1), fmt.Sprint("s", i), noon})
 	}
 	f.write(0)
 	for h, l := range f.hosts {
 		l.Expire(noon.Add(KeepFor-time.Second), h == 0)
-		if l.Refused(content(1), noon.Add(KeepFor-time.Second)) != time.Second || len(l.Pending()) > 0 {
+		if l.RefusedFor(content(1), noon.Add(KeepFor-time.Second)) != time.Second || len(l.Pending()) > 0 {
 			t.Errorf("host %d forgets early", h)
 		}
 		l.Expire(noon.Add(KeepFor), h == 0)
-		if l.Any() || l.Refused(content(1), noon.Add(KeepFor)) > 0 {
+		if l.HasCrashes() || l.RefusedFor(content(1), noon.Add(KeepFor)) > 0 {
 			t.Errorf("host %d still knows of it a day later", h)
 		}
 	}
@@ -200,20 +200,20 @@
 // What a look at a request costs while any end is known: 0.7 us and 288 bytes,
 // on one of five cores.
 func BenchmarkRefused(b *testing.B) {
-	l := NewLedger(nil)
+	l := NewTracker(nil)
 	for i := range 1000 {
-		l.Saw(End{content(i), "s1", noon})
+		l.RecordCrash(Crash{content(i), "s1", noon})
 	}
-	ask := Ask{Method: "GET", Host: "a.example", URI: "/job/1234?page=2", Key: 28264}
+	ask := Request{Method: "GET", Host: "a.example", URI: "/job/1234?page=2", Key: 28264}
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Refused(ask.Content(), noon)
+		l.RefusedFor(ask.Fingerprint(), noon)
 	}
 }
 
 // A host whose clock is behind the writer's takes an end to be seen just now.
 func TestEndsFromAClockAheadAreSeenNow(t *testing.T) {
-	key, data, err := Change{End: End{content(1), "s", noon}}.Encode(noon.Add(time.Minute))
+	key, data, err := Change{Crash: Crash{content(1), "s", noon}}.Encode(noon.Add(time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,7 +229,7 @@
 func TestRecords(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("read back", prop.ForAll(func(server string, ms int64, forget bool) bool {
-		in := Change{End{content(1), "s/" + server, time.UnixMilli(ms)}, forget}
+		in := Change{Crash{content(1), "s/" + server, time.UnixMilli(ms)}, forget}
 		key, data, err := in.Encode(noon)
 		if tooLong := 2*contentBytes+len("/s/")+len(server) > metastore.MaxKey; tooLong || err != nil {
 			return tooLong && err != nil
@@ -238,10 +238,10 @@
 		if forget {
 			in.At = time.Time{}
 		}
-		return err == nil && out.Content == in.Content && out.Server == in.Server && out.Forget == forget && out.At.Equal(in.At)
+		return err == nil && out.Fingerprint == in.Fingerprint && out.Server == in.Server && out.Forget == forget && out.At.Equal(in.At)
 	}, gen.AnyString(), gen.Int64Range(1, noon.UnixMilli()), gen.Bool()))
 	p.TestingRun(t)
-	long := Change{End: End{content(1), strings.Repeat("s", metastore.MaxKey), noon}}
+	long := Change{Crash: Crash{content(1), strings.Repeat("s", metastore.MaxKey), noon}}
 	if key, _, err := long.Encode(noon); err == nil {
 		t.Errorf("a key of %d bytes is written", len(key))
 	}
--- a/internal/crashes/record.go
+++ b/internal/crashes/record.go
@@ -27,7 +27,7 @@
 // Records tell times of day, as hosts that start later read them too. Only here
 // and in Decode are they read: in a host ends are compared by the steady clock.
 func (c Change) Encode(now time.Time) (key string, data []byte, err error) {
-	key = string(c.Content) + keyMark + c.Server
+	key = string(c.Fingerprint) + keyMark + c.Server
 	if len(key) > metastore.MaxKey {
 		return "", nil, eris.Errorf("end of %s: key of %d bytes", c.Server, len(key))
 	}
@@ -44,7 +44,7 @@
 	if !ok || len(content) != 2*contentBytes || server == "" {
 		return Change{}, eris.Errorf("record of an end: key %q", key)
 	}
-	c := Change{End: End{Content: Content(content), Server: server}, Forget: data == nil}
+	c := Change{Crash: Crash{Fingerprint: Fingerprint(content), Server: server}, Forget: data == nil}
 	if c.Forget {
 		return c, nil
 	}
--- a/internal/crashes/retry.go
+++ b/internal/crashes/retry.go
@@ -16,13 +16,13 @@
 	pause time.Duration
 }
 
-// Try reports whether one request of a refused content may be sent now, to see
+// AllowTrial reports whether one request of a refused content may be sent now, to see
 // whether it still ends its servers: an answer to it clears the content on every
 // host. Without it a content that was refused for what it had not done stayed so
 // for a day, since nothing was sent any more that could have been answered. Of
 // all hosts that share what they see one tries, so that a content that does end
 // its servers ends a dozen more in a day.
-func (l *Ledger) Try(c Content, now time.Time) bool {
+func (l *Tracker) AllowTrial(c Fingerprint, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.trier == nil || !l.trier() {
@@ -44,6 +44,6 @@
 	return true
 }
 
-// TryIf has this host try refused contents while allowed says so. It must be
+// AllowTrialsIf has this host try refused contents while allowed says so. It must be
 // called before the ledger is used.
-func (l *Ledger) TryIf(allowed func() bool) { l.trier = allowed }
+func (l *Tracker) AllowTrialsIf(allowed func() bool) { l.trier = allowed }
--- a/internal/daemon/answers_test.go
+++ b/internal/daemon/answers_test.go
@@ -21,7 +21,7 @@
 // is not the one the router sent.
 func TestCrossedAnswersNeverReachTheWrongCaller(t *testing.T) {
 	f := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, Checked: true}},
+		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{CrossAnswers: true}})
 	h := f.Hosts[0]
 	for _, key := range []string{"a", "b", "c", "d"} {
@@ -29,7 +29,7 @@
 		if r.status == http.StatusOK && r.answer.Key != key {
 			t.Fatalf("caller for %s got the answer for %s", key, r.answer.Key)
 		}
-		if r.status != http.StatusOK && (r.ref.Code != refusal.CrossedAnswer || r.ref.Outcome != refusal.Unknown) {
+		if r.status != http.StatusOK && (r.ref.Code != refusal.MismatchedResponse || r.ref.Outcome != refusal.Unknown) {
 			t.Fatalf("key %s: %d %+v; want CROSSED_ANSWER, unknown", key, r.status, r.ref)
 		}
 	}
@@ -45,7 +45,7 @@
 	settings := loopback.DefaultSettings()
 	settings.SnapshotInterval = 150 * time.Millisecond
 	f := startSpec(t, loopback.Spec{DataCentres: []string{"bangna", "latphrao"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, Checked: true}, {Name: "plantdesk", Upstreams: 4, Checked: true}},
+		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}, {Name: "plantdesk", Upstreams: 4, FencingChecked: true}},
 		Settings: settings, Retention: 300 * time.Millisecond})
 	time.Sleep(500 * time.Millisecond)
 	late, err := f.AddHost("latphrao-late", "latphrao")
@@ -88,7 +88,7 @@
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
 	owner, _ := servedBy(t, h, testKey, "")
-	f.Targets[owner].Server.Silence()
+	f.Targets[owner].Server.BlackholeConns()
 	start := time.Now()
 	r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "")
 	took := time.Since(start)
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -50,8 +50,8 @@
 		return true
 	}
 	fleet := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, Checked: true}},
-		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond, Fatal: fatal}})
+		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
+		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond, CrashOn: fatal}})
 	set := func(to *loopback.Fleet) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -83,7 +83,7 @@
 // for a day. It is served again within seconds.
 func TestPopularKeyIsServedAfterCommonLosses(t *testing.T) {
 	fleet := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 8, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, Checked: true}},
+		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: 20 * time.Millisecond}})
 	host := fleet.Hosts[0]
 	servedBy(t, host, testKey, "")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -52,12 +52,12 @@
 		hosts = hostlist.New(cfg.HostListAddr, &http.Client{Timeout: 5 * time.Second})
 	}
 	loop := control.New(control.Options{HostList: hosts, HostListInterval: cfg.HostListInterval, Host: cfg.Host, DataCentre: cfg.DataCentre, PollInterval: cfg.PollInterval,
-		ProbeInterval: cfg.ProbeInterval, ProbeFailures: cfg.ProbeFailures, GrantLease: cfg.GrantLease,
-		SnapshotEvery: cfg.SnapshotEvery, SnapshotInterval: cfg.SnapshotInterval, HeartbeatInterval: cfg.HeartbeatInterval, HostLease: cfg.HostLease,
-		Renewers: cfg.Renewers}, logc, targets, zl)
-	rt := router.New(router.Options{Host: cfg.Host, Timeout: cfg.RequestTimeout, ViewLease: cfg.ViewLease,
+		ProbeInterval: cfg.ProbeInterval, ProbeFailures: cfg.ProbeFailures, GrantTTL: cfg.GrantTTL,
+		SnapshotEvery: cfg.SnapshotEvery, SnapshotInterval: cfg.SnapshotInterval, HeartbeatInterval: cfg.HeartbeatInterval, HeartbeatTimeout: cfg.HeartbeatTimeout,
+		RenewersPerUpstream: cfg.RenewersPerUpstream}, logc, targets, zl)
+	rt := router.New(router.Options{Host: cfg.Host, Timeout: cfg.RequestTimeout, MaxViewAge: cfg.MaxViewAge,
 		RetryAfter: cfg.RetryAfter, LatencyObjective: cfg.LatencyObjective}, loop.Table, targets, zl)
-	rt.Refused = func(string) { loop.Wake() }
+	rt.OnFenced = func(string) { loop.Wake() }
 
 	front := http.NewServeMux()
 	front.Handle("/{service}/{key...}", rt)
@@ -65,7 +65,7 @@
 	adminMux := http.NewServeMux()
 	as := adminpb.NewAdminServer(&admin.Server{Host: cfg.Host, DataCentre: cfg.DataCentre, Table: loop.Table, Burns: rt.Burns})
 	adminMux.Handle(as.PathPrefix(), as)
-	rs := refusedpb.NewRefusedServer(&refused.Server{Host: cfg.Host, Ledger: rt.Crashes(), Log: zl})
+	rs := refusedpb.NewRefusedServer(&refused.Server{Host: cfg.Host, Crashes: rt.Crashes(), Log: zl})
 	adminMux.Handle(rs.PathPrefix(), rs)
 	adminMux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	adminMux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/daemon/failure_test.go
+++ b/internal/daemon/failure_test.go
@@ -23,7 +23,7 @@
 func startFleet(t *testing.T, dcs []string, checked bool, hostsPerDC int) *loopback.Fleet {
 	t.Helper()
 	return startSpec(t, loopback.Spec{DataCentres: dcs, Slots: 3, HostsPerDC: hostsPerDC,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4 * len(dcs), Checked: checked}},
+		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4 * len(dcs), FencingChecked: checked}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond}})
 }
 
@@ -217,7 +217,7 @@
 	h := f.Hosts[0]
 	owner, _ := servedBy(t, h, testKey, "")
 	f.Log.SetFaults(logsvc.Faults{Outage: true})
-	time.Sleep(loopback.DefaultSettings().ViewLease + 200*time.Millisecond)
+	time.Sleep(loopback.DefaultSettings().MaxViewAge + 200*time.Millisecond)
 	if r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, ""); r.status != http.StatusOK {
 		t.Fatalf("read during log outage: %d %+v", r.status, r.ref)
 	}
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(loopback.DefaultSettings().GrantLease * 2)
+	time.Sleep(loopback.DefaultSettings().GrantTTL * 2)
 	got, took := servedBy(t, survivor, testKey, "")
 	t.Logf("owner %s renewed by %v; served by %s via %s %v after they stopped", owner, renewers, got, survivor.Name, time.Since(start))
 	if took > 3*time.Second {
--- a/internal/daemon/path_bench_test.go
+++ b/internal/daemon/path_bench_test.go
@@ -19,7 +19,7 @@
 // latency quantiles the caller sees.
 func BenchmarkPath(b *testing.B) {
 	f := startSpec(b, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 64, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 20, Checked: true}},
+		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 20, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{}})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	done := make(chan []float64, 64)
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -42,7 +42,7 @@
 // taking new callers but waits for requests in flight.
 func TestPlannedStopCutsNothingInFlight(t *testing.T) {
 	f := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, Checked: true}},
+		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: 300 * time.Millisecond}})
 	h := f.Hosts[0]
 	got := make(chan reply, 1)
@@ -62,7 +62,7 @@
 // no new work after one grant lease.
 func TestLeavingHostGetsNoNewWork(t *testing.T) {
 	f := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, Checked: true}},
+		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), HostListLag: 500 * time.Millisecond})
 	h := f.Hosts[0]
 	owner, _ := servedBy(t, h, testKey, "")
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -28,8 +28,8 @@
 	return s.sum * math.Exp(-now.Sub(s.at).Seconds()/tau.Seconds())
 }
 
-// Span is the time, in seconds, over which a sum that began age ago has
+// EffectiveWindow is the time, in seconds, over which a sum that began age ago has
 // gathered: its value divided by it is a rate.
-func Span(tau, age time.Duration) float64 {
+func EffectiveWindow(tau, age time.Duration) float64 {
 	return tau.Seconds() * (1 - math.Exp(-age.Seconds()/tau.Seconds()))
 }
--- a/internal/desired/desired.go
+++ b/internal/desired/desired.go
@@ -25,8 +25,8 @@
 	Idempotent bool
 	// Timeout is the longest a caller is kept waiting.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is worth most.
-	Objective time.Duration
+	// LatencyObjective is the latency within which an answer is worth most.
+	LatencyObjective time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// MaxAttempts bounds the upstreams one request may be sent to.
@@ -51,8 +51,8 @@
 // SlowStart is the time after its start, or after a pause, in which an upstream
 // is cold: slower than usual, and easily overloaded.
 type SlowStart struct {
-	// Lasts is how long it takes.
-	Lasts time.Duration
+	// Duration is how long it takes.
+	Duration time.Duration
 	// PerSecond is how many requests a second a cold upstream bears from all
 	// hosts together; 0 if no bound is known.
 	PerSecond float64
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// MostUrgent returns the highest rank (lowest Priority) of the routes to a
+// HighestPriority returns the highest rank (lowest Priority) of the routes to a
 // service.
-func (s *State) MostUrgent(service string) int { return s.urgent[service] }
+func (s *State) HighestPriority(service string) int { return s.urgent[service] }
 
 // KeyedServices returns the names of the services divided by key, sorted.
 func (s *State) KeyedServices() []string {
--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -29,7 +29,7 @@
 			return echo(w, c, r, m)
 		})
 		fakes = append(fakes, f)
-		ups = append(ups, up(fmt.Sprint("u", i), "plain", f))
+		ups = append(ups, newUpstream(fmt.Sprint("u", i), "plain", f))
 	}
 	return ups, fakes
 }
@@ -57,7 +57,7 @@
 // as not run, with the time after which it is tried again, and reaches none.
 func TestBookingThatEndsItsServersIsRefused(t *testing.T) {
 	ups, fakes := ending(t, 5)
-	g := newRig(t, ups...)
+	g := newHarness(t, ups...)
 	for i := range crashes.Limit {
 		g.fatalBooking(i).want(t, 502, "")
 	}
@@ -67,7 +67,7 @@
 	for i := range 10 {
 		began := time.Now()
 		a := g.fatalBooking(i)
-		a.want(t, 503, string(CauseFatal)+"\n")
+		a.want(t, 503, string(CauseCrashes)+"\n")
 		if took := time.Since(began); took > testObjective/4 || a.header.Get("Retry-After") == "" {
 			t.Errorf("refused after %v, to come back after %q", took, a.header.Get("Retry-After"))
 		}
@@ -75,12 +75,12 @@
 	if n := sends(fakes); n != crashes.Limit {
 		t.Errorf("sent %d times more", n-crashes.Limit)
 	}
-	g.list(living(ups, fakes)...)
+	g.setUpstreams(living(ups, fakes)...)
 	g.post("charge.example", "another").want(t, 200, "answer to another")
 }
 
 // fatalBooking asks for one and the same booking under a new ID.
-func (g *rig) fatalBooking(i int) answer {
+func (g *harness) fatalBooking(i int) response {
 	return g.call(context.Background(), "POST", "charge.example", fmt.Sprint("fatal-", i), "the same booking")
 }
 
@@ -89,7 +89,7 @@
 // own repeat would have ended a fourth.
 func TestRepeatIsNotSentAfterTheLastEnd(t *testing.T) {
 	ups, fakes := ending(t, 5)
-	g := newRig(t, ups...)
+	g := newHarness(t, ups...)
 	g.get("read.example", "fatal-1").want(t, 502, "")
 	if n := sends(fakes); n != 2 {
 		t.Fatalf("the first lookup was sent %d times", n)
@@ -98,18 +98,18 @@
 	if n := sends(fakes); n != crashes.Limit {
 		t.Errorf("sent %d times, want %d", n, crashes.Limit)
 	}
-	g.get("read.example", "fatal-3").want(t, 503, string(CauseFatal)+"\n")
+	g.get("read.example", "fatal-3").want(t, 503, string(CauseCrashes)+"\n")
 }
 
 // Answers break off again and again, but their servers go on: connections are
 // reset, or answers are cut short. Nothing is refused for it.
 func TestBrokenAnswersOfLivingServersCountForNothing(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	for i := range 3 * crashes.Limit {
 		g.post("charge.example", fmt.Sprint("r", i)).want(t, 502, "")
 	}
-	if g.d.crashes.Any() {
+	if g.d.crashes.HasCrashes() {
 		t.Error("ends are counted though no server has ended")
 	}
 }
@@ -119,19 +119,19 @@
 // which go two seconds later.
 func TestEndsBehindABalancerShowByTheirEntries(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
-	g := newRig(t)
+	g := newHarness(t)
 	for i := range crashes.Limit {
-		u := up(fmt.Sprint("u", i), "plain", f)
-		g.list(u)
+		u := newUpstream(fmt.Sprint("u", i), "plain", f)
+		g.setUpstreams(u)
 		g.fatalBooking(i).want(t, 502, "")
 		g.d.Prune()
 		gone := *u
 		gone.Leaving, gone.Unlisted = true, true
-		g.list(&gone)
+		g.setUpstreams(&gone)
 		g.d.Prune()
 	}
-	g.list(up("u9", "plain", f))
-	g.fatalBooking(9).want(t, 503, string(CauseFatal)+"\n")
+	g.setUpstreams(newUpstream("u9", "plain", f))
+	g.fatalBooking(9).want(t, 503, string(CauseCrashes)+"\n")
 }
 
 // Of the upstreams under which a request broke off while they went on to
@@ -140,16 +140,16 @@
 // which entries go have not.
 func TestUpstreamsThatGoOnOrLeaveHaveNotEnded(t *testing.T) {
 	now := time.Now()
-	var s unsure
+	var s unresolvedSends
 	for _, server := range []string{"on", "leaving", "unlisted", "replaced", "on later gone"} {
-		s.add(crashes.End{Content: "c", Server: server, At: now})
+		s.add(crashes.Crash{Fingerprint: "c", Server: server, At: now})
 	}
 	settle := func(after time.Duration, ups ...*catalogue.Upstream) (ended []string) {
 		all := map[string]*catalogue.Upstream{}
 		for _, u := range ups {
 			all[u.ID] = u
 		}
-		for _, e := range s.settle(catalogue.NewSnapshot(all), now.Add(after)) {
+		for _, e := range s.resolve(catalogue.NewSnapshot(all), now.Add(after)) {
 			ended = append(ended, e.Server)
 		}
 		return ended
@@ -160,13 +160,13 @@
 	if !slices.Equal(got, []string{"unlisted", "replaced"}) {
 		t.Errorf("ended: %v", got)
 	}
-	if got = settle(lapses, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
+	if got = settle(entryExpiry, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
 		t.Errorf("ended: %v", got)
 	}
-	if got = settle(lapses+time.Second, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
+	if got = settle(entryExpiry+time.Second, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
 		t.Errorf("ended: %v", got)
 	}
-	if got = settle(lapses + 2*time.Second); got != nil {
+	if got = settle(entryExpiry + 2*time.Second); got != nil {
 		t.Errorf("ended after the time in which entries go: %v", got)
 	}
 }
@@ -175,10 +175,10 @@
 // Two more end under it later, and it is served still.
 func TestAnsweredPageIsNotRefused(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newRig(t, up("u1", "plain", f))
-	page := crashes.Ask{Method: "GET", Host: "read.example", URI: "/a//b?q=%2f", Key: -1}.Content()
+	g := newHarness(t, newUpstream("u1", "plain", f))
+	page := crashes.Request{Method: "GET", Host: "read.example", URI: "/a//b?q=%2f", Key: -1}.Fingerprint()
 	for i := range 3 * crashes.Limit {
-		g.d.crashes.Saw(crashes.End{Content: page, Server: fmt.Sprint("s", i), At: time.Now()})
+		g.d.crashes.RecordCrash(crashes.Crash{Fingerprint: page, Server: fmt.Sprint("s", i), At: time.Now()})
 		if i%2 == 1 {
 			g.get("read.example", fmt.Sprint("r", i)).want(t, 200, "")
 		}
@@ -189,10 +189,10 @@
 // in chunks the next. It is refused after three ends either way, whether it is
 // small, or streamed and told by its beginning; another upload is not.
 func TestUploadThatEndsItsServersIsRefused(t *testing.T) {
-	for _, size := range []int{100, keptBody + 1} {
+	for _, size := range []int{100, maxBufferedBody + 1} {
 		ups, fakes := ending(t, 5)
-		g := newRig(t, ups...)
-		upload := func(id, begin string, chunked bool) answer {
+		g := newHarness(t, ups...)
+		upload := func(id, begin string, chunked bool) response {
 			var body io.Reader = strings.NewReader(begin + string(make([]byte, size)))
 			if chunked {
 				body = io.MultiReader(body)
@@ -202,9 +202,9 @@
 		for i := range crashes.Limit {
 			upload(fmt.Sprint("fatal-", i), "x", i%2 == 0).want(t, 502, "")
 		}
-		upload("fatal-8", "x", true).want(t, 503, string(CauseFatal)+"\n")
-		upload("fatal-9", "x", false).want(t, 503, string(CauseFatal)+"\n")
-		g.list(living(ups, fakes)...)
+		upload("fatal-8", "x", true).want(t, 503, string(CauseCrashes)+"\n")
+		upload("fatal-9", "x", false).want(t, 503, string(CauseCrashes)+"\n")
+		g.setUpstreams(living(ups, fakes)...)
 		upload("other", "y", true).want(t, 200, "answer to other")
 		if n := sends(fakes); n != crashes.Limit+1 {
 			t.Errorf("%d sends of %d bytes", n, size)
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -17,31 +17,31 @@
 		return d.owner(ctx, q)
 	}
 	v := d.views.Load()
-	c := balance.Choice{Home: d.home, FarPenalty: q.route.Objective / 4, Not: q.tried, SlowStart: d.slowStart(q.service),
-		Closed: func(id string) bool { wait, _ := d.closed(id, time.Now()); return wait > 0 }}
-	ups := v.Upstreams.Of(q.service.Name)
+	c := balance.Criteria{LocalDataCentre: d.home, FarPenalty: q.route.LatencyObjective / 4, Excluded: q.attempted, SlowStart: d.slowStart(q.service),
+		Unavailable: func(id string) bool { wait, _ := d.unavailableFor(id, time.Now()); return wait > 0 }}
+	ups := v.Upstreams.ForService(q.service.Name)
 	u := d.board.Pick(ups, c, time.Now())
 	if u == nil && q.mayHaveRun {
 		// A broken answer says little of the next one; a refusal for want of
 		// room would only be repeated.
-		c.Not = nil
+		c.Excluded = nil
 		u = d.board.Pick(ups, c, time.Now())
 	}
 	if u == nil {
 		return nil, d.noneLeft(q, ups, time.Now())
 	}
-	if q.sends == 0 && d.board.Expected(u, time.Now()) > q.route.Objective {
-		return nil, q.endUnsent(CauseFull, q.soon())
+	if q.attempts == 0 && d.board.ExpectedLatency(u, time.Now()) > q.route.LatencyObjective {
+		return nil, q.endUnsent(CauseFull, q.retryAfterFull())
 	}
 	return u, nil
 }
 
 // noneLeft ends a request for which none of the upstreams is left.
 func (d *Dispatcher) noneLeft(q *request, ups []*catalogue.Upstream, now time.Time) *Refusal {
-	if wait, cause := d.soonestOpen(ups, now); wait > 0 {
-		return q.closedRefusal(wait, cause)
+	if wait, cause := d.soonestAvailable(ups, now); wait > 0 {
+		return q.unavailableRefusal(wait, cause)
 	}
-	if len(q.tried) > 0 {
+	if len(q.attempted) > 0 {
 		return q.giveUp()
 	}
 	if cold := anyCold(ups, now); cold != nil {
@@ -56,20 +56,20 @@
 		v := d.views.Load()
 		now := time.Now()
 		u, fence := v.Owner(q.service.Name, q.key)
-		if u != nil && mayOwn(u, now) && !d.unheld.recent(q.service.Name, fence, u.ID, now) {
-			if d.board.Out(u.ID, now) {
+		if u != nil && servesOwnedKeys(u, now) && !d.rejectedGrants.recent(q.service.Name, fence, u.ID, now) {
+			if d.board.IsEjected(u.ID, now) {
 				return nil, q.endUnsent(CauseUnreachable, retryNoOwner)
 			}
-			if wait, cause := d.closed(u.ID, now); wait > 0 {
-				return nil, q.closedRefusal(wait, cause)
+			if wait, cause := d.unavailableFor(u.ID, now); wait > 0 {
+				return nil, q.unavailableRefusal(wait, cause)
 			}
-			if !d.board.ColdOpen(u, d.slowStart(q.service), now) {
+			if !d.board.SlowStartAllows(u, d.slowStart(q.service), now) {
 				return nil, q.coldRefusal(u, now)
 			}
-			q.lastSeen = fence
+			q.lastFencingToken = fence
 			return u, nil
 		}
-		if (u != nil && u.HandingOver() && now.Sub(u.LeaveBy) > overdue) || !q.await(ctx, v) {
+		if (u != nil && u.HandingOver() && now.Sub(u.LeaveBy) > handoverGrace) || !q.await(ctx, v) {
 			return nil, q.endUnsent(CauseNoOwner, retryNoOwner)
 		}
 	}
@@ -77,21 +77,21 @@
 
 // overdue is how long after its time an upstream that still owns keys counts as one
 // that cannot hand them over at present: the log service cannot be written to.
-const overdue = time.Second
+const handoverGrace = time.Second
 
-// mayOwn reports whether requests for the keys that the upstream owns may be sent
+// servesOwnedKeys reports whether requests for the keys that the upstream owns may be sent
 // to it: it is not leaving, nor is the time over in which it hands its keys over.
-func mayOwn(u *catalogue.Upstream, now time.Time) bool {
+func servesOwnedKeys(u *catalogue.Upstream, now time.Time) bool {
 	return !u.Leaving && (!u.HandingOver() || now.Before(u.LeaveBy))
 }
 
-// waitForMove waits until the ownership table is newer than the one under
+// waitForOwnerChange waits until the ownership table is newer than the one under
 // which the request was refused.
-func (d *Dispatcher) waitForMove(ctx context.Context, q *request) *Refusal {
+func (d *Dispatcher) waitForOwnerChange(ctx context.Context, q *request) *Refusal {
 	for {
 		v := d.views.Load()
 		u, fence := v.Owner(q.service.Name, q.key)
-		if u != nil && (fence != q.lastSeen || u.ID != q.lastUp) {
+		if u != nil && (fence != q.lastFencingToken || u.ID != q.lastUpstream) {
 			return nil
 		}
 		if !q.await(ctx, v) {
@@ -103,7 +103,7 @@
 // await waits for a newer view than v. It reports false when the request
 // has waited as long as it should.
 func (q *request) await(ctx context.Context, v *view.View) bool {
-	left := time.Duration(moveWait*float64(q.route.Objective)) - q.waited
+	left := time.Duration(ownerWaitShare*float64(q.route.LatencyObjective)) - q.waited
 	if left <= 0 {
 		return false
 	}
--- a/internal/dispatch/closed.go
+++ b/internal/dispatch/closed.go
@@ -7,49 +7,49 @@
 	"github.com/papayatide/papayatide/internal/catalogue"
 )
 
-// closed returns for how long the upstream takes no requests of this host, and
+// unavailableFor returns for how long the upstream takes no requests of this host, and
 // why; 0 if one may be tried.
-func (d *Dispatcher) closed(id string, now time.Time) (time.Duration, Cause) {
-	if rest := d.feedback.Rest(id, now); rest > 0 {
-		return rest, CauseResting
+func (d *Dispatcher) unavailableFor(id string, now time.Time) (time.Duration, Cause) {
+	if rest := d.feedback.Backoff(id, now); rest > 0 {
+		return rest, CauseBackoff
 	}
-	if d.feedback.Limit(id) == 0 {
+	if d.feedback.RateLimit(id) == 0 {
 		return 0, ""
 	}
-	return d.limits.Closed(id, now), CauseLimited
+	return d.limits.RetryAfter(id, now), CauseRateLimited
 }
 
-// take reports whether a request may be sent to the upstream now, and counts it. If
+// takePermit reports whether a request may be sent to the upstream now, and counts it. If
 // not, it returns for how long none may be, and why. Requests wait for their turn
 // after an upstream is chosen, so what was true then is asked again.
-func (d *Dispatcher) take(ctx context.Context, id string) (ok bool, wait time.Duration, cause Cause) {
-	if rest := d.feedback.Rest(id, time.Now()); rest > 0 {
-		return false, rest, CauseResting
+func (d *Dispatcher) takePermit(ctx context.Context, id string) (ok bool, wait time.Duration, cause Cause) {
+	if rest := d.feedback.Backoff(id, time.Now()); rest > 0 {
+		return false, rest, CauseBackoff
 	}
-	limit := d.feedback.Limit(id)
+	limit := d.feedback.RateLimit(id)
 	if limit == 0 {
 		return true, 0, ""
 	}
 	ok, wait = d.limits.Take(ctx, id, limit)
-	return ok, wait, CauseLimited
+	return ok, wait, CauseRateLimited
 }
 
-// soonestOpen returns how long it is until one of the upstreams takes a request
+// soonestAvailable returns how long it is until one of the upstreams takes a request
 // again, and why not now; 0 if none is closed.
-func (d *Dispatcher) soonestOpen(ups []*catalogue.Upstream, now time.Time) (soonest time.Duration, why Cause) {
+func (d *Dispatcher) soonestAvailable(ups []*catalogue.Upstream, now time.Time) (soonest time.Duration, why Cause) {
 	for _, u := range ups {
-		if u.Retiring() {
+		if u.Draining() {
 			continue
 		}
-		if wait, cause := d.closed(u.ID, now); wait > 0 && (soonest == 0 || wait < soonest) {
+		if wait, cause := d.unavailableFor(u.ID, now); wait > 0 && (soonest == 0 || wait < soonest) {
 			soonest, why = wait, cause
 		}
 	}
 	return soonest, why
 }
 
-// closedRefusal ends a request for which only upstreams are left that take none
+// unavailableRefusal ends a request for which only upstreams are left that take none
 // for so long. Keys of an upstream with a limit may have another owner by then.
-func (q *request) closedRefusal(wait time.Duration, cause Cause) *Refusal {
-	return q.endUnsent(cause, min(max(wait, q.soon()), retryNoOwner))
+func (q *request) unavailableRefusal(wait time.Duration, cause Cause) *Refusal {
+	return q.endUnsent(cause, min(max(wait, q.retryAfterFull()), retryNoOwner))
 }
--- a/internal/dispatch/closed_test.go
+++ b/internal/dispatch/closed_test.go
@@ -12,15 +12,15 @@
 	"github.com/papayatide/papayatide/internal/ratelimit"
 )
 
-// says answers every request with the status and headers.
-func says(status int, extra ...string) func(io.Writer, net.Conn, *http.Request, int64) bool {
+// respondWith answers every request with the status and headers.
+func respondWith(status int, extra ...string) func(io.Writer, net.Conn, *http.Request, int64) bool {
 	return func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
-		return whole(w, r, status, "said", extra...)
+		return writeResponse(w, r, status, "said", extra...)
 	}
 }
 
 // retryAfter returns when the caller is told to come back.
-func (a answer) retryAfter(t *testing.T) time.Duration {
+func (a response) retryAfter(t *testing.T) time.Duration {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 	if err != nil {
@@ -32,15 +32,15 @@
 // An upstream that asks for a rest must get nothing more, and callers that only it
 // could serve must be told so at once instead of waiting or being sent there.
 func TestRestingUpstreamIsLeftAlone(t *testing.T) {
-	f := startUpstream(t, says(http.StatusServiceUnavailable, "X-Not-Run: 1", "Retry-After: 30"))
+	f := startUpstream(t, respondWith(http.StatusServiceUnavailable, "X-Not-Run: 1", "Retry-After: 30"))
 	other := startUpstream(t, echo)
-	g := newRig(t, up("u1", "plain", f), up("k1", "keyed", f), up("u2", "plain", other))
-	g.own("k1", 1)
+	g := newHarness(t, newUpstream("u1", "plain", f), newUpstream("k1", "keyed", f), newUpstream("u2", "plain", other))
+	g.setOwner("k1", 1)
 	g.get("keyed.example", "first").want(t, http.StatusServiceUnavailable, "")
 	for i := range 5 {
 		start := time.Now()
 		a := g.get("keyed.example", "later"+strconv.Itoa(i))
-		a.want(t, http.StatusServiceUnavailable, string(CauseResting)+"\n")
+		a.want(t, http.StatusServiceUnavailable, string(CauseBackoff)+"\n")
 		if took := time.Since(start); took > testObjective/2 {
 			t.Errorf("refused after %v", took)
 		}
@@ -62,19 +62,19 @@
 // A request that waited for its turn, or is sent again, while its upstream named a
 // limit must ask for leave as well.
 func TestLimitIsAskedForAtEachSend(t *testing.T) {
-	f := startUpstream(t, says(http.StatusInternalServerError, "X-Limit: 1"))
-	g := newRig(t, up("k1", "keyed", f))
+	f := startUpstream(t, respondWith(http.StatusInternalServerError, "X-Limit: 1"))
+	g := newHarness(t, newUpstream("k1", "keyed", f))
 	asked := 0
-	g.d.limits = ratelimit.NewLimiter(ratelimit.Bounds{}, func(context.Context, string, float64, int) (ratelimit.Grant, error) {
+	g.d.limits = ratelimit.NewLimiter(ratelimit.Bounds{}, func(context.Context, string, float64, int) (ratelimit.Permit, error) {
 		asked++
-		return ratelimit.Grant{Wait: time.Second}, nil
+		return ratelimit.Permit{Wait: time.Second}, nil
 	})
-	g.own("k1", 1)
+	g.setOwner("k1", 1)
 	g.get("keyed.example", "r1")
 	if n := f.runs.Load(); n != 1 || asked != 1 {
 		t.Errorf("%d sends, leave asked for %d times; want 1 and 1 for the repeat", n, asked)
 	}
-	g.get("keyed.example", "r2").want(t, http.StatusServiceUnavailable, string(CauseLimited)+"\n")
+	g.get("keyed.example", "r2").want(t, http.StatusServiceUnavailable, string(CauseRateLimited)+"\n")
 	if n := f.runs.Load(); n != 1 {
 		t.Errorf("%d sends without leave", n-1)
 	}
@@ -90,12 +90,12 @@
 		most time.Duration
 	}{
 		{"handing over", time.Second, testTimeout},
-		{"overdue", -2 * overdue, testObjective / 8},
+		{"overdue", -2 * handoverGrace, testObjective / 8},
 	} {
-		u := up("k1", "keyed", f)
+		u := newUpstream("k1", "keyed", f)
 		u.LeaveBy = time.Now().Add(c.left)
-		g := newRig(t, u)
-		g.own("k1", 1)
+		g := newHarness(t, u)
+		g.setOwner("k1", 1)
 		start := time.Now()
 		a := g.get("keyed.example", "r1")
 		if took := time.Since(start); took > c.most {
--- a/internal/dispatch/cold.go
+++ b/internal/dispatch/cold.go
@@ -14,16 +14,16 @@
 	if s.SlowStart.PerSecond == 0 {
 		return balance.SlowStart{}
 	}
-	return balance.SlowStart{Lasts: s.SlowStart.Lasts, Share: func() ratelimit.Share { return d.coldShare(s.SlowStart.PerSecond) }}
+	return balance.SlowStart{Duration: s.SlowStart.Duration, Share: func() ratelimit.HostRate { return d.coldShare(s.SlowStart.PerSecond) }}
 }
 
 // coldShare returns this host's share of a cold upstream that bears perSecond. Without
 // a known number of hosts it is zero, so that a new host cannot exceed the limit.
-func (d *Dispatcher) coldShare(perSecond float64) ratelimit.Share {
-	if !d.fleetKnown.Load() {
+func (d *Dispatcher) coldShare(perSecond float64) ratelimit.HostRate {
+	if !d.hostCountKnown.Load() {
 		return 0
 	}
-	return ratelimit.Share(d.SlowStart.Rate(perSecond) / float64(d.fleet.Load()))
+	return ratelimit.HostRate(d.SlowStartBounds.UncoordinatedRate(perSecond) / float64(d.hostCount.Load()))
 }
 
 // coldRefusal ends a request for which only an upstream in its slow start is
@@ -40,7 +40,7 @@
 // once it is through, nil if there is none.
 func anyCold(ups []*catalogue.Upstream, now time.Time) *catalogue.Upstream {
 	for _, u := range ups {
-		if u.Cold(now) && !u.Retiring() {
+		if u.Cold(now) && !u.Draining() {
 			return u
 		}
 	}
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -30,13 +30,13 @@
 		time.Sleep(30 * time.Millisecond)
 		return echo(w, c, r, 0)
 	})
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.views.Publish(func(v *view.View) {
 		d := *v.Desired
 		d.Services = map[string]*desired.Service{"plain": {Name: "plain", MaxConns: 8}}
 		v.Desired = &d
 	})
-	g.d.SetFleet(8, true)
+	g.d.SetHostCount(8, true)
 	var wg sync.WaitGroup
 	for i := range 10 {
 		wg.Go(func() {
--- a/internal/dispatch/crowded_test.go
+++ b/internal/dispatch/crowded_test.go
@@ -15,9 +15,9 @@
 // has been heard of them for a while, the upstream is used again.
 func TestRequestThatWouldBeLateIsRefusedAtOnce(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newRig(t, up("u1", "plain", f))
-	crowd := balance.Others{ID: "u1", UnderWay: 30, Work: testObjective / 4}
-	g.d.board.Learn([]balance.Others{crowd}, time.Now())
+	g := newHarness(t, newUpstream("u1", "plain", f))
+	crowd := balance.PeerLoad{ID: "u1", InFlight: 30, WorkTime: testObjective / 4}
+	g.d.board.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now())
 	start := time.Now()
 	a := g.post("charge.example", "r1")
 	a.want(t, http.StatusServiceUnavailable, "")
@@ -27,10 +27,10 @@
 	if a.header.Get("Retry-After") == "" || f.runs.Load() != 0 {
 		t.Errorf("Retry-After %q, %d requests reached the upstream", a.header.Get("Retry-After"), f.runs.Load())
 	}
-	crowd.UnderWay = 2
-	g.d.board.Learn([]balance.Others{crowd}, time.Now())
+	crowd.InFlight = 2
+	g.d.board.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now())
 	g.post("charge.example", "r2").want(t, http.StatusOK, "")
-	crowd.UnderWay = 30
-	g.d.board.Learn([]balance.Others{crowd}, time.Now().Add(-2*time.Second))
+	crowd.InFlight = 30
+	g.d.board.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now().Add(-2*time.Second))
 	g.post("charge.example", "r3").want(t, http.StatusOK, "")
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -42,44 +42,44 @@
 )
 
 // maxUnsent bounds the sends of one request that did not leave this host.
-const maxUnsent = 3
+const maxUnsentAttempts = 3
 
 // moveWait is the longest a request waits for its key to change hands, as a
 // part of the latency objective: later the caller is better served by
 // coming back.
-const moveWait = 0.5
+const ownerWaitShare = 0.5
 
 // Dispatcher serves callers. It implements http.Handler.
 type Dispatcher struct {
-	headers protocol.Headers
-	home    string
-	views   *view.Holder
-	client  *upstream.Client
-	board   *balance.Board
-	budget  *budget.Budget
-	splits  *splitter
-	unheld  *unheld
-	stop    *stopper
-	crashes *crashes.Ledger
-	unsure  unsure
+	headers        protocol.Headers
+	home           string
+	views          *view.Publisher
+	client         *upstream.Client
+	board          *balance.Picker
+	budget         *budget.Budget
+	splits         *splitter
+	rejectedGrants *rejectedGrants
+	stop           *stopper
+	crashes        *crashes.Tracker
+	unresolved     unresolvedSends
 	// feedback is what upstreams report of themselves, limits keeps to the rate
 	// limits among it.
 	feedback *feedback.Tracker
 	limits   *ratelimit.Limiter
-	// fleet is how many hosts there are, this one included, and fleetKnown
+	// hostCount is how many hosts there are, this one included, and fleetKnown
 	// whether that rests on anybody's word.
-	fleet      atomic.Int64
-	fleetKnown atomic.Bool
-	// SlowStart is the sheet's bound on what a cold upstream may get.
-	SlowStart ratelimit.Bounds
-	// Ended is told of every request's end, BrokeOff of every send that ended
+	hostCount      atomic.Int64
+	hostCountKnown atomic.Bool
+	// SlowStartBounds is the sheet's bound on what a cold upstream may get.
+	SlowStartBounds ratelimit.Bounds
+	// OnRequestDone is told of every request's end, BrokeOff of every send that ended
 	// without an answer while its caller still waited.
-	Ended    func(*End)
-	BrokeOff func(*Broken)
+	OnRequestDone func(*RequestSummary)
+	OnBrokenSend  func(*BrokenSend)
 }
 
-// End describes how a request ended, for logs, metrics and load reports.
-type End struct {
+// RequestSummary describes how a request ended, for logs, metrics and load reports.
+type RequestSummary struct {
 	ID, Route, Service, Upstream string
 	// Key is -1 for services that are not keyed.
 	Key int
@@ -87,54 +87,54 @@
 	Status int
 	// Refusal is nil if the answer is an upstream's.
 	Refusal *Refusal
-	// Sends is how often the request was sent, Fence the token of the
+	// Attempts is how often the request was sent, Fence the token of the
 	// ownership it was sent under last, Err why the last send failed.
-	Sends int
-	Fence int64
-	Err   error
-	// Content tells which requests asked the same; empty unless servers' ends
+	Attempts     int
+	FencingToken int64
+	Err          error
+	// Fingerprint tells which requests asked the same; empty unless servers' ends
 	// made it matter.
-	Content crashes.Content
+	Fingerprint crashes.Fingerprint
 	// Version is the desired state's, ViewAge the age of the view used.
 	Version int64
 	ViewAge time.Duration
 	Took    time.Duration
-	// AtUpstream is how long the last send took, Connect how long of that was
+	// UpstreamTime is how long the last send took, Connect how long of that was
 	// spent on a new connection, and Waited how long all waits for a turn
 	// took.
-	AtUpstream, Connect, Waited time.Duration
-	Left                        time.Duration
-	// Crowd is the state of the upstream's limiter, if the request was
+	UpstreamTime, ConnectTime, QueueTime time.Duration
+	TimeLeft                             time.Duration
+	// LimiterState is the state of the upstream's limiter, if the request was
 	// refused for it.
-	Crowd admission.State
+	LimiterState admission.State
 }
 
 // New returns a dispatcher for callers in the data centre home. Requests that
 // ledger refuses are not sent.
-func New(h protocol.Headers, home string, views *view.Holder, client *upstream.Client, board *balance.Board, bud *budget.Budget,
-	ledger *crashes.Ledger, reports *feedback.Tracker, limits *ratelimit.Limiter) *Dispatcher {
+func New(h protocol.Headers, home string, views *view.Publisher, client *upstream.Client, board *balance.Picker, bud *budget.Budget,
+	ledger *crashes.Tracker, reports *feedback.Tracker, limits *ratelimit.Limiter) *Dispatcher {
 	d := &Dispatcher{headers: h, home: home, views: views, client: client, board: board, budget: bud, crashes: ledger, feedback: reports, limits: limits,
-		splits: newSplitter(), unheld: newUnheld(), stop: newStopper(),
-		Ended: func(*End) {}, BrokeOff: func(*Broken) {}}
-	d.SetFleet(1, false)
+		splits: newSplitter(), rejectedGrants: newRejectedGrants(), stop: newStopper(),
+		OnRequestDone: func(*RequestSummary) {}, OnBrokenSend: func(*BrokenSend) {}}
+	d.SetHostCount(1, false)
 	return d
 }
 
 // ServeHTTP implements http.Handler.
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	end := &End{ID: r.Header.Get(d.headers.RequestID), Key: -1}
+	end := &RequestSummary{ID: r.Header.Get(d.headers.RequestID), Key: -1}
 	q, ref := d.read(r, arrived)
 	var res *upstream.Result
 	if ref == nil {
-		d.budget.Request(q.service.Name, arrived)
+		d.budget.RecordRequest(q.service.Name, arrived)
 		ctx, cancel := d.stop.context(r.Context(), q.deadline)
 		res, ref = d.forward(ctx, q, end)
 		cancel()
 		end.describe(q)
 	}
 	v := d.views.Load()
-	end.ViewAge = time.Since(v.At)
+	end.ViewAge = time.Since(v.UpdatedAt)
 	if v.Desired != nil {
 		end.Version = v.Desired.Version
 	}
@@ -146,14 +146,14 @@
 		end.Status = res.Status
 		d.answer(w, res)
 	}
-	d.Ended(end)
+	d.OnRequestDone(end)
 }
 
-func (e *End) describe(q *request) {
+func (e *RequestSummary) describe(q *request) {
 	e.Route, e.Service, e.Key = q.route.Name, q.service.Name, q.key
-	e.Upstream = cmp.Or(e.Upstream, q.lastUp)
-	e.Sends, e.Err, e.Fence = q.sends, q.lastErr, q.lastSeen
-	e.Left, e.Content = time.Until(q.deadline), q.known
+	e.Upstream = cmp.Or(e.Upstream, q.lastUpstream)
+	e.Attempts, e.Err, e.FencingToken = q.attempts, q.lastErr, q.lastFencingToken
+	e.TimeLeft, e.Fingerprint = time.Until(q.deadline), q.cachedFingerprint
 }
 
 // answer passes an upstream's answer on.
@@ -169,23 +169,23 @@
 
 // share is this host's share of an upstream.
 func (d *Dispatcher) share(u *catalogue.Upstream, s *desired.Service) admission.Share {
-	return admission.ShareOf(u.Slots, s.MaxConns, int(d.fleet.Load()))
+	return admission.ShareOf(u.Slots, s.MaxConns, int(d.hostCount.Load()))
 }
 
-// SetFleet tells how many hosts share the upstreams, and whether that is known.
-func (d *Dispatcher) SetFleet(hosts int, known bool) {
-	d.fleet.Store(int64(hosts))
-	d.fleetKnown.Store(known)
+// SetHostCount tells how many hosts share the upstreams, and whether that is known.
+func (d *Dispatcher) SetHostCount(hosts int, known bool) {
+	d.hostCount.Store(int64(hosts))
+	d.hostCountKnown.Store(known)
 	if !known {
 		hosts = 0
 	}
-	d.limits.SetHosts(hosts)
+	d.limits.SetHostCount(hosts)
 }
 
-// patience is how long the request may wait for its turn: what is left of
+// maxQueueWait is how long the request may wait for its turn: what is left of
 // its latency objective less the time the upstream needs.
-func (q *request) patience() time.Duration {
-	budget := time.Duration(waitShare*float64(q.route.Objective)) - time.Since(q.arrived)
+func (q *request) maxQueueWait() time.Duration {
+	budget := time.Duration(waitShare*float64(q.route.LatencyObjective)) - time.Since(q.arrived)
 	return min(max(budget, 0), time.Until(q.deadline))
 }
 
@@ -193,73 +193,73 @@
 // waiting for its turn; the rest is for the work itself.
 const waitShare = 0.5
 
-// crowdedOut ends a request that would have waited too long.
-func (d *Dispatcher) crowdedOut(ctx context.Context, q *request) *Refusal {
+// endNotAdmitted ends a request that would have waited too long.
+func (d *Dispatcher) endNotAdmitted(ctx context.Context, q *request) *Refusal {
 	if ctx.Err() != nil {
-		return d.outOfTime(ctx, q)
+		return d.endContextDone(ctx, q)
 	}
-	return q.endUnsent(CauseFull, q.soon())
+	return q.endUnsent(CauseFull, q.retryAfterFull())
 }
 
-// soon is when to come back to a full upstream: early enough to be served
+// retryAfterFull is when to come back to a full upstream: early enough to be served
 // within the objective still. After 0.3 s a caller with an objective of 0.4 s
 // was late whatever the upstream did.
-func (q *request) soon() time.Duration { return q.route.Objective / 4 }
+func (q *request) retryAfterFull() time.Duration { return q.route.LatencyObjective / 4 }
 
-// mayRepeat reports whether the route allows one more send.
-func (q *request) mayRepeat() bool {
-	return q.up.Stream == nil && q.sends < q.route.MaxAttempts
+// mayRetry reports whether the route allows one more send.
+func (q *request) mayRetry() bool {
+	return q.outbound.Stream == nil && q.attempts < q.route.MaxAttempts
 }
 
-// another reports whether a failed idempotent request has somewhere else to
+// worthRetrying reports whether a failed idempotent request has somewhere else to
 // go. A key has one owner only, so a keyed one goes to the same again.
-func (d *Dispatcher) another(q *request) bool {
+func (d *Dispatcher) worthRetrying(q *request) bool {
 	if !q.route.Idempotent {
 		return false
 	}
-	return time.Until(d.stop.last(q.deadline)) > q.route.Objective/4
+	return time.Until(d.stop.clampDeadline(q.deadline)) > q.route.LatencyObjective/4
 }
 
 // giveUp ends a request that cannot be sent again.
 func (q *request) giveUp() *Refusal {
-	if q.sends == 0 {
-		return q.endUnsent(CauseUnreachable, q.soon())
+	if q.attempts == 0 {
+		return q.endUnsent(CauseUnreachable, q.retryAfterFull())
 	}
-	return q.endUnsent(CauseFull, q.soon())
+	return q.endUnsent(CauseFull, q.retryAfterFull())
 }
 
 // endUnsent ends a request that has nowhere to be sent.
 func (q *request) endUnsent(c Cause, retryAfter time.Duration) *Refusal {
 	if q.mayHaveRun {
-		return failed(CauseBroken, http.StatusBadGateway)
+		return failed(CauseBrokenSend, http.StatusBadGateway)
 	}
 	return notRun(c, spreadOut(retryAfter))
 }
 
-func (q *request) refused(res *upstream.Result) *Refusal {
-	if res.Report.Rest > 0 && q.key >= 0 {
-		return q.closedRefusal(res.Report.Rest, CauseResting)
+func (q *request) rejectedByUpstream(res *upstream.Result) *Refusal {
+	if res.Report.Backoff > 0 && q.key >= 0 {
+		return q.unavailableRefusal(res.Report.Backoff, CauseBackoff)
 	}
 	if res.Misdirected() {
 		return q.endUnsent(CauseMoved, retryMoved)
 	}
-	return q.endUnsent(CauseFull, q.soon())
+	return q.endUnsent(CauseFull, q.retryAfterFull())
 }
 
 func spreadOut(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - spread/2 + spread*rand.Float64()))
 }
 
-// outOfTime ends a request whose context is over.
-func (d *Dispatcher) outOfTime(ctx context.Context, q *request) *Refusal {
-	never, sent := CauseTimeoutNever, CauseTimeout
+// endContextDone ends a request whose context is over.
+func (d *Dispatcher) endContextDone(ctx context.Context, q *request) *Refusal {
+	never, sent := CauseTimeoutUnsent, CauseTimeout
 	if errors.Is(ctx.Err(), context.Canceled) {
-		if !d.stop.over() {
-			return failed(CauseGone, http.StatusBadGateway)
+		if !d.stop.stopped() {
+			return failed(CauseCallerGone, http.StatusBadGateway)
 		}
 		never, sent = CauseStopping, CauseStopping
 	}
-	if q.sends == 0 || !q.mayHaveRun {
+	if q.attempts == 0 || !q.mayHaveRun {
 		return notRun(never, spreadOut(retryLate))
 	}
 	return failed(sent, http.StatusGatewayTimeout)
@@ -268,9 +268,9 @@
 // Prune forgets what no longer matters, and takes in which upstreams have ended.
 func (d *Dispatcher) Prune() {
 	now := time.Now()
-	d.unheld.prune(now)
-	d.limits.Prune(func(id string) bool { return d.feedback.Limit(id) > 0 })
-	for _, e := range d.unsure.settle(d.views.Load().Upstreams, now) {
-		d.crashes.Saw(e)
+	d.rejectedGrants.prune(now)
+	d.limits.Prune(func(id string) bool { return d.feedback.RateLimit(id) > 0 })
+	for _, e := range d.unresolved.resolve(d.views.Load().Upstreams, now) {
+		d.crashes.RecordCrash(e)
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -22,7 +22,7 @@
 // meant for and the time that is left, and its answer comes back unchanged.
 func TestRequestAndAnswerPassUnchanged(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	a := g.post("charge.example", "r1")
 	a.want(t, 200, "answer to r1")
 	if a.header.Get("X-Signature") != "sig" {
@@ -55,9 +55,9 @@
 		return echo(w, c, r, n)
 	}
 	f := startUpstream(t, broken)
-	newRig(t, up("u1", "plain", f)).get("read.example", "r1").want(t, 200, "answer to r1")
+	newHarness(t, newUpstream("u1", "plain", f)).get("read.example", "r1").want(t, 200, "answer to r1")
 	f = startUpstream(t, broken)
-	newRig(t, up("u1", "plain", f)).post("charge.example", "r1").want(t, 502, "")
+	newHarness(t, newUpstream("u1", "plain", f)).post("charge.example", "r1").want(t, 502, "")
 	if n := f.runs.Load(); n != 1 {
 		t.Errorf("the charge was sent %d times", n)
 	}
@@ -70,7 +70,7 @@
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
 	})
-	g := newRig(t, up("u1", "plain", f), up("u2", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f), newUpstream("u2", "plain", f))
 	g.post("charge.example", "r1").want(t, 502, "")
 	if n := f.runs.Load(); n != 1 {
 		t.Errorf("the charge was sent %d times", n)
@@ -81,17 +81,17 @@
 // connection where the next caller's is due. The next caller gets its own.
 func TestExtraAnswerNeverReachesTheNextCaller(t *testing.T) {
 	f := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, n int64) bool {
-		ok := whole(w, r, 200, "answer to "+r.Header.Get("X-Id"))
+		ok := writeResponse(w, r, 200, "answer to "+r.Header.Get("X-Id"))
 		if n == 1 {
 			go func() {
 				time.Sleep(30 * time.Millisecond)
-				whole(w, r, 200, "late answer to "+r.Header.Get("X-Id"))
+				writeResponse(w, r, 200, "late answer to "+r.Header.Get("X-Id"))
 			}()
 			return ok
 		}
 		return ok
 	})
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.post("charge.example", "r1").want(t, 200, "answer to r1")
 	g.post("charge.example", "r2").want(t, 200, "answer to r2")
 	time.Sleep(60 * time.Millisecond)
@@ -105,9 +105,9 @@
 		if n == 2 {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Signature: sig\r\nContent-Length: 4\r\n\r\nlate")
 		}
-		return whole(w, r, 200, "answer to "+r.Header.Get("X-Id"))
+		return writeResponse(w, r, 200, "answer to "+r.Header.Get("X-Id"))
 	})
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.post("charge.example", "r1").want(t, 200, "answer to r1")
 	g.post("charge.example", "r2").want(t, 200, "answer to r2")
 }
@@ -117,12 +117,12 @@
 // time to come back.
 func TestFullUpstreams(t *testing.T) {
 	full := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
-		return whole(w, r, 503, "", "X-Not-Run: 1")
+		return writeResponse(w, r, 503, "", "X-Not-Run: 1")
 	})
 	free := startUpstream(t, echo)
-	g := newRig(t, up("u1", "plain", full), up("u2", "plain", free))
+	g := newHarness(t, newUpstream("u1", "plain", full), newUpstream("u2", "plain", free))
 	g.post("charge.example", "r1").want(t, 200, "answer to r1")
-	g = newRig(t, up("u1", "plain", full), up("u2", "plain", full))
+	g = newHarness(t, newUpstream("u1", "plain", full), newUpstream("u2", "plain", full))
 	start := time.Now()
 	a := g.post("charge.example", "r2")
 	a.want(t, 503, "")
@@ -143,7 +143,7 @@
 	}
 	addr := ln.Addr().String()
 	_ = ln.Close()
-	g := newRig(t, &catalogue.Upstream{ID: "u1", Service: "plain", Addr: addr, Slots: 3})
+	g := newHarness(t, &catalogue.Upstream{ID: "u1", Service: "plain", Addr: addr, Slots: 3})
 	g.post("charge.example", "r1").want(t, 503, "")
 }
 
@@ -156,7 +156,7 @@
 		ended <- time.Now()
 		return false
 	})
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	start := time.Now()
 	g.post("charge.example", "r1").want(t, 504, "")
 	if took := time.Since(start); took < testTimeout || took > testTimeout+200*time.Millisecond {
@@ -177,7 +177,7 @@
 		ended <- time.Now()
 		return false
 	})
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	ctx, leave := context.WithCancel(context.Background())
 	go g.call(ctx, "GET", "read.example", "r1", "")
 	<-f.seen
@@ -197,15 +197,15 @@
 // waits for the ownership to be published and runs at the new owner, once.
 func TestKeyThatMovesIsServedByItsNewOwner(t *testing.T) {
 	old := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
-		return whole(w, r, 421, "", "X-Not-Run: 1")
+		return writeResponse(w, r, 421, "", "X-Not-Run: 1")
 	})
 	fresh := startUpstream(t, echo)
-	g := newRig(t, up("u1", "keyed", old), up("u2", "keyed", fresh))
-	g.own("u1", 1)
+	g := newHarness(t, newUpstream("u1", "keyed", old), newUpstream("u2", "keyed", fresh))
+	g.setOwner("u1", 1)
 	go func() {
 		<-old.seen
 		time.Sleep(50 * time.Millisecond)
-		g.own("u2", 2)
+		g.setOwner("u2", 2)
 	}()
 	g.get("keyed.example", "r1").want(t, 200, "answer to r1")
 	if n := old.runs.Load(); n != 1 {
@@ -217,8 +217,8 @@
 // back, and nothing is sent anywhere.
 func TestKeyWithoutOwnerIsRefusedSoon(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newRig(t, up("u1", "keyed", f))
-	g.own("", 1)
+	g := newHarness(t, newUpstream("u1", "keyed", f))
+	g.setOwner("", 1)
 	start := time.Now()
 	a := g.get("keyed.example", "r1")
 	a.want(t, 503, "")
@@ -233,7 +233,7 @@
 // Before any desired state is known nothing is known to be missing: 503, not
 // 404. Afterwards an unknown host is 404.
 func TestUnknownRoutes(t *testing.T) {
-	g := newRig(t)
+	g := newHarness(t)
 	g.get("nowhere.example", "r1").want(t, 404, "")
 	g.views.Publish(func(v *view.View) { v.Desired = nil })
 	g.get("read.example", "r2").want(t, 503, "")
@@ -261,13 +261,13 @@
 				if err != nil {
 					return
 				}
-				whole(c, r, 413, "too long")
+				writeResponse(c, r, 413, "too long")
 				time.Sleep(200 * time.Millisecond)
 				_, _ = io.Copy(io.Discard, c)
 			}()
 		}
 	}()
-	g := newRig(t, &catalogue.Upstream{ID: "u1", Service: "plain", Addr: ln.Addr().String(), Slots: 3})
+	g := newHarness(t, &catalogue.Upstream{ID: "u1", Service: "plain", Addr: ln.Addr().String(), Slots: 3})
 	long := strings.Repeat("x", 8<<20)
 	g.call(context.Background(), "POST", "charge.example", "r1", long).want(t, 413, "too long")
 	g.post("charge.example", "r2").want(t, 413, "too long")
@@ -280,9 +280,9 @@
 // moment before the request's own. The caller is told that time ran out, 504,
 // not that the upstream broke off.
 func TestConnectionsDeadlineIsTheRequests(t *testing.T) {
-	g := newRig(t)
-	q := &request{route: &desired.Route{MaxAttempts: 2}, up: &upstream.Request{}, deadline: time.Now(), sends: 1, mayHaveRun: true, key: -1}
-	res := &upstream.Result{Outcome: upstream.Unknown, Err: fmt.Errorf("answer: %w", os.ErrDeadlineExceeded)}
+	g := newHarness(t)
+	q := &request{route: &desired.Route{MaxAttempts: 2}, outbound: &upstream.Request{}, deadline: time.Now(), attempts: 1, mayHaveRun: true, key: -1}
+	res := &upstream.Result{Outcome: upstream.OutcomeUnknown, Err: fmt.Errorf("answer: %w", os.ErrDeadlineExceeded)}
 	again, ref := g.d.after(context.Background(), q, res)
 	if again || ref == nil || ref.Cause != CauseTimeout || ref.Status != http.StatusGatewayTimeout {
 		t.Errorf("again %v, refusal %+v", again, ref)
--- a/internal/dispatch/evacuated_test.go
+++ b/internal/dispatch/evacuated_test.go
@@ -11,11 +11,11 @@
 // of a service without keys are not sent there at all, also if nothing else is left.
 func TestEvacuatedUpstreamServesItsKeysForAWhile(t *testing.T) {
 	f := startUpstream(t, echo)
-	owner, plain := up("u1", "keyed", f), up("u2", "plain", f)
+	owner, plain := newUpstream("u1", "keyed", f), newUpstream("u2", "plain", f)
 	owner.LeaveBy = time.Now().Add(time.Second)
 	plain.LeaveBy = owner.LeaveBy
-	g := newRig(t, owner, plain)
-	g.own("u1", 1)
+	g := newHarness(t, owner, plain)
+	g.setOwner("u1", 1)
 	g.get("keyed.example", "r1").want(t, http.StatusOK, "")
 	g.get("read.example", "r2").want(t, http.StatusServiceUnavailable, "")
 	time.Sleep(time.Until(owner.LeaveBy))
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -14,22 +14,22 @@
 
 // forward sends the request until it is answered or must end. A failure that an
 // upstream has answered is the caller's answer if no better one came.
-func (d *Dispatcher) forward(ctx context.Context, q *request, end *End) (*upstream.Result, *Refusal) {
+func (d *Dispatcher) forward(ctx context.Context, q *request, end *RequestSummary) (*upstream.Result, *Refusal) {
 	res, ref := d.exchange(ctx, q, end)
-	if ref != nil && q.answered != nil {
-		return q.answered, nil
+	if ref != nil && q.lastResponse != nil {
+		return q.lastResponse, nil
 	}
 	return res, ref
 }
 
 // exchange sends the request until it is answered or must end.
-func (d *Dispatcher) exchange(ctx context.Context, q *request, end *End) (*upstream.Result, *Refusal) {
+func (d *Dispatcher) exchange(ctx context.Context, q *request, end *RequestSummary) (*upstream.Result, *Refusal) {
 	for {
 		if ctx.Err() != nil {
-			return nil, d.outOfTime(ctx, q)
+			return nil, d.endContextDone(ctx, q)
 		}
-		if left := d.fatal(q); left > 0 {
-			return nil, q.endUnsent(CauseFatal, left)
+		if left := d.refusedFor(q); left > 0 {
+			return nil, q.endUnsent(CauseCrashes, left)
 		}
 		u, ref := d.choose(ctx, q)
 		if ref != nil {
@@ -37,21 +37,21 @@
 		}
 		limiter := d.board.Limiter(u.ID)
 		asked := time.Now()
-		ticket := limiter.Acquire(ctx, q.patience(), d.share(u, q.service))
-		end.Waited += time.Since(asked)
+		ticket := limiter.Acquire(ctx, q.maxQueueWait(), d.share(u, q.service))
+		end.QueueTime += time.Since(asked)
 		if ticket == nil {
-			end.Upstream, end.Crowd = u.ID, limiter.State()
-			return nil, d.crowdedOut(ctx, q)
+			end.Upstream, end.LimiterState = u.ID, limiter.State()
+			return nil, d.endNotAdmitted(ctx, q)
 		}
 		if ok, ref := d.maySend(ctx, q, u); !ok {
-			ticket.Done(admission.NoSign, 0)
+			ticket.Done(admission.NoSignal, 0)
 			if ref != nil {
 				return nil, ref
 			}
 			continue
 		}
 		res, took := d.send(ctx, q, u, ticket)
-		end.AtUpstream, end.Connect = took, res.Connect
+		end.UpstreamTime, end.ConnectTime = took, res.ConnectTime
 		again, ref := d.after(ctx, q, res)
 		if !again {
 			return res, ref
@@ -64,21 +64,21 @@
 // be chosen if there is no refusal.
 func (d *Dispatcher) maySend(ctx context.Context, q *request, u *catalogue.Upstream) (ok bool, ref *Refusal) {
 	if q.abandoned() {
-		return false, failed(CauseGone, http.StatusBadGateway)
+		return false, failed(CauseCallerGone, http.StatusBadGateway)
 	}
-	if d.overtaken(q, u) || d.fatal(q) > 0 {
+	if d.overtaken(q, u) || d.refusedFor(q) > 0 {
 		return false, nil
 	}
-	if now := time.Now(); !d.board.ColdTake(u, d.slowStart(q.service), now) {
+	if now := time.Now(); !d.board.TakeSlowStartPermit(u, d.slowStart(q.service), now) {
 		return false, q.ifKeyed(q.coldRefusal(u, now))
 	}
-	if ok, wait, cause := d.take(ctx, u.ID); !ok {
-		return false, q.ifKeyed(q.closedRefusal(wait, cause))
+	if ok, wait, cause := d.takePermit(ctx, u.ID); !ok {
+		return false, q.ifKeyed(q.unavailableRefusal(wait, cause))
 	}
-	if ok, wait := d.takeSuspect(ctx, q); !ok {
-		return false, q.endUnsent(CauseSuspect, max(wait, q.soon()))
+	if ok, wait := d.allowSuspect(ctx, q); !ok {
+		return false, q.endUnsent(CauseSuspect, max(wait, q.retryAfterFull()))
 	}
-	if q.sends > 0 && !d.budget.Repeat(q.service.Name, q.urgent, time.Now()) {
+	if q.attempts > 0 && !d.budget.AllowRetry(q.service.Name, q.urgent, time.Now()) {
 		return false, q.giveUp()
 	}
 	return true, nil
@@ -100,10 +100,10 @@
 	v := d.views.Load()
 	if q.key >= 0 {
 		owner, fence := v.Owner(q.service.Name, q.key)
-		return owner == nil || owner.ID != u.ID || fence != q.lastSeen || !mayOwn(owner, time.Now())
+		return owner == nil || owner.ID != u.ID || fence != q.lastFencingToken || !servesOwnedKeys(owner, time.Now())
 	}
 	now := v.Upstreams.ByID[u.ID]
-	return now == nil || now.Retiring()
+	return now == nil || now.Draining()
 }
 
 // after decides what follows a send: another one, the answer (neither), or
@@ -111,10 +111,10 @@
 func (d *Dispatcher) after(ctx context.Context, q *request, res *upstream.Result) (again bool, ref *Refusal) {
 	switch res.Outcome {
 	case upstream.Answered:
-		return res.Status >= http.StatusInternalServerError && q.mayRepeat() && d.another(q), nil
+		return res.Status >= http.StatusInternalServerError && q.mayRetry() && d.worthRetrying(q), nil
 	case upstream.NotSent:
-		q.unsent++
-		if q.unsent >= maxUnsent || q.key >= 0 {
+		q.unsentAttempts++
+		if q.unsentAttempts >= maxUnsentAttempts || q.key >= 0 {
 			return false, q.giveUp()
 		}
 		return true, nil
@@ -123,10 +123,10 @@
 	}
 	// The connection's deadline is the context's, and may be noticed first.
 	if ctx.Err() != nil || errors.Is(res.Err, os.ErrDeadlineExceeded) {
-		return false, d.outOfTime(ctx, q)
+		return false, d.endContextDone(ctx, q)
 	}
-	if !q.mayRepeat() || !d.another(q) {
-		return false, failed(CauseBroken, http.StatusBadGateway)
+	if !q.mayRetry() || !d.worthRetrying(q) {
+		return false, failed(CauseBrokenSend, http.StatusBadGateway)
 	}
 	return true, nil
 }
@@ -135,10 +135,10 @@
 func (d *Dispatcher) afterNotRun(ctx context.Context, q *request, res *upstream.Result) (again bool, ref *Refusal) {
 	keyed := q.key >= 0
 	if keyed && res.Misdirected() {
-		d.unheld.note(q.service.Name, q.lastSeen, q.lastUp, time.Now())
+		d.rejectedGrants.record(q.service.Name, q.lastFencingToken, q.lastUpstream, time.Now())
 	}
-	if !q.mayRepeat() {
-		return false, q.refused(res)
+	if !q.mayRetry() {
+		return false, q.rejectedByUpstream(res)
 	}
 	if !keyed {
 		return true, nil
@@ -146,8 +146,8 @@
 	if !res.Misdirected() {
 		// The key has no other owner, and one that is full now is full in a
 		// few milliseconds too.
-		return false, q.refused(res)
+		return false, q.rejectedByUpstream(res)
 	}
-	ref = d.waitForMove(ctx, q)
+	ref = d.waitForOwnerChange(ctx, q)
 	return ref == nil, ref
 }
--- a/internal/dispatch/fuzz_test.go
+++ b/internal/dispatch/fuzz_test.go
@@ -19,8 +19,8 @@
 	f.Add("GET", "keyed.example", "/a", "77", "500", "Close, X-Id", []byte("body"))
 	f.Add("POST", "charge.example:80", "/%2f//..", "-1", "99999999999999999999", ",", []byte{})
 	f.Add("GET", "", "*", "65536", "x", "Connection", []byte{0})
-	d := New(names, "dc1", view.NewHolder(), nil, nil, nil, nil, nil, ratelimit.NewLimiter(ratelimit.Bounds{}, nil))
-	route := &desired.Route{Name: "r", Host: "keyed.example", Prefix: "/", Timeout: testTimeout, Objective: testObjective, MaxAttempts: 1,
+	d := New(testHeaders, "dc1", view.NewPublisher(), nil, nil, nil, nil, nil, ratelimit.NewLimiter(ratelimit.Bounds{}, nil))
+	route := &desired.Route{Name: "r", Host: "keyed.example", Prefix: "/", Timeout: testTimeout, LatencyObjective: testObjective, MaxAttempts: 1,
 		Shares: []desired.Share{{Service: "keyed", Weight: 1}}}
 	d.views.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, []*desired.Route{route}, map[string]*desired.Service{"keyed": {Name: "keyed", Keyed: true}}, desired.Limits{})
@@ -36,10 +36,10 @@
 		r.Header.Set("Connection", connection)
 		q, ref := d.read(r, testArrival)
 		if ref != nil {
-			ref.write(httptest.NewRecorder(), names.RequestID, "id")
+			ref.write(httptest.NewRecorder(), testHeaders.RequestID, "id")
 			return
 		}
-		if q.key < 0 || q.key >= ownership.Keys || q.route != route || q.deadline.After(testArrival.Add(testTimeout)) {
+		if q.key < 0 || q.key >= ownership.KeySpaceSize || q.route != route || q.deadline.After(testArrival.Add(testTimeout)) {
 			t.Errorf("read as %+v", q)
 		}
 	})
--- a/internal/dispatch/gone_test.go
+++ b/internal/dispatch/gone_test.go
@@ -26,7 +26,7 @@
 // upstream, which would work for nobody, for a second and more.
 func TestRequestsOfCallersThatHaveLeftAreNotSent(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.get("read.example", "warm").want(t, http.StatusOK, "") // a kept connection
 	const callers = 60
 	resume := make(chan struct{})
@@ -48,7 +48,7 @@
 	close(resume)
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		g.mu.Lock()
-		ended := len(g.ends)
+		ended := len(g.summaries)
 		g.mu.Unlock()
 		if ended >= callers+1 || time.Now().After(end) {
 			break
--- a/internal/dispatch/ready_test.go
+++ b/internal/dispatch/ready_test.go
@@ -21,11 +21,11 @@
 		{"the repeat budget is spent", nil, budget.Limits{Window: 10 * time.Second}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			failing := startUpstream(t, says(http.StatusInternalServerError, c.headers...))
-			g := newRig(t, up("u1", "plain", failing), up("k1", "keyed", failing))
-			g.own("k1", 1)
+			failing := startUpstream(t, respondWith(http.StatusInternalServerError, c.headers...))
+			g := newHarness(t, newUpstream("u1", "plain", failing), newUpstream("k1", "keyed", failing))
+			g.setOwner("k1", 1)
 			g.d.budget.SetLimits(c.limits)
-			g.d.limits = ratelimit.NewLimiter(ratelimit.Bounds{}, noLeave)
+			g.d.limits = ratelimit.NewLimiter(ratelimit.Bounds{}, permitNone)
 			for _, host := range []string{"read.example", "keyed.example"} {
 				a := g.get(host, "r-"+host)
 				a.want(t, http.StatusInternalServerError, "said")
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -19,12 +19,12 @@
 
 // keptBody is the largest request body kept in memory, so that the request
 // can be sent to a second upstream; larger ones are streamed and sent once.
-const keptBody = 256 << 10
+const maxBufferedBody = 256 << 10
 
 // request is one caller's request on its way.
 type request struct {
-	up    *upstream.Request
-	route *desired.Route
+	outbound *upstream.Request
+	route    *desired.Route
 	// service is the part of the route's traffic it belongs to.
 	service *desired.Service
 	// urgent is set if no route to the service ranks higher.
@@ -39,31 +39,31 @@
 	arrived  time.Time
 	deadline time.Time
 	// Progress.
-	sends, unsent int
+	attempts, unsentAttempts int
 	// mayHaveRun is set once a send ended without word that it did not run.
 	mayHaveRun bool
-	// answered is the last answer of an upstream that ran the request, a failure
+	// lastResponse is the last answer of an upstream that ran the request, a failure
 	// if the request is still on its way.
-	answered *upstream.Result
-	tried    []string
-	lastUp   string
-	lastErr  error
-	lastSeen int64
-	waited   time.Duration
-	// trial is set if the request's next send shows whether its content, which is
+	lastResponse     *upstream.Result
+	attempted        []string
+	lastUpstream     string
+	lastErr          error
+	lastFencingToken int64
+	waited           time.Duration
+	// probe is set if the request's next send shows whether its content, which is
 	// refused, still ends servers.
-	trial bool
-	// known is the content once it was asked for.
-	known crashes.Content
+	probe bool
+	// cachedFingerprint is the content once it was asked for.
+	cachedFingerprint crashes.Fingerprint
 }
 
-// content identifies what the request asks. It is worked out when it is first
+// fingerprint identifies what the request asks. It is worked out when it is first
 // needed, as nearly all requests end without.
-func (q *request) content() crashes.Content {
-	if q.known == "" {
-		q.known = crashes.Ask{Method: q.up.Method, Host: q.up.Host, URI: q.up.URI, Key: q.key, Body: q.head}.Content()
+func (q *request) fingerprint() crashes.Fingerprint {
+	if q.cachedFingerprint == "" {
+		q.cachedFingerprint = crashes.Request{Method: q.outbound.Method, Host: q.outbound.Host, URI: q.outbound.URI, Key: q.key, Body: q.head}.Fingerprint()
 	}
-	return q.known
+	return q.cachedFingerprint
 }
 
 // callerKey is the context's key of the connection that a request came on.
@@ -80,7 +80,7 @@
 // the end of their connections is read on another goroutine, which may come
 // second, and upstreams worked for nobody.
 func (q *request) abandoned() bool {
-	return q.caller != nil && peek.At(q.caller) == peek.Ended
+	return q.caller != nil && peek.Conn(q.caller) == peek.Closed
 }
 
 // read finds the request's route and reads its body. It returns a refusal
@@ -102,17 +102,17 @@
 			q.deadline = own
 		}
 	}
-	q.deadline = d.stop.last(q.deadline)
+	q.deadline = d.stop.clampDeadline(q.deadline)
 	q.service = st.Services[d.splits.pick(route)]
-	q.urgent = route.Priority <= st.MostUrgent(q.service.Name)
+	q.urgent = route.Priority <= st.HighestPriority(q.service.Name)
 	if q.service.Keyed {
 		key, err := strconv.Atoi(r.Header.Get(d.headers.Key))
-		if err != nil || key < 0 || key >= ownership.Keys {
+		if err != nil || key < 0 || key >= ownership.KeySpaceSize {
 			return nil, failed(CauseBadKey, http.StatusBadRequest)
 		}
 		q.key = key
 	}
-	q.up = &upstream.Request{ID: r.Header.Get(d.headers.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host,
+	q.outbound = &upstream.Request{ID: r.Header.Get(d.headers.RequestID), Method: r.Method, URI: r.RequestURI, Host: r.Host,
 		Header: endToEnd(r.Header)}
 	if err := q.readBody(r); err != nil {
 		return nil, failed(CauseBadRequest, http.StatusBadRequest)
@@ -126,11 +126,11 @@
 
 // readBody keeps a body of up to keptBody bytes and streams a larger one.
 func (q *request) readBody(r *http.Request) error {
-	up := q.up
+	up := q.outbound
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
 	}
-	if r.ContentLength > keptBody {
+	if r.ContentLength > maxBufferedBody {
 		q.head = make([]byte, headBytes)
 		if _, err := io.ReadFull(r.Body, q.head); err != nil {
 			return err
@@ -138,7 +138,7 @@
 		up.Stream, up.Length = io.MultiReader(bytes.NewReader(q.head), r.Body), r.ContentLength
 		return nil
 	}
-	head, err := io.ReadAll(io.LimitReader(r.Body, keptBody))
+	head, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody))
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/return_test.go
+++ b/internal/dispatch/return_test.go
@@ -14,10 +14,10 @@
 // back before a lost owner's lease can have run out.
 func TestCallersAreToldWhenToComeBack(t *testing.T) {
 	full := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
-		return whole(w, r, 503, "", "X-Not-Run: 1")
+		return writeResponse(w, r, 503, "", "X-Not-Run: 1")
 	})
-	g := newRig(t, up("u1", "plain", full))
-	told := func(a answer) time.Duration {
+	g := newHarness(t, newUpstream("u1", "plain", full))
+	told := func(a response) time.Duration {
 		t.Helper()
 		a.want(t, http.StatusServiceUnavailable, "")
 		secs, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/rig_test.go
@@ -27,7 +27,7 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-var names = protocol.Headers{RequestID: "X-Id", TimeoutMs: "X-Timeout-Ms", Signature: "X-Signature", ExpectedUpstream: "X-Expect",
+var testHeaders = protocol.Headers{RequestID: "X-Id", TimeoutMs: "X-Timeout-Ms", Signature: "X-Signature", ExpectedUpstream: "X-Expect",
 	NotRun: "X-Not-Run", Key: "X-Key", RateLimit: "X-Limit", Leaving: "X-Leaving"}
 
 // fakeUpstream speaks HTTP by hand, so that it can misbehave. answer gets
@@ -81,8 +81,8 @@
 
 func (f *fakeUpstream) addr() string { return f.ln.Addr().String() }
 
-// whole writes a complete answer to r.
-func whole(w io.Writer, r *http.Request, status int, body string, extra ...string) bool {
+// writeResponse writes a complete answer to r.
+func writeResponse(w io.Writer, r *http.Request, status int, body string, extra ...string) bool {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\nX-Signature: sig\r\nContent-Length: %d\r\n", status, r.Header.Get("X-Id"), len(body))
 	for _, e := range extra {
 		head += e + "\r\n"
@@ -92,16 +92,16 @@
 }
 
 func echo(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
-	return whole(w, r, 200, "answer to "+r.Header.Get("X-Id"))
+	return writeResponse(w, r, 200, "answer to "+r.Header.Get("X-Id"))
 }
 
-// rig is a dispatcher with its front server.
-type rig struct {
-	d     *Dispatcher
-	views *view.Holder
-	front *httptest.Server
-	mu    sync.Mutex
-	ends  []*End
+// harness is a dispatcher with its front server.
+type harness struct {
+	d         *Dispatcher
+	views     *view.Publisher
+	front     *httptest.Server
+	mu        sync.Mutex
+	summaries []*RequestSummary
 }
 
 const (
@@ -109,41 +109,41 @@
 	testObjective = 400 * time.Millisecond
 )
 
-// anyLeave is an allocator that gives whatever leave is asked for.
-func anyLeave(_ context.Context, _ string, _ float64, want int) (ratelimit.Grant, error) {
-	return ratelimit.Grant{Requests: want}, nil
+// permitAll is an allocator that gives whatever leave is asked for.
+func permitAll(_ context.Context, _ string, _ float64, want int) (ratelimit.Permit, error) {
+	return ratelimit.Permit{Requests: want}, nil
 }
 
-// noLeave is an allocator that never gives leave.
-func noLeave(context.Context, string, float64, int) (ratelimit.Grant, error) {
-	return ratelimit.Grant{Wait: time.Second}, nil
+// permitNone is an allocator that never gives leave.
+func permitNone(context.Context, string, float64, int) (ratelimit.Permit, error) {
+	return ratelimit.Permit{Wait: time.Second}, nil
 }
 
-func newRig(t *testing.T, ups ...*catalogue.Upstream) *rig {
+func newHarness(t *testing.T, ups ...*catalogue.Upstream) *harness {
 	t.Helper()
-	g := &rig{views: view.NewHolder()}
+	g := &harness{views: view.NewPublisher()}
 	bud := budget.New(budget.Limits{Ratio: 1, Slack: 100, Window: 10 * time.Second}, time.Now().Add(-time.Minute))
-	g.d = New(names, "dc1", g.views, upstream.NewClient(names), balance.NewBoard("h"), bud, crashes.NewLedger(nil), feedback.NewTracker(),
-		ratelimit.NewLimiter(ratelimit.Bounds{}, anyLeave))
-	g.d.Ended = func(e *End) {
+	g.d = New(testHeaders, "dc1", g.views, upstream.NewClient(testHeaders), balance.NewPicker("h"), bud, crashes.NewTracker(nil), feedback.NewTracker(),
+		ratelimit.NewLimiter(ratelimit.Bounds{}, permitAll))
+	g.d.OnRequestDone = func(e *RequestSummary) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.ends = append(g.ends, e)
+		g.summaries = append(g.summaries, e)
 	}
 	route := func(host string, idempotent bool, service string) *desired.Route {
-		return &desired.Route{Name: host, Host: host, Prefix: "/", Idempotent: idempotent, Timeout: testTimeout, Objective: testObjective,
+		return &desired.Route{Name: host, Host: host, Prefix: "/", Idempotent: idempotent, Timeout: testTimeout, LatencyObjective: testObjective,
 			MaxAttempts: 2, Shares: []desired.Share{{Service: service, Weight: 1}}}
 	}
 	routes := []*desired.Route{route("read.example", true, "plain"), route("charge.example", false, "plain"), route("keyed.example", true, "keyed")}
 	services := map[string]*desired.Service{"plain": {Name: "plain"}, "keyed": {Name: "keyed", Keyed: true}}
 	g.views.Publish(func(v *view.View) { v.Desired = desired.New(7, routes, services, desired.Limits{}) })
-	g.list(ups...)
+	g.setUpstreams(ups...)
 	g.front = httptest.NewServer(g.d)
 	t.Cleanup(g.front.Close)
 	return g
 }
 
-func (g *rig) list(ups ...*catalogue.Upstream) {
+func (g *harness) setUpstreams(ups ...*catalogue.Upstream) {
 	all := map[string]*catalogue.Upstream{}
 	for _, u := range ups {
 		all[u.ID] = u
@@ -151,31 +151,31 @@
 	g.views.Publish(func(v *view.View) { v.Upstreams = catalogue.NewSnapshot(all) })
 }
 
-// own gives all keys to the upstream.
-func (g *rig) own(id string, fence int64) {
-	t := &ownership.Table{Service: "keyed", Fence: fence, Ranges: []ownership.Range{{From: 0, To: ownership.Keys - 1, Owner: id, Fence: fence}}}
+// setOwner gives all keys to the upstream.
+func (g *harness) setOwner(id string, fence int64) {
+	t := &ownership.Table{Service: "keyed", MaxFencingToken: fence, Ranges: []ownership.Range{{From: 0, To: ownership.KeySpaceSize - 1, Owner: id, FencingToken: fence}}}
 	g.views.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{"keyed": t} })
 }
 
-func up(id, service string, f *fakeUpstream) *catalogue.Upstream {
+func newUpstream(id, service string, f *fakeUpstream) *catalogue.Upstream {
 	return &catalogue.Upstream{ID: id, Service: service, Addr: f.addr(), DataCentre: "dc1", Slots: 3}
 }
 
-type answer struct {
+type response struct {
 	status int
 	body   string
 	header http.Header
 	err    error
 }
 
-func (g *rig) call(ctx context.Context, method, host, id, body string) answer {
+func (g *harness) call(ctx context.Context, method, host, id, body string) response {
 	return g.callBody(ctx, method, host, id, strings.NewReader(body))
 }
 
-func (g *rig) callBody(ctx context.Context, method, host, id string, body io.Reader) answer {
+func (g *harness) callBody(ctx context.Context, method, host, id string, body io.Reader) response {
 	req, err := http.NewRequestWithContext(ctx, method, g.front.URL+"/a//b?q=%2f", body)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	req.Host = host
 	req.Header.Set("X-Id", id)
@@ -183,20 +183,22 @@
 	req.Header.Set("X-Timeout-Ms", "5000")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, string(data), resp.Header, err}
+	return response{resp.StatusCode, string(data), resp.Header, err}
 }
 
-func (g *rig) get(host, id string) answer { return g.call(context.Background(), "GET", host, id, "") }
+func (g *harness) get(host, id string) response {
+	return g.call(context.Background(), "GET", host, id, "")
+}
 
-func (g *rig) post(host, id string) answer {
+func (g *harness) post(host, id string) response {
 	return g.call(context.Background(), "POST", host, id, "body of "+id)
 }
 
-func (a answer) want(t *testing.T, status int, body string) {
+func (a response) want(t *testing.T, status int, body string) {
 	t.Helper()
 	if a.err != nil || a.status != status || (body != "" && a.body != body) {
 		t.Fatalf("got %d %q, error %v; want %d %q", a.status, a.body, a.err, status, body)
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -16,34 +16,34 @@
 // send makes one send and accounts for it.
 func (d *Dispatcher) send(ctx context.Context, q *request, u *catalogue.Upstream, ticket *admission.Ticket) (*upstream.Result, time.Duration) {
 	start := time.Now()
-	res := d.client.Do(ctx, upstream.Target{ID: u.ID, Addr: u.Addr}, q.up)
+	res := d.client.Do(ctx, upstream.Target{ID: u.ID, Addr: u.Addr}, q.outbound)
 	took := time.Since(start)
 	judged := judge(ctx, res)
 	now := time.Now()
 	if d.board.Done(u.ID, judged, took, now) {
-		d.feedback.NoteEnded(u.ID, now)
+		d.feedback.RecordCrash(u.ID, now)
 	}
 	if res.Status != 0 && !res.Misdirected() {
 		d.feedback.Record(u.ID, res.Report, start, now)
 	}
-	ticket.Done(verdict(judged, took, q.route.Objective), took)
-	q.lastUp, q.lastErr = u.ID, res.Err
-	q.trial = false
-	q.tried = append(q.tried, u.ID)
+	ticket.Done(verdict(judged, took, q.route.LatencyObjective), took)
+	q.lastUpstream, q.lastErr = u.ID, res.Err
+	q.probe = false
+	q.attempted = append(q.attempted, u.ID)
 	if res.Outcome != upstream.NotSent {
-		q.sends++
+		q.attempts++
 	}
-	if res.Outcome == upstream.Unknown || res.Outcome == upstream.Answered {
+	if res.Outcome == upstream.OutcomeUnknown || res.Outcome == upstream.Answered {
 		q.mayHaveRun = true
 	}
 	if res.Outcome == upstream.Answered {
-		q.answered = res
+		q.lastResponse = res
 	}
-	if brokeOff(ctx, res) {
-		d.noteBroken(ctx, q, u, took)
+	if isBrokenSend(ctx, res) {
+		d.recordBrokenSend(ctx, q, u, took)
 	}
 	if res.Outcome == upstream.Answered && res.Status < http.StatusInternalServerError {
-		d.noteSurvived(q)
+		d.recordSurvival(q)
 	}
 	return res, took
 }
@@ -52,18 +52,18 @@
 func judge(ctx context.Context, res *upstream.Result) balance.Outcome {
 	switch {
 	case ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled):
-		return balance.Abandoned
+		return balance.Inconclusive
 	case res.Outcome == upstream.Answered && res.Status < http.StatusInternalServerError:
 		return balance.Served
 	case res.Outcome == upstream.NotRun && res.Misdirected():
-		return balance.Abandoned
-	case res.TurnedAway:
-		return balance.TurnedAway
+		return balance.Inconclusive
+	case res.ConnRejected:
+		return balance.ConnRejected
 	case res.Outcome == upstream.NotRun:
-		return balance.Full
+		return balance.Overloaded
 	case res.Outcome == upstream.NotSent && errors.Is(res.Err, syscall.ECONNREFUSED):
-		return balance.Ended
-	case brokeOff(ctx, res):
+		return balance.Crashed
+	case isBrokenSend(ctx, res):
 		return balance.Broken
 	}
 	return balance.Failed
@@ -74,15 +74,15 @@
 const lateShare = 0.8
 
 // verdict says what a send's end shows of its upstream's load.
-func verdict(o balance.Outcome, took, objective time.Duration) admission.Verdict {
+func verdict(o balance.Outcome, took, objective time.Duration) admission.Signal {
 	late := took > time.Duration(lateShare*float64(objective))
 	switch {
 	case o == balance.Served && late:
 		return admission.Late
 	case o == balance.Served:
 		return admission.InTime
-	case o == balance.Full || o == balance.TurnedAway:
+	case o == balance.Overloaded || o == balance.ConnRejected:
 		return admission.Full
 	}
-	return admission.NoSign
+	return admission.NoSignal
 }
--- a/internal/dispatch/stop.go
+++ b/internal/dispatch/stop.go
@@ -32,8 +32,8 @@
 	time.AfterFunc(time.Until(at), d.stop.end)
 }
 
-// last returns the earlier of the deadline and the host's end.
-func (s *stopper) last(deadline time.Time) time.Time {
+// clampDeadline returns the earlier of the deadline and the host's end.
+func (s *stopper) clampDeadline(deadline time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.at.IsZero() && s.at.Before(deadline) {
@@ -53,5 +53,5 @@
 	}
 }
 
-// over reports whether the host's requests have been ended.
-func (s *stopper) over() bool { return s.ended.Err() != nil }
+// stopped reports whether the host's requests have been ended.
+func (s *stopper) stopped() bool { return s.ended.Err() != nil }
--- a/internal/dispatch/stop_test.go
+++ b/internal/dispatch/stop_test.go
@@ -17,21 +17,21 @@
 		_, _ = io.Copy(io.Discard, c)
 		return false
 	})
-	g := newRig(t, up("u1", "plain", silent))
-	g.oneAtATime()
+	g := newHarness(t, newUpstream("u1", "plain", silent))
+	g.limitToOneInFlight()
 	type ended struct {
-		answer
+		response
 		at time.Time
 	}
-	ask := func(f func() answer) <-chan ended {
+	ask := func(f func() response) <-chan ended {
 		out := make(chan ended, 1)
 		go func() { a := f(); out <- ended{a, time.Now()} }()
 		return out
 	}
-	sent := ask(func() answer { return g.post("charge.example", "r1") })
+	sent := ask(func() response { return g.post("charge.example", "r1") })
 	<-silent.seen
-	waits := ask(func() answer { return g.post("charge.example", "r2") })
-	ownerless := ask(func() answer { return g.get("keyed.example", "r3") })
+	waits := ask(func() response { return g.post("charge.example", "r2") })
+	ownerless := ask(func() response { return g.get("keyed.example", "r3") })
 	time.Sleep(testObjective / 20)
 	stop := time.Now().Add(testObjective / 4)
 	g.d.StopBy(stop)
@@ -53,7 +53,7 @@
 // left, and told to the upstream as its own.
 func TestStoppingHostTellsUpstreamsItsEnd(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.d.StopBy(time.Now().Add(testTimeout / 2))
 	g.get("read.example", "r1").want(t, 200, "")
 	r := <-f.seen
--- a/internal/dispatch/turned_away_test.go
+++ b/internal/dispatch/turned_away_test.go
@@ -56,15 +56,15 @@
 // full upstream's backlog is. The upstream counted as gone after three of them.
 func TestUpstreamThatResetsConnectionsAsTheyOpenIsFull(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newRig(t, up("u1", "keyed", f))
-	g.own("u1", 1)
+	g := newHarness(t, newUpstream("u1", "keyed", f))
+	g.setOwner("u1", 1)
 	g.d.client.Dial = func(context.Context, string, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
 	}
 	for range 4 {
 		g.post("keyed.example", "r1").want(t, http.StatusServiceUnavailable, "")
 	}
-	if g.d.board.Out("u1", time.Now()) {
+	if g.d.board.IsEjected("u1", time.Now()) {
 		t.Error("the upstream counts as gone")
 	}
 }
@@ -76,9 +76,9 @@
 // full, not gone: it is not left alone for seconds.
 func TestRequestOnAConnectionThatIsResetAtOnceHasNotRun(t *testing.T) {
 	f, resets := resetting(t, 0)
-	g := newRig(t, up("u1", "keyed", f), up("u2", "plain", f))
+	g := newHarness(t, newUpstream("u1", "keyed", f), newUpstream("u2", "plain", f))
 	g.d.client.Dial = dialUntilReset(resets)
-	g.own("u1", 1)
+	g.setOwner("u1", 1)
 	for _, host := range []string{"keyed.example", "charge.example"} {
 		for range 3 {
 			a := g.post(host, "r1")
@@ -88,7 +88,7 @@
 			}
 		}
 	}
-	if g.d.board.Out("u1", time.Now()) {
+	if g.d.board.IsEjected("u1", time.Now()) {
 		t.Error("the upstream counts as gone")
 	}
 }
@@ -100,20 +100,20 @@
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
 	})
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.post("charge.example", "r1").want(t, http.StatusBadGateway, "")
 	if n := f.runs.Load(); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
 	f, _ = resetting(t, 20*time.Millisecond)
-	g = newRig(t, up("u1", "plain", f))
+	g = newHarness(t, newUpstream("u1", "plain", f))
 	g.post("charge.example", "r2").want(t, http.StatusBadGateway, "")
 }
 
 // A connection that opens and stays quiet is used.
 func TestNewConnectionIsWatchedBriefly(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newRig(t, up("u1", "plain", f))
+	g := newHarness(t, newUpstream("u1", "plain", f))
 	start := time.Now()
 	g.post("charge.example", "r1").want(t, http.StatusOK, "")
 	if took := time.Since(start); took > testObjective/4 {
--- a/internal/dispatch/unheld.go
+++ b/internal/dispatch/unheld.go
@@ -16,28 +16,28 @@
 	fence             int64
 }
 
-// unheld remembers which grants upstreams lately said they do not hold.
-type unheld struct {
+// rejectedGrants remembers which grants upstreams lately said they do not hold.
+type rejectedGrants struct {
 	mu sync.Mutex
 	at map[grantKey]time.Time
 }
 
-func newUnheld() *unheld { return &unheld{at: map[grantKey]time.Time{}} }
+func newRejectedGrants() *rejectedGrants { return &rejectedGrants{at: map[grantKey]time.Time{}} }
 
-func (h *unheld) note(service string, fence int64, upstream string, now time.Time) {
+func (h *rejectedGrants) record(service string, fence int64, upstream string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.at[grantKey{service, upstream, fence}] = now
 }
 
-func (h *unheld) recent(service string, fence int64, upstream string, now time.Time) bool {
+func (h *rejectedGrants) recent(service string, fence int64, upstream string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	at, ok := h.at[grantKey{service, upstream, fence}]
 	return ok && now.Sub(at) < unheldFor
 }
 
-func (h *unheld) prune(now time.Time) {
+func (h *rejectedGrants) prune(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for k, at := range h.at {
--- a/internal/dispatch/waiting_test.go
+++ b/internal/dispatch/waiting_test.go
@@ -11,14 +11,14 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// oneAtATime lets this host have a single request under way to an upstream.
-func (g *rig) oneAtATime() {
+// limitToOneInFlight lets this host have a single request under way to an upstream.
+func (g *harness) limitToOneInFlight() {
 	g.views.Publish(func(v *view.View) {
 		d := *v.Desired
 		d.Services = map[string]*desired.Service{"plain": {Name: "plain", MaxConns: 1}, "keyed": {Name: "keyed", Keyed: true, MaxConns: 1}}
 		v.Desired = &d
 	})
-	g.d.SetFleet(2, true)
+	g.d.SetHostCount(2, true)
 }
 
 // slow answers after half of what a request may wait for its turn.
@@ -31,17 +31,17 @@
 // to leave, and must get nothing new: the request goes to another one.
 func TestRequestThatWaitsIsNotSentToALeavingUpstream(t *testing.T) {
 	first, other := startUpstream(t, slow), startUpstream(t, echo)
-	u1 := up("u1", "plain", first)
-	g := newRig(t, u1)
-	g.oneAtATime()
-	done := make(chan answer)
+	u1 := newUpstream("u1", "plain", first)
+	g := newHarness(t, u1)
+	g.limitToOneInFlight()
+	done := make(chan response)
 	go func() { done <- g.post("charge.example", "r1") }()
 	<-first.seen
 	go func() { done <- g.post("charge.example", "r2") }()
 	time.Sleep(testObjective / 8)
 	leaving := *u1
 	leaving.Leaving = true
-	g.list(&leaving, up("u2", "plain", other))
+	g.setUpstreams(&leaving, newUpstream("u2", "plain", other))
 	for range 2 {
 		a := <-done
 		a.want(t, http.StatusOK, "")
@@ -56,15 +56,15 @@
 // refuse it.
 func TestRequestThatWaitsFollowsItsKey(t *testing.T) {
 	old, next := startUpstream(t, slow), startUpstream(t, echo)
-	g := newRig(t, up("u1", "keyed", old), up("u2", "keyed", next))
-	g.oneAtATime()
-	g.own("u1", 5)
-	done := make(chan answer)
+	g := newHarness(t, newUpstream("u1", "keyed", old), newUpstream("u2", "keyed", next))
+	g.limitToOneInFlight()
+	g.setOwner("u1", 5)
+	done := make(chan response)
 	go func() { done <- g.get("keyed.example", "r1") }()
 	<-old.seen
 	go func() { done <- g.get("keyed.example", "r2") }()
 	time.Sleep(testObjective / 8)
-	g.own("u2", 6)
+	g.setOwner("u2", 6)
 	for range 2 {
 		a := <-done
 		a.want(t, http.StatusOK, "")
--- a/internal/entryhost/calls.go
+++ b/internal/entryhost/calls.go
@@ -13,18 +13,18 @@
 	"github.com/papayatide/papayatide/internal/relay"
 )
 
-// start makes a planner's call and hands its result back.
-func (c *control) start(ctx context.Context, a planner.Action) {
+// execute makes a planner's call and hands its result back.
+func (c *controller) execute(ctx context.Context, a planner.Action) {
 	switch a := a.(type) {
-	case *planner.Join:
+	case *planner.AcquireLease:
 		go func() {
-			held, err := c.seats.join(ctx, a.TTL)
-			c.post(ctx, func() { c.plan.JoinDone(a, held, err, c.clock()) })
+			held, err := c.elector.tryAcquireOrRenew(ctx, a.TTL)
+			c.post(ctx, func() { c.plan.AcquireLeaseDone(a, held, err, c.clock()) })
 		}()
-	case *planner.Leave:
+	case *planner.ReleaseLease:
 		go func() {
-			if err := c.seats.leave(ctx); err != nil {
-				c.zl.Info("planner's group not left; the membership lapses", zap.Int("event", events.PlannerSeatLost), ErrorField(err))
+			if err := c.elector.release(ctx); err != nil {
+				c.zl.Info("planner's group not left; the membership lapses", zap.Int("event", events.PlannerLeaseLost), ErrorField(err))
 			}
 		}()
 	case *planner.Append:
@@ -35,7 +35,7 @@
 			host, retired, err := c.retirer.Retire(rctx, a.Addr, a.Service, a.Term)
 			cancel()
 			if err != nil {
-				c.zl.Debug("planner before does not answer", zap.Int("event", events.PlannerNotRetired), zap.String("peer", a.Host), ErrorField(err))
+				c.zl.Debug("planner before does not answer", zap.Int("event", events.PreviousPlannerUnreachable), zap.String("peer", a.Host), ErrorField(err))
 			}
 			c.post(ctx, func() { c.plan.RetireDone(a, host, retired, c.clock()) })
 		}()
@@ -55,21 +55,21 @@
 }
 
 // grant sends a grant, unless it was decided on too long ago.
-func (c *control) grant(ctx context.Context, a *planner.Grant) error {
+func (c *controller) grant(ctx context.Context, a *planner.Grant) error {
 	late := c.clock().Sub(a.SentAt)
-	if late > orderWithin {
+	if late > maxGrantSendDelay {
 		return eris.Wrapf(ownership.ErrNotSent, "upstream %s: grant decided on %v ago", a.Addr, late)
 	}
 	gctx, cancel := context.WithTimeout(ctx, grantTimeout-late)
 	defer cancel()
-	return c.granter.Grant(gctx, a.Addr, a.Range, a.Hold, a.KeptOnly)
+	return c.granter.Grant(gctx, a.Addr, a.Range, a.TTL, a.ExistingConnOnly)
 }
 
-func (c *control) append(ctx context.Context, a *planner.Append) {
+func (c *controller) append(ctx context.Context, a *planner.Append) {
 	data, err := a.Table.Encode()
 	var end int64
 	if err == nil {
-		end, err = c.store.AppendAt(ctx, metastore.StreamOwnership, a.Table.Service, data, a.At)
+		end, err = c.store.AppendAt(ctx, metastore.StreamOwnership, a.Table.Service, data, a.ExpectedOffset)
 	}
 	c.post(ctx, func() {
 		t := c.plan.AppendDone(a, end, err, c.clock())
@@ -77,8 +77,8 @@
 			return
 		}
 		c.adoptTable(t)
-		c.copy.KeepTable(end-1, t)
-		c.copy.Apply(relay.Batch{Stream: metastore.StreamOwnership, Next: end,
+		c.replica.KeepTable(end-1, t)
+		c.replica.Apply(relay.Batch{Stream: metastore.StreamOwnership, NextOffset: end,
 			Records: []metastore.Record{{Key: t.Service, Value: data, Offset: end - 1}}})
 	})
 }
--- a/internal/entryhost/calls_test.go
+++ b/internal/entryhost/calls_test.go
@@ -31,12 +31,12 @@
 // must not go out then: its owner would hold the keys for three seconds more.
 func TestGrantThatWasHeldUpIsNotSent(t *testing.T) {
 	g := &countingGranter{}
-	c := newControl(zap.NewNop(), memstore.New(), decoder{}, g, view.NewHolder(), planner.Options{Host: "h"}, evacuateBound)
+	c := newController(zap.NewNop(), memstore.New(), decoder{}, g, view.NewPublisher(), planner.Options{Host: "h"}, evacuateBound)
 	decided := bootclock.Time(time.Hour)
 	for _, step := range []struct {
 		late time.Duration
 		sent bool
-	}{{orderWithin, true}, {time.Second, false}} {
+	}{{maxGrantSendDelay, true}, {time.Second, false}} {
 		g.sent = 0
 		c.clock = func() bootclock.Time { return decided.Add(step.late) }
 		err := c.grant(t.Context(), &planner.Grant{SentAt: decided})
--- a/internal/entryhost/crash_test.go
+++ b/internal/entryhost/crash_test.go
@@ -7,19 +7,19 @@
 	"testing"
 	"time"
 
-	"github.com/papayatide/papayatide/internal/standin/ranged"
+	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
 const (
-	// settled is how long after a change hosts that nothing disturbs may take
+	// settleTime is how long after a change hosts that nothing disturbs may take
 	// to act on it.
-	settled = 3 * time.Second
+	settleTime = 3 * time.Second
 	// lastTries is how often a request that has ended three servers may be sent
 	// after that.
 	lastTries = 3
 	// watched is how long such a request is asked for after that. Its keys have
 	// a new owner within handover each time that theirs is ended.
-	watched = 5 * handover
+	watched = 5 * maxHandover
 	// askEvery is the pause between its callers' asks.
 	askEvery = 50 * time.Millisecond
 	fatalKey = 28264
@@ -36,34 +36,34 @@
 	t.Parallel()
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", plainRoute}} {
 		t.Run(c.service, func(t *testing.T) {
-			fleetTest(t, func(t *testing.T) {
+			runFleetTest(t, func(t *testing.T) {
 				f := newFleet(t, 3, 0)
 				for i := range 5 {
-					f.addTo(c.service, fmt.Sprint(c.service, i))
+					f.addServiceUpstream(c.service, fmt.Sprint(c.service, i))
 				}
-				f.answers(c.route, "/x", startup)
-				stop := f.askForTheFatal(c.route)
-				third := f.crashed(3, 6*handover)
-				time.Sleep(time.Until(third.Add(settled)))
+				f.waitAnswered(c.route, "/x", startupTimeout)
+				stop := f.sendFatalRequests(c.route)
+				third := f.waitCrashes(3, 6*maxHandover)
+				time.Sleep(time.Until(third.Add(settleTime)))
 				before := f.crashCount()
 				time.Sleep(watched)
 				if more := f.crashCount() - before; more > lastTries {
-					t.Errorf("it ended %d more servers, from %v after the third on; at most %d may be tried", more, settled, lastTries)
+					t.Errorf("it ended %d more servers, from %v after the third on; at most %d may be tried", more, settleTime, lastTries)
 				}
 				stop()
 				t.Logf("%d servers ended in all", f.crashCount())
-				f.answers(c.route, "/x", handover)
+				f.waitAnswered(c.route, "/x", maxHandover)
 			})
 		})
 	}
 }
 
-// askForTheFatal has callers ask for the request that ends its servers, on all
+// sendFatalRequests has callers ask for the request that ends its servers, on all
 // hosts in turn, until the returned function is called.
-func (f *testFleet) askForTheFatal(route string) (stop func()) {
+func (f *testFleet) sendFatalRequests(route string) (stop func()) {
 	var stopped atomic.Bool
 	done := make(chan struct{})
-	f.later.Go(func() {
+	f.background.Go(func() {
 		defer close(done)
 		for n := 0; !stopped.Load() && f.sleep(askEvery); n++ {
 			f.hosts[n%len(f.hosts)].callPath("GET", route, fatalPath, fmt.Sprint("fatal-", n), fatalKey)
@@ -75,8 +75,8 @@
 	}
 }
 
-// answers waits until a request is answered through every host.
-func (f *testFleet) answers(route, path string, within time.Duration) {
+// waitAnswered waits until a request is answered through every host.
+func (f *testFleet) waitAnswered(route, path string, within time.Duration) {
 	f.t.Helper()
 	start := time.Now()
 	for _, h := range f.hosts {
@@ -99,9 +99,9 @@
 	return len(f.crashes)
 }
 
-// crashed waits until the n-th server was ended by a request and returns when
+// waitCrashes waits until the n-th server was ended by a request and returns when
 // that was.
-func (f *testFleet) crashed(n int, within time.Duration) time.Time {
+func (f *testFleet) waitCrashes(n int, within time.Duration) time.Time {
 	f.t.Helper()
 	for end := time.Now().Add(within); f.crashCount() < n; time.Sleep(askEvery) {
 		if time.Now().After(end) {
@@ -119,24 +119,24 @@
 // sent any more that could have been answered. They are served again within
 // seconds, through every host.
 func TestPopularPageIsServedAfterACommonLoss(t *testing.T) {
-	all := func(f *testFleet, ups []*ranged.Upstream) {
+	all := func(f *testFleet, ups []*rangeowner.Upstream) {
 		for _, u := range ups {
 			f.crash("plain", u)
 		}
 	}
-	losses := map[string]func(f *testFleet, ups []*ranged.Upstream){
+	losses := map[string]func(f *testFleet, ups []*rangeowner.Upstream){
 		"all at once":  all,
-		"half of them": func(f *testFleet, ups []*ranged.Upstream) { all(f, ups[:len(ups)/2]) },
-		"one by one":   func(f *testFleet, ups []*ranged.Upstream) { f.roll("plain", ups) },
-		"log away": func(f *testFleet, ups []*ranged.Upstream) {
+		"half of them": func(f *testFleet, ups []*rangeowner.Upstream) { all(f, ups[:len(ups)/2]) },
+		"one by one":   func(f *testFleet, ups []*rangeowner.Upstream) { f.roll("plain", ups) },
+		"log away": func(f *testFleet, ups []*rangeowner.Upstream) {
 			f.log.SetDown(true)
 			all(f, ups)
-			time.Sleep(lapse + returns)
+			time.Sleep(entryLapseDelay + restartDelay)
 			f.log.SetDown(false)
 		},
-		"hosts restarted": func(f *testFleet, ups []*ranged.Upstream) {
+		"hosts restarted": func(f *testFleet, ups []*rangeowner.Upstream) {
 			all(f, ups)
-			time.Sleep(lapse)
+			time.Sleep(entryLapseDelay)
 			f.stopHosts()
 			for i := range 3 {
 				f.askForThePopular(f.startHost(fmt.Sprint("new", i)), askEvery)
@@ -145,13 +145,13 @@
 	}
 	for name, lose := range losses {
 		t.Run(name, func(t *testing.T) {
-			fleetTest(t, func(t *testing.T) {
+			runFleetTest(t, func(t *testing.T) {
 				f := newFleet(t, 3, 0)
-				var ups []*ranged.Upstream
+				var ups []*rangeowner.Upstream
 				for i := range 8 {
-					ups = append(ups, f.addTo("plain", fmt.Sprint("plain", i)))
+					ups = append(ups, f.addServiceUpstream("plain", fmt.Sprint("plain", i)))
 				}
-				f.answers(plainRoute, "/popular", startup)
+				f.waitAnswered(plainRoute, "/popular", startupTimeout)
 				every := askEvery
 				if name == "all at once" {
 					every = 10 * time.Millisecond
@@ -161,8 +161,8 @@
 				}
 				time.Sleep(time.Second)
 				lose(f, ups)
-				time.Sleep(lapse + returns + backAfterLoss)
-				f.answers(plainRoute, "/popular", 0)
+				time.Sleep(entryLapseDelay + restartDelay + backAfterLoss)
+				f.waitAnswered(plainRoute, "/popular", 0)
 			})
 		})
 	}
@@ -172,7 +172,7 @@
 // then for others, with so long a pause between.
 func (f *testFleet) askForThePopular(h *testHost, every time.Duration) {
 	for c := range 8 {
-		f.later.Go(func() {
+		f.background.Go(func() {
 			for n := 0; f.sleep(every); n++ {
 				path := "/popular"
 				if n%10 == 0 {
@@ -185,10 +185,10 @@
 }
 
 // roll ends upstreams one after the other, each once the one before is back.
-func (f *testFleet) roll(service string, ups []*ranged.Upstream) {
+func (f *testFleet) roll(service string, ups []*rangeowner.Upstream) {
 	for _, u := range ups {
 		f.crash(service, u)
-		time.Sleep(lapse + returns)
+		time.Sleep(entryLapseDelay + restartDelay)
 	}
 }
 
@@ -201,22 +201,22 @@
 // knew is in the log service: the new ones refuse the request within the time
 // that they are given to settle, and answer others.
 func TestNewHostsKnowWhichRequestsEndTheirServers(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 0)
 		for i := range 5 {
-			f.addTo("plain", fmt.Sprint("plain", i))
+			f.addServiceUpstream("plain", fmt.Sprint("plain", i))
 		}
-		f.answers(plainRoute, "/x", startup)
-		stop := f.askForTheFatal(plainRoute)
-		f.crashed(3, handover)
-		time.Sleep(settled)
+		f.waitAnswered(plainRoute, "/x", startupTimeout)
+		stop := f.sendFatalRequests(plainRoute)
+		f.waitCrashes(3, maxHandover)
+		time.Sleep(settleTime)
 		stop()
 		f.stopHosts()
 		for i := range 2 {
 			f.startHost(fmt.Sprint("new", i))
 		}
-		f.answers(plainRoute, "/x", startup)
-		time.Sleep(settled)
+		f.waitAnswered(plainRoute, "/x", startupTimeout)
+		time.Sleep(settleTime)
 		before := f.crashCount()
 		for n := range 20 {
 			if status, body := f.hosts[n%2].callPath("GET", plainRoute, fatalPath, fmt.Sprint("again-", n), fatalKey); status != http.StatusServiceUnavailable {
@@ -232,24 +232,24 @@
 // Several callers ask for the request that ends its servers at the same time, so that
 // each server runs some of it: counted by runs, it must not go on for longer.
 func TestRequestThatEndsItsServersIsRunByFewAtOnce(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 0, 0)
-		f.hold = 3 * time.Second // keys of an ended owner wait as long for the next one
+		f.grantTTL = 3 * time.Second // keys of an ended owner wait as long for the next one
 		for i := range 6 {
 			f.startHost(fmt.Sprint("host", i))
 		}
 		for i := range 8 {
-			f.addTo("sheets", fmt.Sprint("sheets", i))
+			f.addServiceUpstream("sheets", fmt.Sprint("sheets", i))
 		}
-		f.answers("read.example", "/x", startup)
+		f.waitAnswered("read.example", "/x", startupTimeout)
 		f.mu.Lock()
-		f.fatalTakes = 100 * time.Millisecond
+		f.fatalDuration = 100 * time.Millisecond
 		f.mu.Unlock()
 		var stops []func()
 		for range 4 {
-			stops = append(stops, f.askForTheFatal("read.example"))
+			stops = append(stops, f.sendFatalRequests("read.example"))
 		}
-		f.crashed(3, 6*handover)
+		f.waitCrashes(3, 6*maxHandover)
 		time.Sleep(watched)
 		for _, stop := range stops {
 			stop()
@@ -257,14 +257,14 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		// A run ends its server, or is cut off with it, fatalTakes after it began.
-		third, late := f.fatalRuns[2].Add(f.fatalTakes), 0
-		for _, at := range f.fatalRuns {
-			if at.Sub(third) > settled {
+		third, late := f.fatalStarts[2].Add(f.fatalDuration), 0
+		for _, at := range f.fatalStarts {
+			if at.Sub(third) > settleTime {
 				late++
 			}
 		}
 		if late > lastTries {
-			t.Errorf("%d runs began more than %v after the third had ended, of %d in all; at most %d", late, settled, len(f.fatalRuns), lastTries)
+			t.Errorf("%d runs began more than %v after the third had ended, of %d in all; at most %d", late, settleTime, len(f.fatalStarts), lastTries)
 		}
 	})
 }
--- a/internal/entryhost/crashlog.go
+++ b/internal/entryhost/crashlog.go
@@ -31,7 +31,7 @@
 type crashLog struct {
 	zl     *zap.Logger
 	store  metastore.Store
-	ledger *crashes.Ledger
+	ledger *crashes.Tracker
 	// planning reports whether this host has records deleted that no longer
 	// count.
 	planning func() bool
@@ -39,8 +39,8 @@
 
 func newCrashLog(zl *zap.Logger, store metastore.Store, planning func() bool) *crashLog {
 	l := &crashLog{zl: zl, store: store, planning: planning}
-	l.ledger = crashes.NewLedger(l.refusing)
-	l.ledger.TryIf(planning)
+	l.ledger = crashes.NewTracker(l.refusing)
+	l.ledger.AllowTrialsIf(planning)
 	return l
 }
 
@@ -54,8 +54,8 @@
 			return
 		case now := <-t.C:
 			l.ledger.Expire(now, l.planning())
-		case <-l.ledger.Wake():
-			pause(ctx, gatherEnds)
+		case <-l.ledger.PendingC():
+			sleep(ctx, gatherEnds)
 			l.write(ctx)
 		}
 	}
@@ -73,11 +73,11 @@
 		}
 		err := l.append(ctx, changes)
 		if err == nil {
-			l.ledger.Written(changes)
+			l.ledger.MarkWritten(changes)
 			continue
 		}
-		l.zl.Warn("servers' ends not written; tried again", zap.Int("event", events.CrashesNotWritten), zap.Int("records", len(changes)), ErrorField(err))
-		pause(ctx, backoff)
+		l.zl.Warn("servers' ends not written; tried again", zap.Int("event", events.CrashWriteFailed), zap.Int("records", len(changes)), ErrorField(err))
+		sleep(ctx, backoff)
 		backoff = min(backoff*2, retryEndsMost)
 	}
 }
@@ -90,7 +90,7 @@
 	for _, c := range changes {
 		key, value, err := c.Encode(now)
 		if err != nil {
-			l.zl.Error("record of a server's end refused", zap.Int("event", events.CrashRefused), ErrorField(err))
+			l.zl.Error("record of a server's end refused", zap.Int("event", events.CrashRecordRejected), ErrorField(err))
 			continue
 		}
 		recs = append(recs, metastore.Record{Key: key, Value: value})
@@ -103,27 +103,27 @@
 
 // apply takes in records that were read. After a reset they are all there are.
 func (l *crashLog) apply(recs []metastore.Record, reset bool) {
-	var ends []crashes.End
+	var ends []crashes.Crash
 	for _, rec := range recs {
 		c, err := crashes.Decode(rec.Key, rec.Value, time.Now())
 		if err != nil {
-			l.zl.Error("record of a server's end refused", zap.Int("event", events.CrashRefused), zap.Int64("offset", rec.Offset), ErrorField(err))
+			l.zl.Error("record of a server's end refused", zap.Int("event", events.CrashRecordRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
 			continue
 		}
 		if reset {
-			ends = append(ends, c.End)
+			ends = append(ends, c.Crash)
 			continue
 		}
-		l.ledger.Take(c)
+		l.ledger.Apply(c)
 	}
 	if reset {
 		l.ledger.Replace(ends)
-		l.zl.Info("servers' ends read", zap.Int("event", events.CrashesRead), zap.Int("records", len(ends)))
+		l.zl.Info("servers' ends read", zap.Int("event", events.CrashRecordsRead), zap.Int("records", len(ends)))
 	}
 }
 
 // refusing logs that a content is refused from now on.
-func (l *crashLog) refusing(c crashes.Content) {
-	l.zl.Warn("requests like this end their servers; they are refused", zap.Int("event", events.ContentRefused), zap.String("content", string(c)),
-		zap.Strings("peers", l.ledger.Servers(c)), zap.Duration("refused_for", l.ledger.Refused(c, time.Now())))
+func (l *crashLog) refusing(c crashes.Fingerprint) {
+	l.zl.Warn("requests like this end their servers; they are refused", zap.Int("event", events.FingerprintRefused), zap.String("content", string(c)),
+		zap.Strings("peers", l.ledger.CrashedServers(c)), zap.Duration("refused_for", l.ledger.RefusedFor(c, time.Now())))
 }
--- a/internal/entryhost/evacuate.go
+++ b/internal/entryhost/evacuate.go
@@ -67,9 +67,9 @@
 	return true
 }
 
-// confirm takes note that all entries were read that upstreams had written by the
+// confirmEntriesRead takes note that all entries were read that upstreams had written by the
 // given time. It reports whether that says more of a data centre taken back.
-func (e *evacuations) confirm(written, now time.Time) (changed bool) {
+func (e *evacuations) confirmEntriesRead(written, now time.Time) (changed bool) {
 	for dc, back := range e.backAt {
 		if !e.read[dc] && now.Sub(back) >= unsureAfter && written.Sub(back) >= writtenWithin {
 			e.read[dc], changed = true, true
@@ -78,9 +78,9 @@
 	return changed
 }
 
-// mark returns the upstream, whose slow start lasts so long, as the evacuations make
+// annotate returns the upstream, whose slow start lasts so long, as the evacuations make
 // it. While its entry cannot be read it may be cold for all of that time.
-func (e *evacuations) mark(u *catalogue.Upstream, slowStart time.Duration) *catalogue.Upstream {
+func (e *evacuations) annotate(u *catalogue.Upstream, slowStart time.Duration) *catalogue.Upstream {
 	by, evacuated := e.leaveBy[u.DataCentre]
 	back, was := e.backAt[u.DataCentre]
 	if !evacuated && !was {
@@ -100,12 +100,12 @@
 
 // applyEvacuations takes in the records of evacuations among recs. After a reset
 // those that are not among them have been taken back.
-func (c *control) applyEvacuations(recs []metastore.Record, reset bool) {
+func (c *controller) applyEvacuations(recs []metastore.Record, reset bool) {
 	now := time.Now()
 	changed := false
 	listed := map[string]bool{}
 	for _, rec := range recs {
-		dc, ok := c.decoder.Evacuated(rec.Key)
+		dc, ok := c.decoder.EvacuatedDataCentre(rec.Key)
 		switch {
 		case !ok:
 		case rec.Value == nil:
@@ -125,7 +125,7 @@
 	}
 }
 
-func (c *control) evacuate(dataCentre string, old bool, now time.Time) bool {
+func (c *controller) evacuate(dataCentre string, old bool, now time.Time) bool {
 	if !c.evacuations.begin(dataCentre, old, now) {
 		return false
 	}
@@ -134,7 +134,7 @@
 	return true
 }
 
-func (c *control) takeBack(dataCentre string, now time.Time) bool {
+func (c *controller) takeBack(dataCentre string, now time.Time) bool {
 	if !c.evacuations.end(dataCentre, now) {
 		return false
 	}
--- a/internal/entryhost/evacuate_test.go
+++ b/internal/entryhost/evacuate_test.go
@@ -8,16 +8,16 @@
 
 	"github.com/papayatide/papayatide/internal/catalogue"
 	"github.com/papayatide/papayatide/internal/metastore"
-	"github.com/papayatide/papayatide/internal/standin/ranged"
+	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
-// beside adds upstreams of both services in a data centre of their own.
-func (f *testFleet) beside(dataCentre string, n int) []*ranged.Upstream {
-	var out []*ranged.Upstream
+// addDataCentre adds upstreams of both services in a data centre of their own.
+func (f *testFleet) addDataCentre(dataCentre string, n int) []*rangeowner.Upstream {
+	var out []*rangeowner.Upstream
 	for i := range n {
 		for _, service := range []string{"sheets", "plain"} {
-			u := f.start(service, fmt.Sprint(dataCentre, "-", service, i))
-			f.put(u, catalogue.Upstream{Service: service, DataCentre: dataCentre, Slots: 3})
+			u := f.startUpstream(service, fmt.Sprint(dataCentre, "-", service, i))
+			f.putEntry(u, catalogue.Upstream{Service: service, DataCentre: dataCentre, Slots: 3})
 			out = append(out, u)
 		}
 	}
@@ -25,7 +25,7 @@
 }
 
 // runs returns how many requests the upstreams have run.
-func runs(ups []*ranged.Upstream) int {
+func runs(ups []*rangeowner.Upstream) int {
 	n := 0
 	for _, u := range ups {
 		n += len(u.Runs())
@@ -53,11 +53,11 @@
 // callers of their keys are served by others, and once the data centre is taken
 // back it is used again.
 func TestEvacuatedDataCentreGetsNothing(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 4)
-		f.addTo("plain", "plain0")
-		evacuated := f.beside("far", 2)
-		f.served(f.hosts[0], startup)
+		f.addServiceUpstream("plain", "plain0")
+		evacuated := f.addDataCentre("far", 2)
+		f.waitServed(f.hosts[0], startupTimeout)
 		f.traffic(4 * time.Second)
 		if runs(evacuated) == 0 {
 			t.Fatal("the play is wrong: the data centre was never used")
@@ -67,7 +67,7 @@
 			t.Errorf("%d requests were not served while it was evacuated", unserved)
 		}
 		f.startHost("late")
-		f.served(f.hosts[3], startup)
+		f.waitServed(f.hosts[3], startupTimeout)
 		time.Sleep(evacuateBound / 2)
 		before := runs(evacuated)
 		if unserved := f.traffic(5 * time.Second); unserved > 0 {
@@ -77,7 +77,7 @@
 			t.Errorf("%d requests reached the data centre later than %v after it was evacuated", n, evacuateBound)
 		}
 		f.log.Put(metastore.StreamDesired, "evacuate/far", nil)
-		f.press("read.example", 8*time.Second) // lightly used owners keep what they have
+		f.generateLoad("read.example", 8*time.Second) // lightly used owners keep what they have
 		if runs(evacuated) == before {
 			t.Error("it is not used again")
 		}
@@ -88,10 +88,10 @@
 // given to others. Their callers are refused, as nothing may be sent there, and
 // all others are served.
 func TestEvacuationThatCannotBeRecorded(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
-		evacuated := f.beside("far", 2)
-		f.served(f.hosts[0], startup)
+		evacuated := f.addDataCentre("far", 2)
+		f.waitServed(f.hosts[0], startupTimeout)
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
 		time.Sleep(20 * time.Millisecond) // it is read, and nothing can be recorded any more
 		f.log.SetDown(true)
@@ -102,6 +102,6 @@
 			t.Errorf("%d requests reached the data centre", n)
 		}
 		f.log.SetDown(false)
-		f.served(f.hosts[1], handover)
+		f.waitServed(f.hosts[1], maxHandover)
 	})
 }
--- a/internal/entryhost/feed.go
+++ b/internal/entryhost/feed.go
@@ -31,79 +31,79 @@
 	// relayWait is followWait of a host that relays: what it passes on is so
 	// much older.
 	relayWait = 200 * time.Millisecond
-	// copyAge is the greatest age of the planner's copy that is relied on.
+	// maxReplicaAge is the greatest age of the planner's copy that is relied on.
 	// With followTimeout it leaves a host behind the log by at most 1.8 s
 	// before it reads for itself; relayedAge is that of a relay's copy, with
 	// which and relayTimeout it is 1.8 s too. A change must be in force, and an
 	// upstream that leaves left alone, within 2 s.
-	copyAge    = 1100 * time.Millisecond
-	relayedAge = 1250 * time.Millisecond
-	// restAge is the age of what this host knows from which on it reads
+	maxReplicaAge        = 1100 * time.Millisecond
+	maxRelayedReplicaAge = 1250 * time.Millisecond
+	// directReadAge is the age of what this host knows from which on it reads
 	// every stream itself, if it does not find the planner again; it leaves
 	// 0.5 s for that.
-	restAge = 1500 * time.Millisecond
-	// startAlone is how long a weak host that knows nothing looks for a planner
+	directReadAge = 1500 * time.Millisecond
+	// discoveryTimeout is how long a weak host that knows nothing looks for a planner
 	// before it reads every stream itself: one that plans already answers within
 	// a tenth of a second, and without one callers wait. At the first start of
 	// the fleet there are no callers yet, and a planner takes a second or two. A
 	// strong host reads at once: it may have to plan.
-	startAlone      = 300 * time.Millisecond
-	firstStartAlone = 3 * time.Second
-	// seekPlanner is the pause between calls while the planner is unknown,
+	discoveryTimeout           = 300 * time.Millisecond
+	firstStartDiscoveryTimeout = 3 * time.Second
+	// plannerRetryInterval is the pause between calls while the planner is unknown,
 	// this host itself, or does not answer.
-	seekPlanner = 150 * time.Millisecond
+	plannerRetryInterval = 150 * time.Millisecond
 	// While the host that is followed answers, but with too old a copy, the log
 	// service mostly fails all of them. A weak host asks it once then, as it may
 	// be the only one that is served; if it fails, all weak hosts together ask
 	// triesPerSecond times a second from then on, each at least every tryMost.
-	triesPerSecond = 10
-	tryMost        = 2500 * time.Millisecond
+	fleetAttemptsPerSecond = 10
+	maxAttemptInterval     = 2500 * time.Millisecond
 )
 
-// feed keeps the copy of the log current: from the planner's copy, or that
+// logSyncer keeps the copy of the log current: from the planner's copy, or that
 // of a relay, where it is young enough, from the log service otherwise.
-type feed struct {
-	peers *peer.Client
-	copy  *relay.Copy
-	// ownership reads the ownership stream, which says who plans; rest are
+type logSyncer struct {
+	peers   *peer.Client
+	replica *relay.Replica
+	// ownershipReader reads the ownership stream, which says who plans; rest are
 	// the readers of the others.
-	ownership *follower
-	rest      []*follower
-	// planning reports whether this host plans.
-	planning func() bool
+	ownershipReader *streamReader
+	otherReaders    []*streamReader
+	// isPlanner reports whether this host plans.
+	isPlanner func() bool
 	// self describes this host to the others.
 	self  func() fleet.Host
 	fleet *fleet.Fleet
 	// board reports what this host has at upstreams, and learns of the others.
-	board *balance.Board
+	board *balance.Picker
 	// feedback is what upstreams report of themselves.
 	feedback *feedback.Tracker
-	// planner returns the planner's peer address; empty if there is none
+	// plannerAddr returns the planner's peer address; empty if there is none
 	// or it is this host.
-	planner func() string
+	plannerAddr func() string
 	// takeLoads returns the load to report, localLoads uses it on the
 	// planner itself.
 	takeLoads  func() []peer.ServiceLoad
-	localLoads func([]peer.ServiceLoad)
+	applyLoads func([]peer.ServiceLoad)
 	apply      func(relay.Batch)
-	// good is told that a call to the planner was good, and for how long
+	// onPlannerFollowed is told that a call to the planner was good, and for how long
 	// the planner has reached the log service.
-	good func(steady time.Duration)
-	// lost is told of a call that failed, seen of a strong host that answers
+	onPlannerFollowed func(steady time.Duration)
+	// onPlannerLost is told of a call that failed, seen of a strong host that answers
 	// without a young copy.
-	lost, seen func()
-	zl         *zap.Logger
+	onPlannerLost, onCandidateSeen func()
+	zl                             *zap.Logger
 
-	// alone is for how long a weak host looks for a planner first.
-	alone time.Duration
-	// started is when run began, failed whether the last call failed.
-	started time.Time
-	failed  bool
+	// discoveryTimeout is for how long a weak host looks for a planner first.
+	discoveryTimeout time.Duration
+	// startedAt is when run began, failed whether the last call failed.
+	startedAt time.Time
+	failed    bool
 	// oldCopy is set while the host that is followed answers with a copy that is
 	// too old, or that it has none.
 	oldCopy bool
-	// tries are this host's own reads while oldCopy is set.
-	tries tries
+	// attempts are this host's own reads while oldCopy is set.
+	attempts readAttempts
 	// wasPlanning is planning as of the last look.
 	wasPlanning bool
 	// directCtx is that of the readers at work, nil while there are none;
@@ -130,8 +130,8 @@
 }
 
 // run keeps the copy current until ctx ends.
-func (f *feed) run(ctx context.Context) {
-	f.started = time.Now()
+func (f *logSyncer) run(ctx context.Context) {
+	f.startedAt = time.Now()
 	f.direct(ctx)
 	for ctx.Err() == nil {
 		f.lookAtSeat()
@@ -140,19 +140,19 @@
 			continue
 		}
 		f.readItself(ctx)
-		pause(ctx, seekPlanner)
+		sleep(ctx, plannerRetryInterval)
 	}
 	f.indirect()
 }
 
 // readItself has this host read the log service, if it is one of those that
 // should.
-func (f *feed) readItself(ctx context.Context) {
-	if f.self().Eager || f.planning() || !f.oldCopy || f.copy.Next(metastore.StreamDesired) < 0 {
+func (f *logSyncer) readItself(ctx context.Context) {
+	if f.self().Candidate || f.isPlanner() || !f.oldCopy || f.replica.NextOffset(metastore.StreamDesired) < 0 {
 		f.direct(ctx)
 		return
 	}
-	if f.directCtx != nil && f.tries.failedSince(f.directAt) {
+	if f.directCtx != nil && f.attempts.failedSince(f.directAt) {
 		f.indirect()
 		return
 	}
@@ -160,55 +160,55 @@
 		f.direct(ctx) // the streams that were young enough may not be any more
 		return
 	}
-	f.seen() // a host that is strong enough to plan answers, if without a copy
-	switch f.tries.next(time.Now(), f.fleet.Size(time.Now())) {
-	case tryNow:
-		go func() { f.tries.made(f.rest[tryStream].try(ctx)) }()
-	case tryServed:
+	f.onCandidateSeen() // a host that is strong enough to plan answers, if without a copy
+	switch f.attempts.next(time.Now(), f.fleet.Size(time.Now())) {
+	case attemptNow:
+		go func() { f.attempts.finish(f.otherReaders[attemptStreamIndex].readOnce(ctx)) }()
+	case attemptSucceeded:
 		f.direct(ctx)
 	}
 }
 
 // follow makes one call to the planner, or to the relay of its copy, and
 // reports whether the answer can be relied on.
-func (f *feed) follow(ctx context.Context) bool {
-	planner := f.planner()
+func (f *logSyncer) follow(ctx context.Context) bool {
+	planner := f.plannerAddr()
 	loads := f.takeLoads()
 	if planner == "" {
-		f.localLoads(loads)
+		f.applyLoads(loads)
 		f.note("", 0, nil)
 		return false
 	}
 	if f.relay != "" && f.relayOf == planner {
-		if f.ask(ctx, f.relay, relayedAge, relayTimeout, loads) {
+		if f.ask(ctx, f.relay, maxRelayedReplicaAge, relayTimeout, loads) {
 			return true
 		}
 		loads = nil
 	}
 	f.relay, f.relayOf = "", planner
-	return f.ask(ctx, planner, copyAge, followTimeout, loads)
+	return f.ask(ctx, planner, maxReplicaAge, followTimeout, loads)
 }
 
 // ask makes one call and takes the answer in. It reports whether it can be
 // relied on: it must come within timeout and not be older than oldest.
-func (f *feed) ask(ctx context.Context, addr string, oldest, timeout time.Duration, loads []peer.ServiceLoad) bool {
-	q := peer.Question{Self: f.self(), Positions: map[metastore.Stream]int64{}, Loads: loads, Notices: f.feedback.Notices(time.Now()), Wait: followWait}
+func (f *logSyncer) ask(ctx context.Context, addr string, oldest, timeout time.Duration, loads []peer.ServiceLoad) bool {
+	q := peer.FollowRequest{Self: f.self(), Positions: map[metastore.Stream]int64{}, Loads: loads, Notices: f.feedback.Notices(time.Now()), Wait: followWait}
 	relays := q.Self.Followers > 0
 	if relays {
 		q.Wait = relayWait
 	} else {
-		q.Uses, q.Using = f.board.Report(), f.board.Using() // a relay's own are in its own sum
+		q.LoadStats, q.Subset = f.board.FlushLoadStats(), f.board.Subset() // a relay's own are in its own sum
 	}
 	for _, s := range relay.Streams {
-		q.Positions[s] = f.copy.Position(s)
+		q.Positions[s] = f.replica.FetchOffset(s)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	got, err := f.peers.Follow(ctx, addr, q)
 	f.failed = err != nil
 	if err != nil {
-		f.oldCopy = errors.Is(err, peer.ErrNoCopy)
-		f.lost()
+		f.oldCopy = errors.Is(err, peer.ErrNoReplica)
+		f.onPlannerLost()
 		f.note("", 0, err)
 		return false
 	}
@@ -216,53 +216,53 @@
 		f.apply(b)
 	}
 	for _, s := range relay.Streams {
-		f.copy.Current(s, time.Now().Add(-got.Age))
+		f.replica.MarkCurrent(s, time.Now().Add(-got.Age))
 	}
 	if addr == f.relayOf && f.relay == "" {
-		f.last.Store(&heard{at: time.Now(), age: got.Age, steady: got.Steady})
+		f.last.Store(&heard{at: time.Now(), age: got.Age, steady: got.LogReachableFor})
 		f.relay = got.Relay
 	}
-	f.fleet.Told(got.Hosts)
-	f.feedback.Learn(addr, got.Notices, time.Now())
+	f.fleet.SetPlannerSize(got.HostCount)
+	f.feedback.Merge(addr, got.Notices, time.Now())
 	if !relays {
-		f.board.Learn(got.Others, time.Now())
+		f.board.SetPeerLoads(got.PeerLoads, time.Now())
 	}
 	if f.oldCopy = got.Age > oldest; f.oldCopy {
 		f.note("", got.Age, nil)
 		return false
 	}
 	f.note(addr, got.Age, nil)
-	f.tries.end()
-	f.good(got.Steady)
+	f.attempts.reset()
+	f.onPlannerFollowed(got.LogReachableFor)
 	return true
 }
 
-// standing is the standing of this host's copy where it follows the planner
+// replicaStatus is the standing of this host's copy where it follows the planner
 // itself, or reads the log service: a relay whose planner was lost goes on with
 // what it reads, and those behind it need not read it all themselves. The
 // planner's steadiness is passed on as it was, without the time since: that it
 // reached the log service then says nothing of now.
-func (f *feed) standing(now time.Time) (peer.Standing, bool) {
+func (f *logSyncer) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
 	if h := f.last.Load(); h != nil {
-		if age := h.age + now.Sub(h.at); age <= relayedAge {
-			return peer.Standing{Age: age, Steady: h.steady}, true
+		if age := h.age + now.Sub(h.at); age <= maxRelayedReplicaAge {
+			return peer.ReplicaStatus{Age: age, LogReachableFor: h.steady}, true
 		}
 	}
-	if age := f.copy.Age(now); f.reading.Load() && age <= relayedAge {
-		return peer.Standing{Age: age, Steady: f.copy.Steady(now)}, true
+	if age := f.replica.Age(now); f.reading.Load() && age <= maxRelayedReplicaAge {
+		return peer.ReplicaStatus{Age: age, LogReachableFor: f.replica.LogReachableFor(now)}, true
 	}
-	return peer.Standing{}, false
+	return peer.ReplicaStatus{}, false
 }
 
-// followed returns the address of the host whose copy is relied on, if any.
-func (f *feed) followed() string {
+// followedAddr returns the address of the host whose copy is relied on, if any.
+func (f *logSyncer) followedAddr() string {
 	addr, _ := f.following.Load().(string)
 	return addr
 }
 
 // note logs that another planner's copy is relied on, or none any more.
-func (f *feed) note(addr string, age time.Duration, err error) {
-	old := f.followed()
+func (f *logSyncer) note(addr string, age time.Duration, err error) {
+	old := f.followedAddr()
 	if addr == old {
 		return
 	}
@@ -278,8 +278,8 @@
 // lookAtSeat has the readers begin anew when this host gets the planner's
 // seat. Their reads under way wait longer than the planner's: its copy would
 // look too old to the others, who would all read the log service.
-func (f *feed) lookAtSeat() {
-	now := f.planning()
+func (f *logSyncer) lookAtSeat() {
+	now := f.isPlanner()
 	if now && !f.wasPlanning {
 		f.indirect()
 	}
@@ -288,18 +288,18 @@
 
 // direct has the log service read: the ownership stream at once, as it says
 // who plans now, the others once they must be.
-func (f *feed) direct(ctx context.Context) {
+func (f *logSyncer) direct(ctx context.Context) {
 	if f.directCtx == nil {
 		f.directCtx, f.stopDirect = context.WithCancel(ctx)
 		f.directAt = time.Now()
 		f.reading.Store(true)
-		go f.ownership.run(f.directCtx)
+		go f.ownershipReader.run(f.directCtx)
 	}
 	if f.restAtWork || !f.needRest(time.Now()) {
 		return
 	}
 	f.restAtWork = true
-	for _, fl := range f.rest {
+	for _, fl := range f.otherReaders {
 		go fl.run(f.directCtx)
 	}
 }
@@ -307,18 +307,18 @@
 // needRest reports whether the streams other than ownership have to be read
 // directly. After a change of planner most hosts find the new one before they
 // have to: a change costs one or two calls a host instead of six.
-func (f *feed) needRest(now time.Time) bool {
+func (f *logSyncer) needRest(now time.Time) bool {
 	switch {
-	case f.planning() || f.self().Eager:
+	case f.isPlanner() || f.self().Candidate:
 		return true // others follow it, or will
-	case f.copy.Next(metastore.StreamDesired) < 0:
-		return f.failed || now.Sub(f.started) > f.alone
+	case f.replica.NextOffset(metastore.StreamDesired) < 0:
+		return f.failed || now.Sub(f.startedAt) > f.discoveryTimeout
 	}
-	return f.copy.Age(now) > restAge
+	return f.replica.Age(now) > directReadAge
 }
 
 // indirect ends reading the log service.
-func (f *feed) indirect() {
+func (f *logSyncer) indirect() {
 	if f.directCtx != nil {
 		f.stopDirect()
 		f.directCtx, f.restAtWork = nil, false
--- a/internal/entryhost/feed_test.go
+++ b/internal/entryhost/feed_test.go
@@ -13,10 +13,10 @@
 // then goes silent. It must still know in time what the log says.
 func TestSilentPlannerIsNoticedInTime(t *testing.T) {
 	for name, age := range map[string]time.Duration{
-		"planner":             copyAge + followTimeout,
-		"relay":               relayedAge + relayTimeout,
-		"planner not found":   restAge + seekPlanner,
-		"log read by the way": directWait,
+		"planner":             maxReplicaAge + followTimeout,
+		"relay":               maxRelayedReplicaAge + relayTimeout,
+		"planner not found":   directReadAge + plannerRetryInterval,
+		"log read by the way": directLongPoll,
 	} {
 		if age >= inForce {
 			t.Errorf("%s: what a host knows may be %v old", name, age)
--- a/internal/entryhost/feedback.go
+++ b/internal/entryhost/feedback.go
@@ -20,7 +20,7 @@
 const slowStartWindow = time.Second
 
 // reportedLimit bounds what an upstream gets that reports a rate limit.
-var reportedLimit = ratelimit.Bounds{Factor: 1.5, Slack: 5, Window: 4 * time.Second}
+var reportedLimitBounds = ratelimit.Bounds{Factor: 1.5, Slack: 5, Window: 4 * time.Second}
 
 var (
 	upstreamReports = metrics.NewCounter(`papayatide_upstream_reports_total`)
@@ -28,17 +28,17 @@
 	leaveUnanswered = metrics.NewCounter(`papayatide_leave_unanswered_total`)
 )
 
-// reported takes in a change of what an upstream reports of itself.
-func (h *host) reported(ctx context.Context, c feedback.Change) {
+// onUpstreamReport takes in a change of what an upstream reports of itself.
+func (h *host) onUpstreamReport(ctx context.Context, c feedback.Change) {
 	upstreamReports.Inc()
 	h.zl.Info("upstream reported its state", zap.Int("event", events.UpstreamReported), zap.String("peer", c.Upstream),
-		zap.Float64("limit", c.Limit), zap.Float64("limit_before", c.Before), zap.Bool("leaving", c.Leaving),
-		zap.Duration("rest", c.Rest), zap.Bool("ended", !c.EndedAt.IsZero()), zap.String("from", c.From))
-	if !c.EndedAt.IsZero() {
-		h.board.NoteEnded(c.Upstream, c.EndedAt)
+		zap.Float64("limit", c.RateLimit), zap.Float64("limit_before", c.PreviousRateLimit), zap.Bool("leaving", c.Leaving),
+		zap.Duration("rest", c.Backoff), zap.Bool("ended", !c.CrashedAt.IsZero()), zap.String("from", c.From))
+	if !c.CrashedAt.IsZero() {
+		h.board.RecordCrash(c.Upstream, c.CrashedAt)
 	}
 	if c.Leaving {
-		h.control.post(ctx, h.control.publishUpstreams)
+		h.controller.post(ctx, h.controller.publishUpstreams)
 	}
 }
 
@@ -48,14 +48,14 @@
 
 // markLeaving returns the upstream with what its answers say of its leaving. What
 // the log says of it may be older.
-func (c *control) markLeaving(u *catalogue.Upstream) *catalogue.Upstream {
+func (c *controller) markLeaving(u *catalogue.Upstream) *catalogue.Upstream {
 	since, leaving := c.feedback.LeavingSince(u.ID)
 	if !leaving {
 		return u
 	}
 	marked := *u
 	marked.ReportedLeaving = true
-	if by := since.Add(max(c.drain-leavingMargin, 0)); marked.LeaveBy.IsZero() || by.Before(marked.LeaveBy) {
+	if by := since.Add(max(c.drainTimeout-leavingMargin, 0)); marked.LeaveBy.IsZero() || by.Before(marked.LeaveBy) {
 		marked.LeaveBy = by
 	}
 	return &marked
@@ -64,36 +64,36 @@
 // errNoPlanner means that this host knows of no planner.
 var errNoPlanner = errors.New("no planner is known")
 
-// askLeave asks the planner for leave to send to an upstream with a rate limit. It
+// requestPermits asks the planner for leave to send to an upstream with a rate limit. It
 // is a ratelimit.Ask.
-func (h *host) askLeave(ctx context.Context, upstream string, perSecond float64, want int) (ratelimit.Grant, error) {
-	if g, ok := h.leave(upstream, perSecond, want); ok {
+func (h *host) requestPermits(ctx context.Context, upstream string, perSecond float64, want int) (ratelimit.Permit, error) {
+	if g, ok := h.issuePermits(upstream, perSecond, want); ok {
 		return g, nil
 	}
 	leaveAsked.Inc()
 	addr := h.plannerAddr()
 	if addr == "" {
-		return ratelimit.Grant{}, errNoPlanner
+		return ratelimit.Permit{}, errNoPlanner
 	}
-	g, err := h.peers.Admit(ctx, addr, upstream, perSecond, want)
+	g, err := h.peers.AcquirePermits(ctx, addr, upstream, perSecond, want)
 	if err != nil {
 		leaveUnanswered.Inc()
 	}
 	return g, err
 }
 
-// leave gives leave to send to an upstream with a rate limit, if this host plans.
-func (h *host) leave(upstream string, perSecond float64, want int) (ratelimit.Grant, bool) {
-	if !h.control.planning.Load() {
-		return ratelimit.Grant{}, false
+// issuePermits gives leave to send to an upstream with a rate limit, if this host plans.
+func (h *host) issuePermits(upstream string, perSecond float64, want int) (ratelimit.Permit, bool) {
+	if !h.controller.planning.Load() {
+		return ratelimit.Permit{}, false
 	}
 	return h.allocator.Take(upstream, perSecond, want, time.Now()), true
 }
 
 const (
-	// restingHosts is how many hosts an owner must have asked for a rest for its
+	// minBackoffHosts is how many hosts an owner must have asked for a rest for its
 	// keys to move; one alone may have sent it too much.
-	restingHosts = 2
+	minBackoffHosts = 2
 	// restingRate is the rate, in requests a second, that a resting owner counts
 	// with.
 	restingRate = 0.1
@@ -114,22 +114,22 @@
 	return limit * math.Exp2(float64(age/unconfirmed))
 }
 
-// withinReports lowers owners' capacities to the rate limits that they report, and
+// applyReportedLimits lowers owners' capacities to the rate limits that they report, and
 // those of owners that turn requests away to nearly nothing, so that keys move to
 // owners with room; and has owners refilled that lost theirs so.
-func withinReports(load *ownership.Load, owners []*catalogue.Upstream, reports *feedback.Tracker, now time.Time) {
+func applyReportedLimits(load *ownership.Load, owners []*catalogue.Upstream, reports *feedback.Tracker, now time.Time) {
 	most := map[string]float64{}
 	load.Refill = map[string]bool{}
 	var resting []string
 	for _, u := range owners {
-		s := reports.Standing(u.ID, now)
-		if s.Lately {
+		s := reports.Status(u.ID, now)
+		if s.RecentlyThrottled {
 			load.Refill[u.ID] = true
 		}
-		if s.Limit > 0 {
-			most[u.ID] = expected(s.Limit, s.LimitAge)
+		if s.RateLimit > 0 {
+			most[u.ID] = expected(s.RateLimit, s.RateLimitAge)
 		}
-		if s.Resting >= restingHosts {
+		if s.BackoffHosts >= minBackoffHosts {
 			resting = append(resting, u.ID)
 		}
 	}
@@ -139,6 +139,6 @@
 		}
 	}
 	if len(most) > 0 {
-		load.Within(most)
+		load.LimitCapacity(most)
 	}
 }
