--- a/internal/entryhost/feedback_test.go
+++ b/internal/entryhost/feedback_test.go
@@ -11,7 +11,7 @@
 	"github.com/papayatide/papayatide/internal/catalogue"
 	"github.com/papayatide/papayatide/internal/feedback"
 	"github.com/papayatide/papayatide/internal/ownership"
-	"github.com/papayatide/papayatide/internal/standin/ranged"
+	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
 // burst is how many requests more than a limit brings may come at once.
@@ -57,22 +57,22 @@
 }
 
 // hostOf returns the host that a request of ask was sent to.
-func hostOf(a ranged.Arrival) string {
+func hostOf(a rangeowner.Arrival) string {
 	host, _, _ := strings.Cut(a.ID, "-")
 	return host
 }
 
 // afterReport returns the arrivals from hosts that had received an answer which
 // says so some time before.
-func afterReport(all []ranged.Arrival, says func(ranged.Says) bool, later time.Duration) []ranged.Arrival {
+func afterReport(all []rangeowner.Arrival, says func(rangeowner.Report) bool, later time.Duration) []rangeowner.Arrival {
 	received := map[string]time.Time{}
-	var out []ranged.Arrival
+	var out []rangeowner.Arrival
 	for _, a := range all {
 		at, ok := received[hostOf(a)]
 		if ok && a.At.Sub(at) > later {
 			out = append(out, a)
 		}
-		if !ok && says(a.Says) {
+		if !ok && says(a.Report) {
 			received[hostOf(a)] = a.At
 		}
 	}
@@ -81,13 +81,13 @@
 
 // feedbackFleet starts hosts and five upstreams of a service, and waits until they
 // serve.
-func feedbackFleet(t *testing.T, hosts int, service, route string) (*testFleet, []*ranged.Upstream) {
+func feedbackFleet(t *testing.T, hosts int, service, route string) (*testFleet, []*rangeowner.Upstream) {
 	f := newFleet(t, hosts, 0)
-	var ups []*ranged.Upstream
+	var ups []*rangeowner.Upstream
 	for i := range 5 {
-		ups = append(ups, f.addTo(service, fmt.Sprint("up", i)))
+		ups = append(ups, f.addServiceUpstream(service, fmt.Sprint("up", i)))
 	}
-	f.answers(route, "/x", startup)
+	f.waitAnswered(route, "/x", startupTimeout)
 	time.Sleep(4 * time.Second)
 	f.ask(route, 2*time.Second, 0)
 	return f, ups
@@ -99,20 +99,20 @@
 	for _, c := range services {
 		for _, limit := range []float64{1, 1.6, 8} {
 			t.Run(fmt.Sprint(c.name, " limit ", limit), func(t *testing.T) {
-				fleetTest(t, func(t *testing.T) {
+				runFleetTest(t, func(t *testing.T) {
 					f, ups := feedbackFleet(t, 12, c.name, c.route)
 					named := time.Now()
-					ups[0].Say(ranged.Says{Limit: limit})
+					ups[0].SetReport(rangeowner.Report{RateLimit: limit})
 					got := f.ask(c.route, 12*time.Second, 6*time.Second)
 					all := ups[0].Arrivals(named, time.Now())
-					counted := afterReport(all, func(s ranged.Says) bool { return s.Limit > 0 }, ranged.BoundAfter)
-					if n, most := ranged.Most(counted, ranged.LimitWindow), ranged.MostWithin(limit); n > most {
-						t.Errorf("%d requests within %v of an upstream that takes %v a second; at most %d", n, ranged.LimitWindow, limit, most)
+					counted := afterReport(all, func(s rangeowner.Report) bool { return s.RateLimit > 0 }, rangeowner.ReportGrace)
+					if n, most := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(limit); n > most {
+						t.Errorf("%d requests within %v of an upstream that takes %v a second; at most %d", n, rangeowner.RateLimitWindow, limit, most)
 					}
 					if got[http.StatusOK] < got.total()*9/10 {
 						t.Errorf("answers %v while four of five upstreams have room", got)
 					}
-					ups[0].Say(ranged.Says{})
+					ups[0].SetReport(rangeowner.Report{})
 					f.ask(c.route, 6*time.Second, 0)
 					const after = 2 * time.Second
 					n := len(ups[0].Arrivals(time.Now().Add(-after), time.Now()))
@@ -131,25 +131,25 @@
 	for _, c := range services {
 		for _, logLost := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " log lost ", logLost), func(t *testing.T) {
-				fleetTest(t, func(t *testing.T) {
+				runFleetTest(t, func(t *testing.T) {
 					f, ups := feedbackFleet(t, 6, c.name, c.route)
 					for _, h := range f.hosts {
-						h.log.lost.Store(logLost)
+						h.log.partitioned.Store(logLost)
 					}
 					said := time.Now()
-					ups[0].Say(ranged.Says{Leaving: true})
+					ups[0].SetReport(rangeowner.Report{Leaving: true})
 					got := f.ask(c.route, 5*time.Second, 2*time.Second)
-					late := afterReport(ups[0].Arrivals(said, time.Now()), func(s ranged.Says) bool { return s.Leaving }, ranged.DrainBound)
+					late := afterReport(ups[0].Arrivals(said, time.Now()), func(s rangeowner.Report) bool { return s.Leaving }, rangeowner.DrainGrace)
 					if len(late) > 0 {
-						t.Errorf("%d requests reached it more than %v after their host received the report; first %+v", len(late), ranged.DrainBound, late[0])
+						t.Errorf("%d requests reached it more than %v after their host received the report; first %+v", len(late), rangeowner.DrainGrace, late[0])
 					}
 					if !logLost && got[http.StatusOK] < got.total()*9/10 {
 						t.Errorf("answers %v while four of five upstreams stay", got)
 					}
 					for _, h := range f.hosts {
-						h.log.lost.Store(false)
+						h.log.partitioned.Store(false)
 					}
-					f.answers(c.route, "/x", startup)
+					f.waitAnswered(c.route, "/x", startupTimeout)
 				})
 			})
 		}
@@ -162,26 +162,26 @@
 	const rest = 3 * time.Second
 	for _, c := range services {
 		t.Run(c.name, func(t *testing.T) {
-			fleetTest(t, func(t *testing.T) {
+			runFleetTest(t, func(t *testing.T) {
 				f, ups := feedbackFleet(t, 6, c.name, c.route)
 				asked := time.Now()
-				ups[0].Say(ranged.Says{Rest: rest})
+				ups[0].SetReport(rangeowner.Report{Backoff: rest})
 				got := f.ask(c.route, 8*time.Second, 0)
-				byHost := map[string][]ranged.Arrival{}
+				byHost := map[string][]rangeowner.Arrival{}
 				for _, a := range ups[0].Arrivals(asked, time.Now()) {
 					byHost[hostOf(a)] = append(byHost[hostOf(a)], a)
 				}
 				for host, all := range byHost {
-					if n, _ := ranged.OverRest(all, rest, func(_, _ time.Time) bool { return true }); n > 0 {
-						t.Errorf("%d requests from %s within a rest of %v; at most %d", n, host, rest, ranged.RestSlack)
+					if n, _ := rangeowner.BackoffViolation(all, rest, func(_, _ time.Time) bool { return true }); n > 0 {
+						t.Errorf("%d requests from %s within a rest of %v; at most %d", n, host, rest, rangeowner.BackoffSlack)
 					}
 				}
 				if got[http.StatusOK] < got.total()*9/10 {
 					t.Errorf("answers %v while four of five upstreams have room", got)
 				}
-				ups[0].Say(ranged.Says{})
+				ups[0].SetReport(rangeowner.Report{})
 				time.Sleep(rest)
-				f.answers(c.route, "/x", startup)
+				f.waitAnswered(c.route, "/x", startupTimeout)
 			})
 		})
 	}
@@ -200,10 +200,10 @@
 			owners = append(owners, &catalogue.Upstream{ID: id})
 			load.Capacity[id] = 10
 			if i < c.resting {
-				reports.Learn("relay", []feedback.Notice{{Upstream: id, LimitAge: -1, RestHosts: restingHosts, RestLeft: time.Second}}, now)
+				reports.Merge("relay", []feedback.Notice{{Upstream: id, RateLimitAge: -1, BackoffHosts: minBackoffHosts, BackoffLeft: time.Second}}, now)
 			}
 		}
-		withinReports(&load, owners, reports, now)
+		applyReportedLimits(&load, owners, reports, now)
 		capped := 0
 		for _, capacity := range load.Capacity {
 			if capacity < 10 {
@@ -219,21 +219,21 @@
 // Owners whose limit has ended must be asked again once the others are busy: one that
 // gets nothing cannot report the end, and each limit would cost the service an owner.
 func TestOwnersAreUsedAgainAfterTheirLimit(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 12, 0)
-		var ups []*ranged.Upstream
+		var ups []*rangeowner.Upstream
 		for i := range 5 {
-			u := f.start("sheets", fmt.Sprint("up", i))
-			f.put(u, catalogue.Upstream{Service: "sheets", DataCentre: "dc", Slots: 1})
+			u := f.startUpstream("sheets", fmt.Sprint("up", i))
+			f.putEntry(u, catalogue.Upstream{Service: "sheets", DataCentre: "dc", Slots: 1})
 			ups = append(ups, u)
 		}
-		f.answers("read.example", "/x", startup)
+		f.waitAnswered("read.example", "/x", startupTimeout)
 		time.Sleep(4 * time.Second)
 		f.ask("read.example", 3*time.Second, 0)
 		for _, u := range ups[:3] {
-			u.Say(ranged.Says{Limit: 1.2})
+			u.SetReport(rangeowner.Report{RateLimit: 1.2})
 			f.ask("read.example", 5*time.Second, 0)
-			u.Say(ranged.Says{})
+			u.SetReport(rangeowner.Report{})
 			f.ask("read.example", 12*time.Second, 0)
 		}
 		now := time.Now()
--- a/internal/entryhost/fleet_test.go
+++ b/internal/entryhost/fleet_test.go
@@ -7,21 +7,21 @@
 	"testing"
 	"time"
 
-	"github.com/papayatide/papayatide/internal/standin/ranged"
+	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
 const (
-	hold     = time.Second
-	startup  = 5 * time.Second
-	handover = hold + hold/2 + time.Second
+	testGrantTTL   = time.Second
+	startupTimeout = 5 * time.Second
+	maxHandover    = testGrantTTL + testGrantTTL/2 + time.Second
 )
 
 // Every key is served through every host soon after the fleet starts.
 func TestFleetServesEveryKey(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 4)
 		for _, h := range f.hosts {
-			f.served(h, startup)
+			f.waitServed(h, startupTimeout)
 		}
 	})
 }
@@ -29,17 +29,17 @@
 // An upstream dies. Its keys are served again by others once its lease has
 // run out, through all hosts.
 func TestKeysOfALostUpstreamAreServedAgain(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
-		f.served(f.hosts[0], startup)
-		var victim *ranged.Upstream
-		for _, u := range f.ups {
+		f.waitServed(f.hosts[0], startupTimeout)
+		var victim *rangeowner.Upstream
+		for _, u := range f.upstreams {
 			victim = u
 			break
 		}
-		f.cut(victim)
+		f.killUpstream(victim)
 		for _, h := range f.hosts {
-			t.Logf("served again after %v", f.served(h, handover))
+			t.Logf("served again after %v", f.waitServed(h, maxHandover))
 		}
 	})
 }
@@ -47,16 +47,16 @@
 // An upstream announces that it leaves. Within two seconds it gets nothing
 // new, and its keys are served by others, warm.
 func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
-		f.served(f.hosts[0], startup)
-		var leaver *ranged.Upstream
-		for _, u := range f.ups {
+		f.waitServed(f.hosts[0], startupTimeout)
+		var leaver *rangeowner.Upstream
+		for _, u := range f.upstreams {
 			leaver = u
 			break
 		}
-		f.list(leaver, true)
-		f.served(f.hosts[1], 2*time.Second)
+		f.register(leaver, true)
+		f.waitServed(f.hosts[1], 2*time.Second)
 		before := len(leaver.Runs())
 		for k := range 200 {
 			f.hosts[k%2].call("GET", "read.example", fmt.Sprint("after-", k), k*327)
@@ -71,12 +71,12 @@
 // answers what is under way, and another host plans on without a key being
 // unserved.
 func TestPlannedStopOfThePlanner(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 3)
-		f.served(f.hosts[0], startup)
+		f.waitServed(f.hosts[0], startupTimeout)
 		var planner, other *testHost
 		for _, h := range f.hosts {
-			if h.cfg.Host == f.log.Holder() {
+			if h.cfg.Host == f.log.LeaseHolder() {
 				planner = h
 			} else {
 				other = h
@@ -113,11 +113,11 @@
 // served from what was agreed before, and the desired state published
 // meanwhile comes into force soon after.
 func TestLogOutageLeavesKeysServed(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
-		f.served(f.hosts[0], startup)
+		f.waitServed(f.hosts[0], startupTimeout)
 		f.log.SetDown(true)
-		for end := time.Now().Add(hold + hold/2); time.Now().Before(end); {
+		for end := time.Now().Add(testGrantTTL + testGrantTTL/2); time.Now().Before(end); {
 			if status, body := f.hosts[0].call("GET", "read.example", fmt.Sprint("out-", time.Now().UnixNano()), 12345); status != http.StatusOK {
 				t.Fatalf("a key is unserved while the log is down: %d %s", status, body)
 			}
@@ -125,7 +125,7 @@
 		}
 		f.log.SetDown(false)
 		for _, h := range f.hosts {
-			f.served(h, 2*time.Second)
+			f.waitServed(h, 2*time.Second)
 		}
 	})
 }
@@ -133,18 +133,18 @@
 // The log forgets its history. Hosts go on from the newest records, and what
 // changes afterwards reaches them all.
 func TestForgottenHistory(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 2)
-		f.served(f.hosts[0], startup)
-		f.log.Forget()
+		f.waitServed(f.hosts[0], startupTimeout)
+		f.log.Compact()
 		added := f.addUpstream("late")
-		for _, u := range f.ups {
+		for _, u := range f.upstreams {
 			if u != added {
-				f.list(u, true)
+				f.register(u, true)
 			}
 		}
 		for _, h := range f.hosts {
-			f.served(h, handover)
+			f.waitServed(h, maxHandover)
 		}
 	})
 }
@@ -152,11 +152,11 @@
 // All hosts follow the planner's copy: what the log service is asked does
 // not grow with the number of hosts.
 func TestCallsDoNotGrowWithHosts(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		reads := func(hosts int) int {
 			f := newFleet(t, hosts, 3)
 			for _, h := range f.hosts {
-				f.served(h, startup)
+				f.waitServed(h, startupTimeout)
 			}
 			time.Sleep(time.Second)
 			before := f.log.Calls("read")
--- a/internal/entryhost/follow.go
+++ b/internal/entryhost/follow.go
@@ -17,12 +17,12 @@
 	// short; at 0.7 s two streams cost 2.9 calls a second for the whole
 	// fleet. The ownership stream has no other writer than the planner,
 	// which looks every idlePause whether that still holds.
-	planningWait = 700 * time.Millisecond
-	idlePause    = 100 * time.Millisecond
-	// directWait is the wait of hosts that cannot follow the planner. It
+	plannerLongPoll = 700 * time.Millisecond
+	idlePause       = 100 * time.Millisecond
+	// directLongPoll is the wait of hosts that cannot follow the planner. It
 	// bounds how long a record stays unseen if the service misses waking
 	// the reader, as was seen right after a cut healed.
-	directWait = 1500 * time.Millisecond
+	directLongPoll = 1500 * time.Millisecond
 	// Pauses after a read that failed. They are short, as a host must know
 	// what it missed within three seconds of a cut's end, of which two pass
 	// in telling lapsed entries from upstreams that left. One reader of the
@@ -39,35 +39,35 @@
 	// and of a host that reads for itself. When a fleet starts every host
 	// does, and every upstream writes: 91 hosts made some 1,800 calls in two
 	// seconds with the short pause.
-	gatherPlanning = 150 * time.Millisecond
-	gatherDirect   = 600 * time.Millisecond
+	upstreamBatchDelayPlanner = 150 * time.Millisecond
+	upstreamBatchDelayDirect  = 600 * time.Millisecond
 	// The same after a read of servers' ends.
-	gatherEndsPlanning = 300 * time.Millisecond
-	gatherEndsDirect   = 2 * time.Second
+	crashBatchDelayPlanner = 300 * time.Millisecond
+	crashBatchDelayDirect  = 2 * time.Second
 )
 
-// follower reads one stream from the log service itself.
-type follower struct {
+// streamReader reads one stream from the log service itself.
+type streamReader struct {
 	store  metastore.Store
 	stream metastore.Stream
 	// delay, if set, says how long to pause before the first read.
-	delay func() time.Duration
-	// gather says how long to pause after a read that returned records.
-	gather func() time.Duration
-	copy   *relay.Copy
-	// wait says how long the next read may wait.
-	wait func() time.Duration
+	startDelay func() time.Duration
+	// batchDelay says how long to pause after a read that returned records.
+	batchDelay func() time.Duration
+	replica    *relay.Replica
+	// maxWait says how long the next read may wait.
+	maxWait func() time.Duration
 	// apply is handed what was read, failed each error and nil after a
 	// success.
-	apply  func(relay.Batch)
-	failed func(error)
+	apply    func(relay.Batch)
+	onResult func(error)
 	// idle, if set, says that the stream need not be read at present.
-	idle func() bool
-	// prompt readers do not wait for a record the first time: others follow this
+	skip func() bool
+	// firstReadNoWait readers do not wait for a record the first time: others follow this
 	// host's copy, and until a read has returned it is as old as it was.
-	prompt bool
-	// lead is the reader that tries while the service fails.
-	lead   bool
+	firstReadNoWait bool
+	// probes is the reader that tries while the service fails.
+	probes bool
 	health *health
 }
 
@@ -110,52 +110,52 @@
 }
 
 // run follows the stream until ctx ends.
-func (f *follower) run(ctx context.Context) {
-	if f.delay != nil {
-		pause(ctx, f.delay())
+func (f *streamReader) run(ctx context.Context) {
+	if f.startDelay != nil {
+		sleep(ctx, f.startDelay())
 	}
 	backoff := retryReadFirst
-	next := f.copy.Next(f.stream)
-	noWait := f.prompt
+	next := f.replica.NextOffset(f.stream)
+	noWait := f.firstReadNoWait
 	for ctx.Err() == nil {
-		if f.idle != nil && f.idle() {
-			pause(ctx, idlePause)
+		if f.skip != nil && f.skip() {
+			sleep(ctx, idlePause)
 			continue
 		}
-		wait := f.wait()
+		wait := f.maxWait()
 		if noWait {
 			wait = 0
 		}
-		at, err := f.read(ctx, max(next, f.copy.Next(f.stream)), wait)
+		at, err := f.read(ctx, max(next, f.replica.NextOffset(f.stream)), wait)
 		if ctx.Err() != nil {
 			return
 		}
 		noWait = err != nil // waiting for a record would keep the service's return unseen
-		f.failed(err)
-		if f.lead {
+		f.onResult(err)
+		if f.probes {
 			f.health.set(err == nil)
 		}
 		if err != nil {
-			pause(ctx, backoff/2+rand.N(backoff))
+			sleep(ctx, backoff/2+rand.N(backoff))
 			backoff = min(backoff*2, retryReadMost)
-			if !f.lead {
+			if !f.probes {
 				f.health.await(ctx, awaitLead)
 			}
 			continue
 		}
 		backoff = retryReadFirst
 		if at > next {
-			pause(ctx, f.gather())
+			sleep(ctx, f.batchDelay())
 		}
 		next = at
 	}
 }
 
-// try makes one read, as run does, and returns why it failed.
-func (f *follower) try(ctx context.Context) error {
-	_, err := f.read(ctx, f.copy.Next(f.stream), 0)
+// readOnce makes one read, as run does, and returns why it failed.
+func (f *streamReader) readOnce(ctx context.Context) error {
+	_, err := f.read(ctx, f.replica.NextOffset(f.stream), 0)
 	if ctx.Err() == nil {
-		f.failed(err)
+		f.onResult(err)
 	}
 	return err
 }
@@ -163,13 +163,13 @@
 // read makes one read from offset next, which may wait so long for a record, or
 // of the newest records if next is negative or no longer kept, and returns the
 // offset to go on from.
-func (f *follower) read(ctx context.Context, next int64, wait time.Duration) (int64, error) {
+func (f *streamReader) read(ctx context.Context, next int64, wait time.Duration) (int64, error) {
 	if next >= 0 {
 		b, err := f.records(ctx, next, wait)
 		if err == nil {
-			f.copy.Current(f.stream, time.Now())
+			f.replica.MarkCurrent(f.stream, time.Now())
 			if len(b.Records) > 0 {
-				f.apply(relay.Batch{Stream: f.stream, Records: b.Records, Next: b.Next})
+				f.apply(relay.Batch{Stream: f.stream, Records: b.Records, NextOffset: b.Next})
 			}
 			return b.Next, nil
 		}
@@ -182,13 +182,13 @@
 	if err != nil {
 		return next, err
 	}
-	f.copy.Current(f.stream, asked)
-	f.apply(relay.Batch{Stream: f.stream, Reset: true, Records: recs, Next: end})
+	f.replica.MarkCurrent(f.stream, asked)
+	f.apply(relay.Batch{Stream: f.stream, Reset: true, Records: recs, NextOffset: end})
 	return end, nil
 }
 
 // records reads from offset next on.
-func (f *follower) records(ctx context.Context, next int64, wait time.Duration) (metastore.Batch, error) {
+func (f *streamReader) records(ctx context.Context, next int64, wait time.Duration) (metastore.Batch, error) {
 	if wait == 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, lookTimeout)
@@ -197,7 +197,7 @@
 	return f.store.Read(ctx, f.stream, next, wait)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/entryhost/gauges.go
+++ b/internal/entryhost/gauges.go
@@ -14,9 +14,9 @@
 	if st := h.views.Load().Desired; st != nil {
 		metrics.WriteGaugeUint64(w, "papayatide_desired_version", uint64(st.Version))
 	}
-	metrics.WriteGaugeFloat64(w, "papayatide_view_age_seconds", h.control.copy.Age(now).Seconds())
+	metrics.WriteGaugeFloat64(w, "papayatide_view_age_seconds", h.controller.replica.Age(now).Seconds())
 	metrics.WriteGaugeUint64(w, "papayatide_hosts", uint64(h.fleet.Size(now)))
-	metrics.WriteGaugeUint64(w, "papayatide_planning", asNumber(h.control.planning.Load()))
+	metrics.WriteGaugeUint64(w, "papayatide_planning", asNumber(h.controller.planning.Load()))
 	metrics.WriteCounterUint64(w, "papayatide_log_lines_dropped_total", uint64(h.plat.LogDropped()))
 	for service, t := range h.views.Load().Tables {
 		owned := 0
@@ -30,13 +30,13 @@
 		metrics.WriteGaugeUint64(w, "papayatide_owned_ranges"+label, uint64(owned))
 		metrics.WriteGaugeUint64(w, "papayatide_lost_owners"+label, uint64(len(t.Lost)))
 	}
-	known, refused := h.control.crashes.ledger.Counts()
+	known, refused := h.controller.crashes.ledger.Counts()
 	metrics.WriteGaugeUint64(w, "papayatide_contents_with_ends", uint64(known))
 	metrics.WriteGaugeUint64(w, "papayatide_contents_refused", uint64(refused))
 	limited, leaving := h.feedback.Counts()
 	metrics.WriteGaugeUint64(w, "papayatide_upstreams_limited", uint64(limited))
 	metrics.WriteGaugeUint64(w, "papayatide_upstreams_reported_leaving", uint64(leaving))
-	for service, left := range h.budget.Left(now) {
+	for service, left := range h.budget.Remaining(now) {
 		metrics.WriteGaugeFloat64(w, `papayatide_repeats_left{service="`+service+`"}`, left)
 	}
 }
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -101,28 +101,28 @@
 )
 
 type host struct {
-	cfg      *settings.Entry
-	zl       *zap.Logger
-	views    *view.Holder
-	control  *control
-	dispatch *dispatch.Dispatcher
-	client   *upstream.Client
-	board    *balance.Board
-	budget   *budget.Budget
-	feedback *feedback.Tracker
+	cfg        *settings.EntryHost
+	zl         *zap.Logger
+	views      *view.Publisher
+	controller *controller
+	dispatch   *dispatch.Dispatcher
+	client     *upstream.Client
+	board      *balance.Picker
+	budget     *budget.Budget
+	feedback   *feedback.Tracker
 	// allocator divides upstreams' rate limits among the hosts while this one plans.
 	allocator *ratelimit.Allocator
 	peers     *peer.Client
-	feed      *feed
+	logSyncer *logSyncer
 	fleet     *fleet.Fleet
-	// eager hosts are strong enough to plan and to relay.
-	eager    bool
-	reporter *reporter
-	uses     *uses
-	plat     Platform
-	front    *http.Server
-	stopping atomic.Bool
-	inFlight atomic.Int64
+	// candidate hosts are strong enough to plan and to relay.
+	candidate          bool
+	loadSampler        *loadSampler
+	inFlightAggregator *inFlightAggregator
+	plat               Platform
+	front              *http.Server
+	stopping           atomic.Bool
+	inFlight           atomic.Int64
 	// dropped is how many dropped log lines were told of.
 	dropped int64
 }
@@ -131,71 +131,71 @@
 // stop: the host reports unready, serves on until the platform sends it no
 // more callers, and ends when the requests under way are answered. Each
 // value from reload replaces the settings that can change at run time.
-func Run(ctx context.Context, cfg *settings.Entry, plat Platform, reload <-chan *settings.Entry, zl *zap.Logger) error {
+func Run(ctx context.Context, cfg *settings.EntryHost, plat Platform, reload <-chan *settings.EntryHost, zl *zap.Logger) error {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryShare * (1 << 20)))
 	h := newHost(cfg, plat, zl)
 	var g run.Group
 	work, cancel := context.WithCancel(context.Background())
-	h.feedback.Changed = func(c feedback.Change) { h.reported(work, c) }
-	g.Add(func() error { h.control.run(work); return nil }, func(error) { cancel() })
-	g.Add(func() error { h.control.crashes.run(work); return nil }, func(error) { cancel() })
-	h.feed = h.newFeed(work)
-	g.Add(func() error { h.feed.run(work); return nil }, func(error) { cancel() })
+	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamReport(work, c) }
+	g.Add(func() error { h.controller.run(work); return nil }, func(error) { cancel() })
+	g.Add(func() error { h.controller.crashes.run(work); return nil }, func(error) { cancel() })
+	h.logSyncer = h.newLogSyncer(work)
+	g.Add(func() error { h.logSyncer.run(work); return nil }, func(error) { cancel() })
 	g.Add(func() error { h.housekeep(work, reload); return nil }, func(error) { cancel() })
 	if err := h.listen(work, &g); err != nil {
 		cancel()
 		return err
 	}
 	g.Add(func() error { return h.awaitStop(ctx, work) }, func(error) { cancel() })
-	zl.Info("started", zap.Int("event", events.EntryStarted), zap.String("host", cfg.Host), zap.String("data_centre", cfg.DataCentre),
-		zap.Float64("cpu_share", cfg.CPUShare), zap.Float64("link_mbps", cfg.LinkMbps), zap.Bool("eager", h.eager))
+	zl.Info("started", zap.Int("event", events.EntryHostStarted), zap.String("host", cfg.Host), zap.String("data_centre", cfg.DataCentre),
+		zap.Float64("cpu_share", cfg.CPUShare), zap.Float64("link_mbps", cfg.LinkMbps), zap.Bool("eager", h.candidate))
 	err := g.Run()
-	zl.Info("stopped", zap.Int("event", events.EntryStopped), ErrorField(err))
+	zl.Info("stopped", zap.Int("event", events.EntryHostStopped), ErrorField(err))
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
 }
 
-func newHost(cfg *settings.Entry, plat Platform, zl *zap.Logger) *host {
-	h := &host{cfg: cfg, zl: zl, views: view.NewHolder(), client: upstream.NewClient(plat.Headers), board: balance.NewBoard(cfg.Host),
-		budget: budget.New(shareOfBudget(cfg, 1), time.Now()), reporter: newReporter(), allocator: ratelimit.NewAllocator(), plat: plat, fleet: fleet.New(cfg.DataCentre),
-		eager: cfg.CPUShare >= eagerCPU && cfg.LinkMbps >= eagerLink,
-		peers: peer.NewClient(&http.Client{Transport: plat.peerTransport()})}
+func newHost(cfg *settings.EntryHost, plat Platform, zl *zap.Logger) *host {
+	h := &host{cfg: cfg, zl: zl, views: view.NewPublisher(), client: upstream.NewClient(plat.Headers), board: balance.NewPicker(cfg.Host),
+		budget: budget.New(shareOfBudget(cfg, 1), time.Now()), loadSampler: newLoadSampler(), allocator: ratelimit.NewAllocator(), plat: plat, fleet: fleet.New(cfg.DataCentre),
+		candidate: cfg.CPUShare >= candidateMinCPU && cfg.LinkMbps >= candidateMinLinkMbps,
+		peers:     peer.NewClient(&http.Client{Transport: plat.peerTransport()})}
 	if plat.Net != nil {
 		h.client.Dial = plat.Net.Dial
 	}
-	h.uses = newUses(cfg.Host, cfg.DataCentre, h.board, func() *catalogue.Snapshot { return h.views.Load().Upstreams })
-	h.control = newControl(zl, plat.Store, plat.Decoder, plat.Granter, h.views, planner.Options{Host: cfg.Host, PeerAddr: cfg.PeerListen,
-		Hold: cfg.Hold, ViewAge: cfg.ViewAge, SeatTTL: max(cfg.SeatMin, seatTTL), Eager: h.eager},
-		cfg.Evacuate)
-	h.feedback, h.control.drain = h.control.feedback, cfg.Drain
+	h.inFlightAggregator = newInFlightAggregator(cfg.Host, cfg.DataCentre, h.board, func() *catalogue.Snapshot { return h.views.Load().Upstreams })
+	h.controller = newController(zl, plat.Store, plat.Decoder, plat.Granter, h.views, planner.Options{Host: cfg.Host, PeerAddr: cfg.PeerListen,
+		GrantTTL: cfg.GrantTTL, MaxViewAge: cfg.MaxViewAge, LeaseTTL: max(cfg.MinLeaseTTL, leaseTTL), Candidate: h.candidate},
+		cfg.EvacuationTimeout)
+	h.feedback, h.controller.drainTimeout = h.controller.feedback, cfg.DrainTimeout
 	if plat.Clock != nil {
-		h.control.clock = plat.Clock
+		h.controller.clock = plat.Clock
 	}
-	h.control.crashes = newCrashLog(zl, plat.Store, h.control.planning.Load)
-	h.dispatch = dispatch.New(plat.Headers, cfg.DataCentre, h.views, h.client, h.board, h.budget, h.control.crashes.ledger, h.feedback,
-		ratelimit.NewLimiter(reportedLimit, h.askLeave))
-	h.dispatch.Ended, h.dispatch.BrokeOff = h.ended, h.brokeOff
-	h.dispatch.SlowStart = ratelimit.Bounds{Factor: cfg.SlowStartFactor, Slack: cfg.SlowStartSlack, Window: slowStartWindow}
-	h.control.retirer = h.peers
-	h.control.seats.hosts = func() int { return h.fleet.Size(time.Now()) }
-	h.control.eagerAlive = func() bool { return h.fleet.EagerAlive(time.Now()) }
+	h.controller.crashes = newCrashLog(zl, plat.Store, h.controller.planning.Load)
+	h.dispatch = dispatch.New(plat.Headers, cfg.DataCentre, h.views, h.client, h.board, h.budget, h.controller.crashes.ledger, h.feedback,
+		ratelimit.NewLimiter(reportedLimitBounds, h.requestPermits))
+	h.dispatch.OnRequestDone, h.dispatch.OnBrokenSend = h.onRequestEnd, h.onBrokenSend
+	h.dispatch.SlowStartBounds = ratelimit.Bounds{Factor: cfg.SlowStartFactor, Slack: cfg.SlowStartSlack, Window: slowStartWindow}
+	h.controller.retirer = h.peers
+	h.controller.elector.fleetSize = func() int { return h.fleet.Size(time.Now()) }
+	h.controller.candidateAlive = func() bool { return h.fleet.HasLiveCandidate(time.Now()) }
 	return h
 }
 
 // eagerCPU (parts of a core) and eagerLink (Mbit/s) are what a host needs to
 // plan for a hundred others: a change of ownership sends each some 5 KB, and
 // a change of load brings several a second.
-const eagerCPU, eagerLink = 0.3, 100
+const candidateMinCPU, candidateMinLinkMbps = 0.3, 100
 
 // seatTTL is how long the planner's seat outlives its holder's last word.
-const seatTTL = 1200 * time.Millisecond
+const leaseTTL = 1200 * time.Millisecond
 
 // shareOfBudget is this host's part of the repeats in a fleet of so many.
-func shareOfBudget(cfg *settings.Entry, hosts int) budget.Limits {
-	return budget.Limits{Ratio: cfg.RepeatRatio, Slack: cfg.RepeatSlack / float64(max(hosts, assumedHosts)), Window: cfg.RepeatWindow}
+func shareOfBudget(cfg *settings.EntryHost, hosts int) budget.Limits {
+	return budget.Limits{Ratio: cfg.RetryBudgetRatio, Slack: cfg.RetryBudgetSlack / float64(max(hosts, assumedHosts)), Window: cfg.RetryBudgetWindow}
 }
 
 // listen adds the host's servers.
@@ -211,11 +211,11 @@
 		return err
 	}
 	peers := http.NewServeMux()
-	ps := peerpb.NewPeerServer(&peer.Server{Copy: h.control.copy, Standing: h.standing, Fleet: h.fleet, Name: h.cfg.Host, Tell: h.status, Retired: h.retire,
-		Loads: func(l []peer.ServiceLoad) { h.loadsFrom(work, l) }, Uses: h.uses.take, Others: h.uses.others,
-		Feedback: h.feedback, Leave: h.leave})
+	ps := peerpb.NewPeerServer(&peer.Server{Copy: h.controller.replica, ReplicaStatus: h.replicaStatus, Fleet: h.fleet, Name: h.cfg.Host, HostStatus: h.status, RetireTermsBefore: h.retire,
+		OnLoads: func(l []peer.ServiceLoad) { h.receiveLoads(work, l) }, OnLoadStats: h.inFlightAggregator.report, PeerLoads: h.inFlightAggregator.othersInFlight,
+		Feedback: h.feedback, AcquirePermits: h.issuePermits})
 	peers.Handle(ps.PathPrefix(), ps)
-	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Ledger: h.control.crashes.ledger, Log: h.zl})
+	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.ledger, Log: h.zl})
 	peers.Handle(rs.PathPrefix(), rs)
 	if err := h.addServer(work, g, h.cfg.PeerListen, &http.Server{Handler: peers, ReadHeaderTimeout: headerTimeout}); err != nil {
 		return err
@@ -272,22 +272,22 @@
 	}
 	h.stopping.Store(true)
 	began := time.Now()
-	h.zl.Info("stopping", zap.Int("event", events.EntryStopping), zap.Int64("in_flight", h.inFlight.Load()))
-	last := began.Add(h.cfg.Grace - stopMargin)
+	h.zl.Info("stopping", zap.Int("event", events.EntryHostStopping), zap.Int64("in_flight", h.inFlight.Load()))
+	last := began.Add(h.cfg.ShutdownGrace - stopMargin)
 	h.dispatch.StopBy(last.Add(-answerMargin))
-	h.control.leave(work)
+	h.controller.resign(work)
 	time.Sleep(noticed)
 	// Shutdown, unlike Close, lets answers that are being written go out.
 	sctx, cancel := context.WithDeadline(work, last)
 	defer cancel()
 	if err := h.front.Shutdown(sctx); err != nil {
-		h.zl.Warn("stopped with requests under way", zap.Int("event", events.EntryStopping), zap.Int64("in_flight", h.inFlight.Load()), ErrorField(err))
+		h.zl.Warn("stopped with requests under way", zap.Int("event", events.EntryHostStopping), zap.Int64("in_flight", h.inFlight.Load()), ErrorField(err))
 	}
 	return ctx.Err()
 }
 
 // housekeep closes what is no longer used and takes in changed settings.
-func (h *host) housekeep(ctx context.Context, reload <-chan *settings.Entry) {
+func (h *host) housekeep(ctx context.Context, reload <-chan *settings.EntryHost) {
 	t := time.NewTicker(pruneEvery)
 	defer t.Stop()
 	current := h.cfg
@@ -301,12 +301,12 @@
 		case now := <-t.C:
 			h.noteDropped()
 			hosts := h.fleet.Size(now)
-			h.dispatch.SetFleet(hosts, h.fleetKnown(now))
+			h.dispatch.SetHostCount(hosts, h.fleetKnown(now))
 			h.budget.SetLimits(shareOfBudget(current, hosts))
 			keep := known(h.views.Load().Upstreams)
 			h.client.Prune(now, keep)
 			h.board.Prune(keep)
-			h.board.Confirm(h.control.copy.CurrentAt(metastore.StreamUpstreams))
+			h.board.MarkSynced(h.controller.replica.CurrentAt(metastore.StreamUpstreams))
 			h.feedback.Prune(keep, now)
 			h.dispatch.Prune()
 		}
@@ -316,7 +316,7 @@
 // fleetKnown reports whether the fleet's size rests on the planner's word, or,
 // on a planner, on the calls of the others, who have had time to find it.
 func (h *host) fleetKnown(now time.Time) bool {
-	return h.fleet.WasTold() || (h.control.planning.Load() && now.Sub(h.feed.started) > gatherFleet)
+	return h.fleet.HasPlannerSize() || (h.controller.planning.Load() && now.Sub(h.logSyncer.startedAt) > gatherFleet)
 }
 
 // gatherFleet is how long after its start a planner that nobody told how many
@@ -327,7 +327,7 @@
 func (h *host) noteDropped() {
 	total := h.plat.LogDropped()
 	if total > h.dropped {
-		h.zl.Warn("log lines dropped", zap.Int("event", events.LinesDropped), zap.Int64("dropped", total-h.dropped))
+		h.zl.Warn("log lines dropped", zap.Int("event", events.LogLinesDropped), zap.Int64("dropped", total-h.dropped))
 	}
 	h.dropped = total
 }
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -25,12 +25,12 @@
 func strongAndWeak(t *testing.T, weak int) *testFleet {
 	t.Helper()
 	f := newFleet(t, 3, 3)
-	f.addTo("plain", "plain0")
+	f.addServiceUpstream("plain", "plain0")
 	for i := range weak {
 		f.startHostWith(fmt.Sprint("weak", i), weakCPU)
 	}
 	for _, h := range f.hosts {
-		f.served(h, startup)
+		f.waitServed(h, startupTimeout)
 	}
 	time.Sleep(2 * time.Second)
 	return f
@@ -42,13 +42,13 @@
 // force on every host in time, and no upstream is taken for gone whose entry
 // lapsed meanwhile.
 func TestFewAskALogServiceThatFails(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		const hosts, outage = 40, 8 * time.Second
 		f := strongAndWeak(t, hosts)
-		before := f.log.Priced()
+		before := f.log.WeightedCalls()
 		f.log.SetDown(true)
 		time.Sleep(outage)
-		calls := f.log.Priced() - before
+		calls := f.log.WeightedCalls() - before
 		t.Logf("%.0f calls while it was down", calls)
 		// The strong ones ask some ten times a second in all, the weak ones
 		// once each and then a few of them a second.
@@ -57,10 +57,10 @@
 		}
 		f.log.SetDown(false)
 		f.log.Put(metastore.StreamDesired, "state", []byte("2"))
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		for _, h := range f.hosts {
 			if v := h.version(t); v != 2 {
-				t.Errorf("%s is at version %d, %v after the service's return", h.cfg.Host, v, settled)
+				t.Errorf("%s is at version %d, %v after the service's return", h.cfg.Host, v, settleTime)
 			}
 		}
 	})
@@ -70,26 +70,26 @@
 // of the log themselves, five calls a host for each change of planner. Those
 // behind a relay that lives need not.
 func TestChangeOfPlannerCostsFewCalls(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		const hosts = 30
 		f := strongAndWeak(t, hosts)
 		var planner *testHost
 		for _, h := range f.hosts {
-			if h.cfg.Host == f.log.Holder() {
+			if h.cfg.Host == f.log.LeaseHolder() {
 				planner = h
 			}
 		}
-		before := f.log.Priced()
-		f.lose(planner)
+		before := f.log.WeightedCalls()
+		f.isolateHost(planner)
 		time.Sleep(6 * time.Second)
-		calls := f.log.Priced() - before
+		calls := f.log.WeightedCalls() - before
 		t.Logf("%.0f calls", calls)
 		if most := 2 * hosts; calls > float64(most) {
 			t.Errorf("%.0f calls for a change of planner, want at most %d", calls, most)
 		}
 		for _, h := range f.hosts {
 			if h != planner {
-				f.served(h, handover)
+				f.waitServed(h, maxHandover)
 			}
 		}
 	})
@@ -143,12 +143,12 @@
 		for range 20 {
 			log := &silentStore{Log: memstore.New()}
 			log.Put(metastore.StreamUpstreams, "u", []byte(`{"ID":"u","Service":"plain"}`))
-			views := view.NewHolder()
-			c := newControl(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
+			views := view.NewPublisher()
+			c := newController(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
 			c.crashes = newCrashLog(zap.NewNop(), log, c.planning.Load)
 			ctx, cancel := context.WithCancel(t.Context())
 			go c.run(ctx)
-			own, rest := c.followers(ctx)
+			own, rest := c.newStreamReaders(ctx)
 			for _, f := range append(rest, own) {
 				go f.run(ctx)
 			}
@@ -157,9 +157,9 @@
 			time.Sleep(8*time.Second + rand.N(time.Second))
 			log.Put(metastore.StreamUpstreams, "u", nil)
 			log.cut.Store(false)
-			time.Sleep(settled)
+			time.Sleep(settleTime)
 			if u := views.Load().Upstreams.ByID["u"]; u != nil && !u.Leaving {
-				t.Errorf("%v after the cut's end the upstream is taken for one that stays", settled)
+				t.Errorf("%v after the cut's end the upstream is taken for one that stays", settleTime)
 			}
 			cancel()
 			synctest.Wait()
--- a/internal/entryhost/plannerlog.go
+++ b/internal/entryhost/plannerlog.go
@@ -12,19 +12,19 @@
 	number int
 	text   string
 }{
-	planner.SeatTaken:      {events.PlannerSeatTaken, "planner's seat taken"},
-	planner.SeatLost:       {events.PlannerSeatLost, "planner's seat lost"},
+	planner.LeaseAcquired:  {events.PlannerLeaseAcquired, "planner's seat taken"},
+	planner.LeaseLost:      {events.PlannerLeaseLost, "planner's seat lost"},
 	planner.TermStarted:    {events.PlannerTermStarted, "planner's term started"},
 	planner.TermEnded:      {events.PlannerTermEnded, "planner's term ended"},
 	planner.TableRecorded:  {events.OwnershipRecorded, "ownership recorded"},
 	planner.RecordConflict: {events.OwnershipConflict, "ownership record lost a race"},
 	planner.UpstreamLost:   {events.OwnerLost, "upstream answers no grants; its keys move once its grants have run out"},
-	planner.GrantRefused:   {events.GrantRefused, "grant refused"},
+	planner.GrantRejected:  {events.GrantRejected, "grant refused"},
 	planner.ReleaseFailed:  {events.ReleaseFailed, "release failed"},
 }
 
-// notePlanner logs a change of the planner's belief.
-func (c *control) notePlanner(e planner.Event) {
+// logPlannerEvent logs a change of the planner's belief.
+func (c *controller) logPlannerEvent(e planner.Event) {
 	line := plannerLines[e.Kind]
 	fields := []zap.Field{zap.Int("event", line.number)}
 	if e.Service != "" {
@@ -34,13 +34,13 @@
 		fields = append(fields, zap.String("peer", e.Upstream))
 	}
 	if e.Table != nil {
-		fields = append(fields, zap.Int64("term", e.Table.Term), zap.Int64("fence", e.Table.Fence), zap.Int("ranges", len(e.Table.Ranges)))
+		fields = append(fields, zap.Int64("term", e.Table.Term), zap.Int64("fence", e.Table.MaxFencingToken), zap.Int("ranges", len(e.Table.Ranges)))
 	}
 	if e.Cause != "" {
 		fields = append(fields, zap.String("cause", e.Cause))
 	}
-	if e.Untold > 0 {
-		fields = append(fields, zap.Int("untold", e.Untold))
+	if e.Suppressed > 0 {
+		fields = append(fields, zap.Int("untold", e.Suppressed))
 	}
 	if e.Age != 0 {
 		fields = append(fields, zap.Duration("age", e.Age))
--- a/internal/entryhost/records.go
+++ b/internal/entryhost/records.go
@@ -14,9 +14,9 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// take hands a batch that was read to the control goroutine and returns once
+// applyAndWait hands a batch that was read to the control goroutine and returns once
 // it was taken in, so that the next read goes on behind it.
-func (c *control) take(ctx context.Context, b relay.Batch) {
+func (c *controller) applyAndWait(ctx context.Context, b relay.Batch) {
 	done := make(chan struct{})
 	c.post(ctx, func() {
 		c.apply(b)
@@ -29,12 +29,12 @@
 }
 
 // apply takes in the part of a batch that is new.
-func (c *control) apply(b relay.Batch) {
+func (c *controller) apply(b relay.Batch) {
 	if len(b.Changes) > 0 {
 		c.applyChanges(b)
 		return
 	}
-	fresh := c.copy.Apply(b)
+	fresh := c.replica.Apply(b)
 	if fresh == nil {
 		return
 	}
@@ -45,21 +45,21 @@
 	case metastore.StreamUpstreams:
 		c.applyUpstreams(fresh.Records, fresh.Reset)
 	case metastore.StreamOwnership:
-		c.plan.StreamEnd(fresh.Next)
+		c.plan.AdvanceStreamEnd(fresh.NextOffset)
 		c.applyOwnership(fresh.Records)
 	case metastore.StreamCrashes:
 		c.crashes.apply(fresh.Records, fresh.Reset)
 	}
 }
 
-func (c *control) applyDesired(recs []metastore.Record) {
+func (c *controller) applyDesired(recs []metastore.Record) {
 	for _, rec := range recs {
 		if rec.Value == nil {
 			continue
 		}
 		st, err := c.decoder.Desired(rec.Key, rec.Value)
 		if err != nil {
-			c.zl.Error("desired state refused", zap.Int("event", events.DesiredRefused), zap.Int64("offset", rec.Offset), ErrorField(err))
+			c.zl.Error("desired state refused", zap.Int("event", events.DesiredRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
 			continue
 		}
 		cur := c.views.Load().Desired
@@ -71,62 +71,62 @@
 	}
 }
 
-func (c *control) applyOwnership(recs []metastore.Record) {
+func (c *controller) applyOwnership(recs []metastore.Record) {
 	for _, rec := range recs {
 		if rec.Value == nil {
 			continue
 		}
 		t, err := ownership.Decode(rec.Value)
 		if err != nil {
-			c.zl.Error("ownership record refused", zap.Int("event", events.OwnershipRefused), zap.Int64("offset", rec.Offset), ErrorField(err))
+			c.zl.Error("ownership record refused", zap.Int("event", events.OwnershipRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
 			continue
 		}
 		c.adoptTable(t)
-		c.copy.KeepTable(rec.Offset, t)
+		c.replica.KeepTable(rec.Offset, t)
 	}
 }
 
 // applyChanges takes in changes of the tables that this host has. If one does
 // not apply, none is taken in and whole tables are asked for.
-func (c *control) applyChanges(b relay.Batch) {
-	if b.Next <= c.copy.Next(b.Stream) {
+func (c *controller) applyChanges(b relay.Batch) {
+	if b.NextOffset <= c.replica.NextOffset(b.Stream) {
 		return // read from the log service meanwhile
 	}
 	made := map[int64]*ownership.Table{}
 	for _, change := range b.Changes {
 		t, err := c.changed(change)
 		if err != nil {
-			c.zl.Info("change of ownership does not apply; the whole table is asked for", zap.Int("event", events.OwnershipChangeRefused),
+			c.zl.Info("change of ownership does not apply; the whole table is asked for", zap.Int("event", events.OwnershipChangeRejected),
 				zap.String("service", change.Key), zap.Int64("offset", change.Offset), ErrorField(err))
-			c.copy.WantWhole()
+			c.replica.RequestFullTables()
 			return
 		}
 		made[change.Offset] = t
 	}
-	if !c.copy.Advance(b.Next, made) {
+	if !c.replica.ApplyTables(b.NextOffset, made) {
 		return
 	}
-	c.plan.StreamEnd(b.Next)
+	c.plan.AdvanceStreamEnd(b.NextOffset)
 	for _, t := range made {
 		c.adoptTable(t)
 	}
 }
 
 // changed returns the table that a change makes of the one in force.
-func (c *control) changed(change relay.Change) (*ownership.Table, error) {
-	parsed, err := ownership.DecodeChange(change.Data)
+func (c *controller) changed(change relay.Change) (*ownership.Table, error) {
+	parsed, err := ownership.DecodeDelta(change.Data)
 	if err != nil {
 		return nil, err
 	}
 	return parsed.Apply(c.views.Load().Tables[change.Key])
 }
 
-func (c *control) adoptTable(t *ownership.Table) {
+func (c *controller) adoptTable(t *ownership.Table) {
 	cur := c.views.Load().Tables[t.Service]
-	if cur != nil && t.Fence <= cur.Fence {
+	if cur != nil && t.MaxFencingToken <= cur.MaxFencingToken {
 		return
 	}
-	c.changes.add(cur, t)
+	c.ownershipHistory.add(cur, t)
 	c.views.Publish(func(v *view.View) {
 		tables := map[string]*ownership.Table{t.Service: t}
 		for name, old := range v.Tables {
@@ -137,18 +137,18 @@
 		v.Tables = tables
 	})
 	c.zl.Info("ownership adopted", zap.Int("event", events.OwnershipAdopted), zap.String("service", t.Service),
-		zap.Int64("term", t.Term), zap.Int64("fence", t.Fence), zap.String("planner", t.Planner), zap.Int("ranges", len(t.Ranges)),
+		zap.Int64("term", t.Term), zap.Int64("fence", t.MaxFencingToken), zap.String("planner", t.Planner), zap.Int("ranges", len(t.Ranges)),
 		zap.String("cause", t.Cause))
 }
 
 // applyUpstreams takes in upstreams' records. After a reset, those that are
 // not among them are missing.
-func (c *control) applyUpstreams(recs []metastore.Record, reset bool) {
+func (c *controller) applyUpstreams(recs []metastore.Record, reset bool) {
 	now := time.Now()
 	listed := map[string]bool{}
 	for _, rec := range recs {
 		if rec.Value == nil {
-			c.roster.missing(rec.Key, c.spareUntil(now), now)
+			c.registry.markMissing(rec.Key, c.missingGraceUntil(now), now)
 			continue
 		}
 		u, err := c.decoder.Upstream(rec.Key, rec.Value, now)
@@ -156,15 +156,15 @@
 			// Whoever wrote it, the server's own entry is not there any more.
 			// Its upstream gets nothing new; its keys are taken back from it
 			// as from one that leaves, as it may be alive.
-			c.roster.missing(rec.Key, now, now)
+			c.registry.markMissing(rec.Key, now, now)
 			c.noteRefusedRecord(rec.Key, err, now)
 			continue
 		}
 		listed[rec.Key] = true
-		c.roster.list(u)
+		c.registry.register(u)
 	}
 	if reset {
-		c.roster.missingBut(listed, c.spareUntil(now), now)
+		c.registry.markMissingExcept(listed, c.missingGraceUntil(now), now)
 	}
 	c.publishUpstreams()
 }
@@ -174,27 +174,27 @@
 const noteRefused = time.Second
 
 // noteRefusedRecord logs that an upstream's record cannot be used.
-func (c *control) noteRefusedRecord(server string, err error, now time.Time) {
-	if now.Sub(c.refusedAt) < noteRefused {
-		c.refusedUntold++
+func (c *controller) noteRefusedRecord(server string, err error, now time.Time) {
+	if now.Sub(c.rejectionLoggedAt) < noteRefused {
+		c.rejectionsUnlogged++
 		return
 	}
-	c.zl.Error("upstream's record refused", zap.Int("event", events.UpstreamRefused), zap.String("peer", server), zap.Int("untold", c.refusedUntold), ErrorField(err))
-	c.refusedAt, c.refusedUntold = now, 0
+	c.zl.Error("upstream's record refused", zap.Int("event", events.UpstreamRecordRejected), zap.String("peer", server), zap.Int("untold", c.rejectionsUnlogged), ErrorField(err))
+	c.rejectionLoggedAt, c.rejectionsUnlogged = now, 0
 }
 
-// spareUntil returns until when an upstream that is missing now is not taken
+// missingGraceUntil returns until when an upstream that is missing now is not taken
 // for gone; in the past unless the log service has only just come back.
-func (c *control) spareUntil(now time.Time) time.Time {
-	if _, lost := c.broken[metastore.StreamUpstreams]; lost {
-		return now.Add(relist)
+func (c *controller) missingGraceUntil(now time.Time) time.Time {
+	if _, lost := c.streamLostSince[metastore.StreamUpstreams]; lost {
+		return now.Add(relistGracePeriod)
 	}
-	return c.backAt.Add(relist)
+	return c.logRecoveredAt.Add(relistGracePeriod)
 }
 
-func (c *control) publishUpstreams() {
-	snap := c.roster.snapshot(func(u *catalogue.Upstream) *catalogue.Upstream {
-		return c.markLeaving(c.evacuations.mark(u, c.slowStart(u.Service).Lasts))
+func (c *controller) publishUpstreams() {
+	snap := c.registry.snapshot(func(u *catalogue.Upstream) *catalogue.Upstream {
+		return c.markLeaving(c.evacuations.annotate(u, c.slowStart(u.Service).Duration))
 	})
 	c.views.Publish(func(v *view.View) { v.Upstreams = snap })
 }
--- a/internal/entryhost/refused_test.go
+++ b/internal/entryhost/refused_test.go
@@ -11,16 +11,16 @@
 // An operator clears a content at one host; it must not stay refused at the others,
 // which read of it from the log service.
 func TestContentClearedAtOneHostIsClearedAtAll(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 0)
 		for i := range 5 {
-			f.addTo("plain", fmt.Sprint("plain", i))
+			f.addServiceUpstream("plain", fmt.Sprint("plain", i))
 		}
-		f.answers(plainRoute, "/x", startup)
-		stop := f.askForTheFatal(plainRoute)
-		f.crashed(3, 6*handover)
+		f.waitAnswered(plainRoute, "/x", startupTimeout)
+		stop := f.sendFatalRequests(plainRoute)
+		f.waitCrashes(3, 6*maxHandover)
 		stop()
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		list := func(h *testHost) []*refusedpb.Content {
 			reply, err := refusedpb.NewRefusedProtobufClient("http://"+h.cfg.PeerListen, f.http).List(t.Context(), &refusedpb.ListRequest{})
 			if err != nil {
@@ -39,7 +39,7 @@
 		if err != nil || !reply.Known {
 			t.Fatalf("clear: %v, %v", reply, err)
 		}
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		for _, h := range f.hosts {
 			if got := list(h); len(got) > 0 {
 				t.Errorf("%s still refuses %v", h.cfg.Host, got)
--- a/internal/entryhost/report.go
+++ b/internal/entryhost/report.go
@@ -8,7 +8,7 @@
 
 	"github.com/papayatide/papayatide/internal/dispatch"
 	"github.com/papayatide/papayatide/internal/fleet"
-	"github.com/papayatide/papayatide/internal/loadmap"
+	"github.com/papayatide/papayatide/internal/keyload"
 	"github.com/papayatide/papayatide/internal/peer"
 	"github.com/papayatide/papayatide/internal/relay"
 )
@@ -16,28 +16,28 @@
 // reportSamples bounds one report; more requests are sampled.
 const reportSamples = 512
 
-// reporter gathers what callers ask of keyed services.
-type reporter struct {
+// loadSampler gathers what callers ask of keyed services.
+type loadSampler struct {
 	mu sync.Mutex
 	by map[string]*gathered
 }
 
 // gathered is a sample of a service's requests; seen is how many they were.
 type gathered struct {
-	samples []loadmap.Sample
+	samples []keyload.Sample
 	seen    float64
 }
 
-func newReporter() *reporter { return &reporter{by: map[string]*gathered{}} }
+func newLoadSampler() *loadSampler { return &loadSampler{by: map[string]*gathered{}} }
 
 // add counts a request that has ended.
-func (r *reporter) add(e *dispatch.End) {
+func (r *loadSampler) add(e *dispatch.RequestSummary) {
 	if e.Key < 0 || e.Service == "" {
 		return
 	}
-	s := loadmap.Sample{Key: e.Key}
+	s := keyload.Sample{Key: e.Key}
 	if e.Refusal == nil {
-		s.Upstream, s.Latency = e.Upstream, e.AtUpstream
+		s.Upstream, s.Latency = e.Upstream, e.UpstreamTime
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 }
 
 // merge takes in the reports of hosts that follow this one.
-func (r *reporter) merge(loads []peer.ServiceLoad) {
+func (r *loadSampler) merge(loads []peer.ServiceLoad) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range loads {
@@ -56,7 +56,7 @@
 	}
 }
 
-func (r *reporter) of(service string) *gathered {
+func (r *loadSampler) of(service string) *gathered {
 	g := r.by[service]
 	if g == nil {
 		g = &gathered{}
@@ -67,7 +67,7 @@
 
 // add takes in a request that stands for weight requests. Beyond
 // reportSamples each is kept with the chance that all had.
-func (g *gathered) add(s loadmap.Sample, weight float64) {
+func (g *gathered) add(s keyload.Sample, weight float64) {
 	g.seen += weight
 	if len(g.samples) < reportSamples {
 		g.samples = append(g.samples, s)
@@ -79,7 +79,7 @@
 }
 
 // take returns what has gathered and starts anew.
-func (r *reporter) take() []peer.ServiceLoad {
+func (r *loadSampler) take() []peer.ServiceLoad {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []peer.ServiceLoad
@@ -101,62 +101,62 @@
 	return ""
 }
 
-// loadsFrom takes in reports of other hosts: the planner uses them, a relay
+// receiveLoads takes in reports of other hosts: the planner uses them, a relay
 // passes them on with its own.
-func (h *host) loadsFrom(ctx context.Context, loads []peer.ServiceLoad) {
-	if h.control.planning.Load() {
+func (h *host) receiveLoads(ctx context.Context, loads []peer.ServiceLoad) {
+	if h.controller.planning.Load() {
 		h.takeLoads(ctx, loads)
 		return
 	}
-	h.reporter.merge(loads)
+	h.loadSampler.merge(loads)
 }
 
 func (h *host) takeLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if len(loads) == 0 {
 		return
 	}
-	h.control.post(ctx, func() {
+	h.controller.post(ctx, func() {
 		for _, l := range loads {
-			h.control.loads.Add(l.Service, l.Samples, l.Weight, time.Now())
+			h.controller.loads.Add(l.Service, l.Samples, l.Weight, time.Now())
 		}
 	})
 }
 
 // self describes this host to the others.
 func (h *host) self() fleet.Host {
-	return fleet.Host{Name: h.cfg.Host, DataCentre: h.cfg.DataCentre, PeerAddr: h.cfg.PeerListen, Eager: h.eager,
+	return fleet.Host{Name: h.cfg.Host, DataCentre: h.cfg.DataCentre, PeerAddr: h.cfg.PeerListen, Candidate: h.candidate,
 		Followers: h.fleet.Followers(time.Now())}
 }
 
-// standing is the standing of this host's copy of the log.
-func (h *host) standing(now time.Time) (peer.Standing, bool) {
-	if h.control.planning.Load() {
-		return peer.Standing{Planning: true, Age: h.control.copy.Age(now), Steady: h.control.copy.Steady(now)}, true
+// replicaStatus is the standing of this host's copy of the log.
+func (h *host) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
+	if h.controller.planning.Load() {
+		return peer.ReplicaStatus{Planning: true, Age: h.controller.replica.Age(now), LogReachableFor: h.controller.replica.LogReachableFor(now)}, true
 	}
-	return h.feed.standing(now)
+	return h.logSyncer.replicaStatus(now)
 }
 
-// newFeed returns the feed of the host's copy of the log.
-func (h *host) newFeed(ctx context.Context) *feed {
-	own, rest := h.control.followers(ctx)
-	alone := startAlone
+// newLogSyncer returns the feed of the host's copy of the log.
+func (h *host) newLogSyncer(ctx context.Context) *logSyncer {
+	own, rest := h.controller.newStreamReaders(ctx)
+	alone := discoveryTimeout
 	if h.cfg.FirstStart {
-		alone = firstStartAlone
+		alone = firstStartDiscoveryTimeout
 	}
-	f := &feed{alone: alone, zl: h.zl, peers: h.peers, copy: h.control.copy, ownership: own, rest: rest, planner: h.plannerAddr, planning: h.control.planning.Load,
+	f := &logSyncer{discoveryTimeout: alone, zl: h.zl, peers: h.peers, replica: h.controller.replica, ownershipReader: own, otherReaders: rest, plannerAddr: h.plannerAddr, isPlanner: h.controller.planning.Load,
 		self: h.self, fleet: h.fleet, board: h.board, feedback: h.feedback,
-		takeLoads: h.reporter.take, localLoads: func(l []peer.ServiceLoad) { h.takeLoads(ctx, l) },
-		apply: func(b relay.Batch) { h.control.take(ctx, b) },
-		lost:  func() { h.control.post(ctx, h.control.plan.PlannerLost) },
-		seen:  func() { h.control.post(ctx, func() { h.control.plan.PlannerSeen(h.control.clock()) }) },
-		good:  func(steady time.Duration) { h.control.post(ctx, func() { h.control.followedPlanner(steady) }) }}
+		takeLoads: h.loadSampler.take, applyLoads: func(l []peer.ServiceLoad) { h.takeLoads(ctx, l) },
+		apply:             func(b relay.Batch) { h.controller.applyAndWait(ctx, b) },
+		onPlannerLost:     func() { h.controller.post(ctx, h.controller.plan.PlannerLost) },
+		onCandidateSeen:   func() { h.controller.post(ctx, func() { h.controller.plan.PlannerSeen(h.controller.clock()) }) },
+		onPlannerFollowed: func(steady time.Duration) { h.controller.post(ctx, func() { h.controller.onPlannerFollowed(steady) }) }}
 	for _, fl := range append(rest, own) {
-		fl.prompt = h.eager
-		told := fl.failed
-		fl.failed = func(err error) {
+		fl.firstReadNoWait = h.candidate
+		told := fl.onResult
+		fl.onResult = func(err error) {
 			told(err)
 			if err != nil {
-				f.tries.failed()
+				f.attempts.recordFailure()
 			}
 		}
 	}
--- a/internal/entryhost/requestlog.go
+++ b/internal/entryhost/requestlog.go
@@ -24,18 +24,18 @@
 	upLatency    = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="upstream"}`)
 )
 
-// ended logs and counts a request's end.
-func (h *host) ended(e *dispatch.End) {
-	h.reporter.add(e)
+// onRequestEnd logs and counts a request's end.
+func (h *host) onRequestEnd(e *dispatch.RequestSummary) {
+	h.loadSampler.add(e)
 	totalLatency.Update(e.Took.Seconds())
-	if e.Waited > 0 {
-		waitLatency.Update(e.Waited.Seconds())
+	if e.QueueTime > 0 {
+		waitLatency.Update(e.QueueTime.Seconds())
 	}
-	if e.Connect > 0 {
-		connLatency.Update(e.Connect.Seconds())
+	if e.ConnectTime > 0 {
+		connLatency.Update(e.ConnectTime.Seconds())
 	}
-	if e.AtUpstream > 0 {
-		upLatency.Update(e.AtUpstream.Seconds())
+	if e.UpstreamTime > 0 {
+		upLatency.Update(e.UpstreamTime.Seconds())
 	}
 	cause := "served"
 	if e.Refusal != nil {
@@ -44,7 +44,7 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`papayatide_requests_total{cause=%q}`, cause)).Inc()
 	switch {
 	case e.Refusal == nil && e.Status < 500:
-		if e.Sends > 1 || servedCount.Add(1)%servedSample == 1 {
+		if e.Attempts > 1 || servedCount.Add(1)%servedSample == 1 {
 			h.zl.Info("request served", h.endFields(e, events.RequestServed)...)
 		}
 	case e.Refusal == nil:
@@ -54,34 +54,34 @@
 	}
 }
 
-// brokeOff logs and counts a send that ended without an answer.
-func (h *host) brokeOff(b *dispatch.Broken) {
+// onBrokenSend logs and counts a send that ended without an answer.
+func (h *host) onBrokenSend(b *dispatch.BrokenSend) {
 	brokenSends.Inc()
-	f := []zap.Field{zap.Int("event", events.SendBrokeOff), zap.String("request", b.ID), zap.String("service", b.Service),
-		zap.String("peer", b.Upstream), zap.String("content", string(b.Content)), zap.Duration("at_upstream", b.AtUpstream),
-		zap.Bool("ended", b.Ended), zap.Int("ends", b.Ends), ErrorField(b.Err)}
+	f := []zap.Field{zap.Int("event", events.BrokenSend), zap.String("request", b.ID), zap.String("service", b.Service),
+		zap.String("peer", b.Upstream), zap.String("content", string(b.Fingerprint)), zap.Duration("at_upstream", b.UpstreamTime),
+		zap.Bool("ended", b.Crashed), zap.Int("ends", b.Crashes), ErrorField(b.Err)}
 	if b.Key >= 0 {
-		f = append(f, zap.Int("key", b.Key), zap.Int64("fence", b.Fence))
+		f = append(f, zap.Int("key", b.Key), zap.Int64("fence", b.FencingToken))
 	}
 	h.zl.Info("send broke off", f...)
 }
 
-func (h *host) endFields(e *dispatch.End, event int) []zap.Field {
+func (h *host) endFields(e *dispatch.RequestSummary, event int) []zap.Field {
 	f := []zap.Field{zap.Int("event", event), zap.String("request", e.ID), zap.String("route", e.Route), zap.String("service", e.Service),
-		zap.Int64("version", e.Version), zap.Duration("view_age", e.ViewAge), zap.Int("status", e.Status), zap.Int("sends", e.Sends),
-		zap.Duration("took", e.Took), zap.Duration("left", e.Left)}
+		zap.Int64("version", e.Version), zap.Duration("view_age", e.ViewAge), zap.Int("status", e.Status), zap.Int("sends", e.Attempts),
+		zap.Duration("took", e.Took), zap.Duration("left", e.TimeLeft)}
 	if e.Key >= 0 {
-		f = append(f, zap.Int("key", e.Key), zap.Int64("fence", e.Fence))
+		f = append(f, zap.Int("key", e.Key), zap.Int64("fence", e.FencingToken))
 	}
 	if e.Upstream != "" {
-		f = append(f, zap.String("peer", e.Upstream), zap.Duration("at_upstream", e.AtUpstream))
+		f = append(f, zap.String("peer", e.Upstream), zap.Duration("at_upstream", e.UpstreamTime))
 	}
-	if e.Crowd.Limit > 0 {
-		f = append(f, zap.Float64("limit", e.Crowd.Limit), zap.Int("under_way", e.Crowd.UnderWay), zap.Int("waiting", e.Crowd.Waiting),
-			zap.Duration("latency", e.Crowd.Latency))
+	if e.LimiterState.Limit > 0 {
+		f = append(f, zap.Float64("limit", e.LimiterState.Limit), zap.Int("under_way", e.LimiterState.InFlight), zap.Int("waiting", e.LimiterState.Waiting),
+			zap.Duration("latency", e.LimiterState.Latency))
 	}
-	if e.Refusal != nil && e.Refusal.Cause == dispatch.CauseFatal {
-		f = append(f, zap.String("content", string(e.Content)))
+	if e.Refusal != nil && e.Refusal.Cause == dispatch.CauseCrashes {
+		f = append(f, zap.String("content", string(e.Fingerprint)))
 	}
 	if e.Refusal != nil {
 		f = append(f, zap.String("cause", string(e.Refusal.Cause)), zap.Duration("retry_after", e.Refusal.RetryAfter))
--- a/internal/entryhost/rig_log_test.go
+++ b/internal/entryhost/rig_log_test.go
@@ -9,36 +9,36 @@
 	"github.com/papayatide/papayatide/internal/standin/memstore"
 )
 
-// lostStore is one host's way to the log service, which may be lost.
-type lostStore struct {
+// partitionedStore is one host's way to the log service, which may be lost.
+type partitionedStore struct {
 	*memstore.Log
-	lost atomic.Bool
+	partitioned atomic.Bool
 }
 
-func (s *lostStore) Newest(ctx context.Context, st metastore.Stream) ([]metastore.Record, int64, error) {
-	if s.lost.Load() {
+func (s *partitionedStore) Newest(ctx context.Context, st metastore.Stream) ([]metastore.Record, int64, error) {
+	if s.partitioned.Load() {
 		return nil, 0, metastore.ErrNoAnswer
 	}
 	return s.Log.Newest(ctx, st)
 }
 
-func (s *lostStore) Read(ctx context.Context, st metastore.Stream, from int64, wait time.Duration) (metastore.Batch, error) {
-	if s.lost.Load() {
+func (s *partitionedStore) Read(ctx context.Context, st metastore.Stream, from int64, wait time.Duration) (metastore.Batch, error) {
+	if s.partitioned.Load() {
 		return metastore.Batch{}, metastore.ErrNoAnswer
 	}
 	return s.Log.Read(ctx, st, from, wait)
 }
 
-func (s *lostStore) AppendAt(ctx context.Context, st metastore.Stream, key string, value []byte, at int64) (int64, error) {
-	if s.lost.Load() {
+func (s *partitionedStore) AppendAt(ctx context.Context, st metastore.Stream, key string, value []byte, at int64) (int64, error) {
+	if s.partitioned.Load() {
 		return 0, metastore.ErrNoAnswer
 	}
 	return s.Log.AppendAt(ctx, st, key, value, at)
 }
 
-func (s *lostStore) Join(ctx context.Context, member string, ttl time.Duration, generation int64) (metastore.Seat, error) {
-	if s.lost.Load() {
-		return metastore.Seat{}, metastore.ErrNoAnswer
+func (s *partitionedStore) JoinElection(ctx context.Context, member string, ttl time.Duration, generation int64) (metastore.Lease, error) {
+	if s.partitioned.Load() {
+		return metastore.Lease{}, metastore.ErrNoAnswer
 	}
-	return s.Log.Join(ctx, member, ttl, generation)
+	return s.Log.JoinElection(ctx, member, ttl, generation)
 }
--- a/internal/entryhost/rig_test.go
+++ b/internal/entryhost/rig_test.go
@@ -24,7 +24,7 @@
 	"github.com/papayatide/papayatide/internal/settings"
 	"github.com/papayatide/papayatide/internal/standin/memstore"
 	"github.com/papayatide/papayatide/internal/standin/pipenet"
-	"github.com/papayatide/papayatide/internal/standin/ranged"
+	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
 var names = protocol.Headers{RequestID: "X-Id", TimeoutMs: "X-Timeout-Ms", Signature: "X-Signature", ExpectedUpstream: "X-Expect",
@@ -34,31 +34,31 @@
 // a clock of their own: what they do in which order, and within what time, does
 // not depend on how busy the machine is.
 type testFleet struct {
-	t     *testing.T
-	log   *memstore.Log
-	net   *pipenet.Network
-	http  *http.Client
-	hosts []*testHost
-	mu    sync.Mutex
-	ups   map[string]*ranged.Upstream
+	t         *testing.T
+	log       *memstore.Log
+	net       *pipenet.Network
+	http      *http.Client
+	hosts     []*testHost
+	mu        sync.Mutex
+	upstreams map[string]*rangeowner.Upstream
 	// crashes are the times at which upstreams were ended by a request.
 	crashes []time.Time
-	// hold is how long hosts that are started grant keys for.
-	hold time.Duration
-	// fatalTakes is how long a request runs before it ends its upstream, fatalRuns
+	// grantTTL is how long hosts that are started grant keys for.
+	grantTTL time.Duration
+	// fatalDuration is how long a request runs before it ends its upstream, fatalRuns
 	// when each that ran began.
-	fatalTakes time.Duration
-	fatalRuns  []time.Time
+	fatalDuration time.Duration
+	fatalStarts   []time.Time
 	// over is closed at the test's end, later waits for what is due until then.
-	over  chan struct{}
-	later sync.WaitGroup
+	over       chan struct{}
+	background sync.WaitGroup
 }
 
 type testHost struct {
-	cfg  *settings.Entry
+	cfg  *settings.EntryHost
 	http *http.Client
 	// log is its way to the log service.
-	log  *lostStore
+	log  *partitionedStore
 	stop context.CancelFunc
 	done chan error
 }
@@ -85,17 +85,19 @@
 	}
 	route := func(host string, idempotent bool) *desired.Route {
 		return &desired.Route{Name: host, Host: host, Prefix: "/", Idempotent: idempotent, Timeout: time.Second,
-			Objective: 600 * time.Millisecond, MaxAttempts: 2, Shares: []desired.Share{{Service: "sheets", Weight: 1}}}
+			LatencyObjective: 600 * time.Millisecond, MaxAttempts: 2, Shares: []desired.Share{{Service: "sheets", Weight: 1}}}
 	}
 	plain := route(plainRoute, true)
 	plain.Shares = []desired.Share{{Service: "plain", Weight: 1}}
-	slow := desired.SlowStart{Lasts: 3 * time.Second, PerSecond: 4}
+	slow := desired.SlowStart{Duration: 3 * time.Second, PerSecond: 4}
 	return desired.New(version, []*desired.Route{route("read.example", true), route("charge.example", false), plain},
 		map[string]*desired.Service{"sheets": {Name: "sheets", Keyed: true, SlowStart: slow}, "plain": {Name: "plain", SlowStart: slow}},
 		desired.Limits{}), nil
 }
 
-func (decoder) Evacuated(key string) (string, bool) { return strings.CutPrefix(key, "evacuate/") }
+func (decoder) EvacuatedDataCentre(key string) (string, bool) {
+	return strings.CutPrefix(key, "evacuate/")
+}
 
 func (decoder) Upstream(_ string, data []byte, _ time.Time) (*catalogue.Upstream, error) {
 	var u catalogue.Upstream
@@ -105,10 +107,10 @@
 // granter reaches the stand-ins without a network.
 type granter struct{ f *testFleet }
 
-func (g granter) at(addr string) *ranged.Upstream {
+func (g granter) at(addr string) *rangeowner.Upstream {
 	g.f.mu.Lock()
 	defer g.f.mu.Unlock()
-	return g.f.ups[addr]
+	return g.f.upstreams[addr]
 }
 
 func (g granter) Grant(_ context.Context, addr string, r ownership.Range, d time.Duration, _ bool) error {
@@ -125,8 +127,8 @@
 	return "", ownership.ErrNotSent
 }
 
-// fleetTest runs a test of a fleet on a clock of its own.
-func fleetTest(t *testing.T, test func(t *testing.T)) {
+// runFleetTest runs a test of a fleet on a clock of its own.
+func runFleetTest(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	t.Parallel()
 	synctest.Test(t, test)
@@ -137,7 +139,7 @@
 
 func newFleet(t *testing.T, hosts, upstreams int) *testFleet {
 	t.Helper()
-	f := &testFleet{t: t, log: memstore.New(), net: pipenet.New(), ups: map[string]*ranged.Upstream{}, hold: time.Second, over: make(chan struct{})}
+	f := &testFleet{t: t, log: memstore.New(), net: pipenet.New(), upstreams: map[string]*rangeowner.Upstream{}, grantTTL: time.Second, over: make(chan struct{})}
 	f.http = &http.Client{Transport: &http.Transport{DialContext: f.net.Dial}}
 	f.log.Put(metastore.StreamDesired, "state", []byte("1"))
 	for i := range upstreams {
@@ -153,9 +155,9 @@
 // stopAll stops everything.
 func (f *testFleet) stopAll() {
 	close(f.over)
-	f.later.Wait()
+	f.background.Wait()
 	f.mu.Lock()
-	for _, u := range f.ups {
+	for _, u := range f.upstreams {
 		u.Kill()
 	}
 	f.mu.Unlock()
@@ -181,39 +183,41 @@
 	f.hosts = nil
 }
 
-func (f *testFleet) addUpstream(id string) *ranged.Upstream { return f.addTo("sheets", id) }
+func (f *testFleet) addUpstream(id string) *rangeowner.Upstream {
+	return f.addServiceUpstream("sheets", id)
+}
 
-// addTo starts an upstream of a service, which a request to fatalPath ends.
-func (f *testFleet) addTo(service, id string) *ranged.Upstream {
-	u := f.start(service, id)
+// addServiceUpstream starts an upstream of a service, which a request to fatalPath ends.
+func (f *testFleet) addServiceUpstream(service, id string) *rangeowner.Upstream {
+	u := f.startUpstream(service, id)
 	if u != nil {
-		f.listAs(service, u, false)
+		f.registerAs(service, u, false)
 	}
 	return u
 }
 
-// start starts an upstream of a service that is not listed yet.
-func (f *testFleet) start(service, id string) *ranged.Upstream {
+// startUpstream starts an upstream of a service that is not listed yet.
+func (f *testFleet) startUpstream(service, id string) *rangeowner.Upstream {
 	ln, err := f.net.Listen(id + ":80")
 	if err != nil {
 		f.t.Error(err)
 		return nil
 	}
-	u := ranged.StartOn(ln, id, names, 20*time.Millisecond)
-	u.Fatal = func(r *http.Request) bool {
+	u := rangeowner.StartOn(ln, id, names, 20*time.Millisecond)
+	u.CrashOn = func(r *http.Request) bool {
 		if r.URL.Path != fatalPath {
 			return false
 		}
 		f.mu.Lock()
-		f.fatalRuns = append(f.fatalRuns, time.Now())
-		takes := f.fatalTakes
+		f.fatalStarts = append(f.fatalStarts, time.Now())
+		takes := f.fatalDuration
 		f.mu.Unlock()
 		time.Sleep(takes)
 		f.crash(service, u)
 		return true
 	}
 	f.mu.Lock()
-	f.ups[u.Addr()] = u
+	f.upstreams[u.Addr()] = u
 	f.mu.Unlock()
 	return u
 }
@@ -221,31 +225,31 @@
 const (
 	// fatalPath is the target of the request that ends its servers.
 	fatalPath = "/fatal"
-	// lapse is how long after its end an upstream's entry goes, returns how
+	// entryLapseDelay is how long after its end an upstream's entry goes, returns how
 	// long after it the server is back, with a new ID.
-	lapse   = 500 * time.Millisecond
-	returns = time.Second
+	entryLapseDelay = 500 * time.Millisecond
+	restartDelay    = time.Second
 )
 
 // crash ends an upstream, whose server is back some time later.
-func (f *testFleet) crash(service string, u *ranged.Upstream) {
+func (f *testFleet) crash(service string, u *rangeowner.Upstream) {
 	f.mu.Lock()
-	ended := f.ups[u.Addr()] != u
+	ended := f.upstreams[u.Addr()] != u
 	f.mu.Unlock()
 	if ended {
 		return // under another request
 	}
-	f.cut(u)
+	f.killUpstream(u)
 	f.mu.Lock()
 	f.crashes = append(f.crashes, time.Now())
 	n := len(f.crashes)
 	f.mu.Unlock()
-	f.later.Go(func() {
-		if f.sleep(lapse) {
+	f.background.Go(func() {
+		if f.sleep(entryLapseDelay) {
 			f.log.Put(metastore.StreamUpstreams, u.ID, nil)
 		}
-		if f.sleep(returns - lapse) {
-			f.addTo(service, fmt.Sprint(service, "-again-", n))
+		if f.sleep(restartDelay - entryLapseDelay) {
+			f.addServiceUpstream(service, fmt.Sprint(service, "-again-", n))
 		}
 	})
 }
@@ -260,14 +264,16 @@
 	}
 }
 
-func (f *testFleet) list(u *ranged.Upstream, leaving bool) { f.listAs("sheets", u, leaving) }
+func (f *testFleet) register(u *rangeowner.Upstream, leaving bool) {
+	f.registerAs("sheets", u, leaving)
+}
 
-func (f *testFleet) listAs(service string, u *ranged.Upstream, leaving bool) {
-	f.put(u, catalogue.Upstream{Service: service, DataCentre: "dc", Slots: 3, Leaving: leaving})
+func (f *testFleet) registerAs(service string, u *rangeowner.Upstream, leaving bool) {
+	f.putEntry(u, catalogue.Upstream{Service: service, DataCentre: "dc", Slots: 3, Leaving: leaving})
 }
 
-// put writes an upstream's entry.
-func (f *testFleet) put(u *ranged.Upstream, entry catalogue.Upstream) {
+// putEntry writes an upstream's entry.
+func (f *testFleet) putEntry(u *rangeowner.Upstream, entry catalogue.Upstream) {
 	entry.ID, entry.Addr = u.ID, u.Addr()
 	data, err := json.Marshal(entry)
 	if err != nil {
@@ -277,27 +283,27 @@
 	f.log.Put(metastore.StreamUpstreams, u.ID, data)
 }
 
-// cut makes an upstream unreachable for orders and requests.
-func (f *testFleet) cut(u *ranged.Upstream) {
+// killUpstream makes an upstream unreachable for orders and requests.
+func (f *testFleet) killUpstream(u *rangeowner.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.ups, u.Addr())
+	delete(f.upstreams, u.Addr())
 	u.Kill()
 }
 
 // weakCPU is the processor share of a host that is too weak to plan or relay.
-const weakCPU = eagerCPU / 2
+const weakCPU = candidateMinCPU / 2
 
 func (f *testFleet) startHost(name string) *testHost { return f.startHostWith(name, 1) }
 
 // startHostWith starts a host with so much of a core.
 func (f *testFleet) startHostWith(name string, cpu float64) *testHost {
-	cfg := &settings.Entry{Host: name, DataCentre: "dc", Listen: name + ".front:80", ReadyListen: name + ".ready:80", PeerListen: name + ".peer:80",
-		MetricsListen: name + ".metrics:80", LogLevel: "info", MemoryMB: 284, CPUShare: cpu, LinkMbps: 1000, SeatMin: 300 * time.Millisecond, HoldMax: 10 * time.Second,
-		Grace: 6 * time.Second, RepeatRatio: 0.5, RepeatSlack: 500, RepeatWindow: 10 * time.Second,
-		SlowStartFactor: slowStartFactor, SlowStartSlack: slowStartSlack, Evacuate: evacuateBound, Drain: ranged.DrainBound, Hold: f.hold, ViewAge: 2 * time.Second}
+	cfg := &settings.EntryHost{Host: name, DataCentre: "dc", Listen: name + ".front:80", ReadyListen: name + ".ready:80", PeerListen: name + ".peer:80",
+		MetricsListen: name + ".metrics:80", LogLevel: "info", MemoryMB: 284, CPUShare: cpu, LinkMbps: 1000, MinLeaseTTL: 300 * time.Millisecond, MaxGrantTTL: 10 * time.Second,
+		ShutdownGrace: 6 * time.Second, RetryBudgetRatio: 0.5, RetryBudgetSlack: 500, RetryBudgetWindow: 10 * time.Second,
+		SlowStartFactor: slowStartFactor, SlowStartSlack: slowStartSlack, EvacuationTimeout: evacuateBound, DrainTimeout: rangeowner.DrainGrace, GrantTTL: f.grantTTL, MaxViewAge: 2 * time.Second}
 	ctx, stop := context.WithCancel(context.Background())
-	h := &testHost{cfg: cfg, http: f.http, log: &lostStore{Log: f.log}, stop: stop, done: make(chan error, 1)}
+	h := &testHost{cfg: cfg, http: f.http, log: &partitionedStore{Log: f.log}, stop: stop, done: make(chan error, 1)}
 	plat := Platform{Store: h.log, Decoder: decoder{}, Granter: granter{f}, Headers: names, ReadyPath: "/ready", LogDropped: func() int64 { return 0 },
 		Net: f.net, Clock: now}
 	go func() { h.done <- Run(ctx, cfg, plat, nil, zap.NewNop()) }()
@@ -305,10 +311,10 @@
 	return h
 }
 
-// lose ends a host as far as all others can tell: nobody reaches it, and it
+// isolateHost ends a host as far as all others can tell: nobody reaches it, and it
 // reaches no log service.
-func (f *testFleet) lose(h *testHost) {
-	h.log.lost.Store(true)
+func (f *testFleet) isolateHost(h *testHost) {
+	h.log.partitioned.Store(true)
 	for _, addr := range []string{h.cfg.Listen, h.cfg.ReadyListen, h.cfg.PeerListen, h.cfg.MetricsListen} {
 		f.net.Kill(addr)
 	}
@@ -351,9 +357,9 @@
 	return resp.StatusCode, string(body)
 }
 
-// served waits until every tenth of the keys is served by the host, and
+// waitServed waits until every tenth of the keys is served by the host, and
 // returns how long that took.
-func (f *testFleet) served(h *testHost, within time.Duration) time.Duration {
+func (f *testFleet) waitServed(h *testHost, within time.Duration) time.Duration {
 	f.t.Helper()
 	start := time.Now()
 	for k := 0; k < 10; {
--- a/internal/entryhost/roster.go
+++ b/internal/entryhost/roster.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	// relist is how long after an outage of the log service upstreams whose
+	// relistGracePeriod is how long after an outage of the log service upstreams whose
 	// entries lapsed meanwhile need to be listed again.
-	relist = 2 * time.Second
-	// remembered is how long an upstream that is no longer listed is kept
+	relistGracePeriod = 2 * time.Second
+	// unlistedRetention is how long an upstream that is no longer listed is kept
 	// as leaving, so that its keys can be taken back.
-	remembered = 20 * time.Second
+	unlistedRetention = 20 * time.Second
 )
 
-// roster is what this host believes of the upstreams: listed, leaving, or
+// upstreamRegistry is what this host believes of the upstreams: listed, leaving, or
 // missing from the list for how long.
-type roster struct {
-	zl  *zap.Logger
-	ups map[string]*catalogue.Upstream
-	// lives holds the ID of each server's last known life. Entries are kept
+type upstreamRegistry struct {
+	zl        *zap.Logger
+	upstreams map[string]*catalogue.Upstream
+	// incarnations holds the ID of each server's last known life. Entries are kept
 	// by server: the entry of a newer life replaces the older one's.
-	lives map[string]string
+	incarnations map[string]string
 	// unlisted holds when an upstream was taken for gone, suspects when one
 	// that lapsed during an outage will be.
 	unlisted map[string]time.Time
 	suspects map[string]time.Time
 }
 
-func newRoster(zl *zap.Logger) *roster {
-	return &roster{zl: zl, ups: map[string]*catalogue.Upstream{}, lives: map[string]string{}, unlisted: map[string]time.Time{}, suspects: map[string]time.Time{}}
+func newUpstreamRegistry(zl *zap.Logger) *upstreamRegistry {
+	return &upstreamRegistry{zl: zl, upstreams: map[string]*catalogue.Upstream{}, incarnations: map[string]string{}, unlisted: map[string]time.Time{}, suspects: map[string]time.Time{}}
 }
 
-// list takes in an upstream's entry. The entry of a newer life ends the older
+// register takes in an upstream's entry. The entry of a newer life ends the older
 // one; that of an older life was written late and says nothing any more.
-func (r *roster) list(u *catalogue.Upstream) {
-	server := catalogue.ServerOf(u.ID)
-	known, ok := r.lives[server]
-	if ok && catalogue.Succeeds(known, u.ID) {
+func (r *upstreamRegistry) register(u *catalogue.Upstream) {
+	server := catalogue.ServerID(u.ID)
+	known, ok := r.incarnations[server]
+	if ok && catalogue.IsLaterIncarnation(known, u.ID) {
 		return
 	}
 	if ok && known != u.ID {
 		r.forget(known)
 		r.zl.Info("upstream started again", zap.Int("event", events.UpstreamRestarted), zap.String("peer", u.ID), zap.String("service", u.Service))
 	}
-	r.lives[server] = u.ID
-	old := r.ups[u.ID]
+	r.incarnations[server] = u.ID
+	old := r.upstreams[u.ID]
 	delete(r.suspects, u.ID)
 	delete(r.unlisted, u.ID)
-	r.ups[u.ID] = u
+	r.upstreams[u.ID] = u
 	switch {
 	case u.Leaving && (old == nil || !old.Leaving):
 		r.zl.Info("upstream is leaving", zap.Int("event", events.UpstreamLeaving), zap.String("peer", u.ID), zap.String("service", u.Service))
@@ -63,22 +63,22 @@
 }
 
 // forget drops a life that has ended.
-func (r *roster) forget(id string) {
-	delete(r.ups, id)
+func (r *upstreamRegistry) forget(id string) {
+	delete(r.upstreams, id)
 	delete(r.suspects, id)
 	delete(r.unlisted, id)
-	if server := catalogue.ServerOf(id); r.lives[server] == id {
-		delete(r.lives, server)
+	if server := catalogue.ServerID(id); r.incarnations[server] == id {
+		delete(r.incarnations, server)
 	}
 }
 
-// missing takes note that a server is not listed any more. During an outage
+// markMissing takes note that a server is not listed any more. During an outage
 // of the log service entries lapse though their upstreams live; they are back
 // within about two seconds, and until spare it is no sign of leaving.
-func (r *roster) missing(server string, spare, now time.Time) {
-	id := r.lives[server]
+func (r *upstreamRegistry) markMissing(server string, spare, now time.Time) {
+	id := r.incarnations[server]
 	_, gone := r.unlisted[id]
-	if r.ups[id] == nil || gone {
+	if r.upstreams[id] == nil || gone {
 		return
 	}
 	if !now.Before(spare) {
@@ -90,36 +90,36 @@
 	}
 }
 
-// missingBut takes note that only the listed servers are.
-func (r *roster) missingBut(listed map[string]bool, spare, now time.Time) {
-	for server := range r.lives {
+// markMissingExcept takes note that only the listed servers are.
+func (r *upstreamRegistry) markMissingExcept(listed map[string]bool, spare, now time.Time) {
+	for server := range r.incarnations {
 		if !listed[server] {
-			r.missing(server, spare, now)
+			r.markMissing(server, spare, now)
 		}
 	}
 }
 
-func (r *roster) unlist(id string, now time.Time) {
-	u := *r.ups[id]
+func (r *upstreamRegistry) unlist(id string, now time.Time) {
+	u := *r.upstreams[id]
 	u.Leaving, u.Unlisted = true, true
-	r.ups[id] = &u
+	r.upstreams[id] = &u
 	r.unlisted[id] = now
 	r.zl.Info("upstream is no longer listed", zap.Int("event", events.UpstreamUnlisted), zap.String("peer", id), zap.String("service", u.Service))
 }
 
-// due returns how long it is until the next suspect is taken for gone.
-func (r *roster) due(now time.Time) time.Duration {
-	soonest := remembered
+// untilNextExpiry returns how long it is until the next suspect is taken for gone.
+func (r *upstreamRegistry) untilNextExpiry(now time.Time) time.Duration {
+	soonest := unlistedRetention
 	for _, at := range r.suspects {
 		soonest = min(soonest, at.Sub(now))
 	}
 	return soonest
 }
 
-// settle takes suspects for gone whose time is up, unless the outage lasts,
+// expireSuspects takes suspects for gone whose time is up, unless the outage lasts,
 // and forgets upstreams that have been gone for long. It reports whether
 // anything changed.
-func (r *roster) settle(outage bool, now time.Time) bool {
+func (r *upstreamRegistry) expireSuspects(outage bool, now time.Time) bool {
 	changed := false
 	for id, at := range r.suspects {
 		if now.Before(at) || outage {
@@ -130,7 +130,7 @@
 		changed = true
 	}
 	for id, at := range r.unlisted {
-		if now.Sub(at) > remembered {
+		if now.Sub(at) > unlistedRetention {
 			r.forget(id)
 			changed = true
 		}
@@ -138,9 +138,9 @@
 	return changed
 }
 
-// noOutage takes all suspects for gone: there was no outage in which their
+// unlistSuspects takes all suspects for gone: there was no outage in which their
 // entries could have lapsed. It reports whether anything changed.
-func (r *roster) noOutage(now time.Time) bool {
+func (r *upstreamRegistry) unlistSuspects(now time.Time) bool {
 	changed := len(r.suspects) > 0
 	for id := range r.suspects {
 		delete(r.suspects, id)
@@ -150,9 +150,9 @@
 }
 
 // snapshot returns the upstreams, each as mark makes it.
-func (r *roster) snapshot(mark func(*catalogue.Upstream) *catalogue.Upstream) *catalogue.Snapshot {
-	ups := make(map[string]*catalogue.Upstream, len(r.ups))
-	for id, u := range r.ups {
+func (r *upstreamRegistry) snapshot(mark func(*catalogue.Upstream) *catalogue.Upstream) *catalogue.Snapshot {
+	ups := make(map[string]*catalogue.Upstream, len(r.upstreams))
+	for id, u := range r.upstreams {
 		ups[id] = mark(u)
 	}
 	return catalogue.NewSnapshot(ups)
--- a/internal/entryhost/roster_test.go
+++ b/internal/entryhost/roster_test.go
@@ -17,11 +17,11 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-func listed(r *roster, id string) { r.list(&catalogue.Upstream{ID: id, Service: "s"}) }
+func listed(r *upstreamRegistry, id string) { r.register(&catalogue.Upstream{ID: id, Service: "s"}) }
 
 // state says what the roster believes of an upstream.
-func (r *roster) state(id string) string {
-	switch u := r.ups[id]; {
+func (r *upstreamRegistry) state(id string) string {
+	switch u := r.upstreams[id]; {
 	case u == nil:
 		return "unknown"
 	case u.Leaving:
@@ -30,7 +30,7 @@
 	return "ready"
 }
 
-func wantState(t *testing.T, r *roster, id, want string) {
+func wantState(t *testing.T, r *upstreamRegistry, id, want string) {
 	t.Helper()
 	if got := r.state(id); got != want {
 		t.Errorf("%s is %s, want %s", id, got, want)
@@ -41,11 +41,11 @@
 // nothing new from then on, and is forgotten in the end.
 func TestUnlistedUpstreamIsLeaving(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := newRoster(zap.NewNop())
+	r := newUpstreamRegistry(zap.NewNop())
 	listed(r, "u1")
-	r.missing("u1", now, now)
+	r.markMissing("u1", now, now)
 	wantState(t, r, "u1", "leaving")
-	r.settle(false, now.Add(remembered+time.Second))
+	r.expireSuspects(false, now.Add(unlistedRetention+time.Second))
 	wantState(t, r, "u1", "unknown")
 }
 
@@ -54,16 +54,16 @@
 // that is not is taken for gone then.
 func TestEntriesThatLapsedInAnOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := newRoster(zap.NewNop())
+	r := newUpstreamRegistry(zap.NewNop())
 	listed(r, "back")
 	listed(r, "gone")
-	r.missing("back", now.Add(relist), now)
-	r.missing("gone", now.Add(relist), now)
-	r.settle(true, now.Add(time.Minute))
+	r.markMissing("back", now.Add(relistGracePeriod), now)
+	r.markMissing("gone", now.Add(relistGracePeriod), now)
+	r.expireSuspects(true, now.Add(time.Minute))
 	wantState(t, r, "back", "ready")
 	wantState(t, r, "gone", "ready")
 	listed(r, "back")
-	r.settle(false, now.Add(time.Minute))
+	r.expireSuspects(false, now.Add(time.Minute))
 	wantState(t, r, "back", "ready")
 	wantState(t, r, "gone", "leaving")
 }
@@ -73,14 +73,14 @@
 // suspicion was settled it was forgotten, and the host ended.
 func TestGoneUpstreamIsNotSuspectedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := newRoster(zap.NewNop())
+	r := newUpstreamRegistry(zap.NewNop())
 	listed(r, "u1")
-	r.missing("u1", now, now)
-	now = now.Add(remembered - time.Second)
-	r.missingBut(nil, now.Add(relist), now)
+	r.markMissing("u1", now, now)
+	now = now.Add(unlistedRetention - time.Second)
+	r.markMissingExcept(nil, now.Add(relistGracePeriod), now)
 	now = now.Add(2 * time.Second)
-	r.settle(true, now)
-	r.settle(false, now.Add(relist))
+	r.expireSuspects(true, now)
+	r.expireSuspects(false, now.Add(relistGracePeriod))
 	wantState(t, r, "u1", "unknown")
 }
 
@@ -90,20 +90,20 @@
 // it had no break settles it: callers go to them no longer.
 func TestHostThatWasCutOffTakesThePlannersWord(t *testing.T) {
 	log := memstore.New()
-	views := view.NewHolder()
-	c := newControl(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
-	c.roster.list(&catalogue.Upstream{ID: "left", Service: "s"})
-	c.noteStream(metastore.StreamUpstreams, metastore.ErrNoAnswer)
-	c.noteStream(metastore.StreamUpstreams, nil)
+	views := view.NewPublisher()
+	c := newController(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
+	c.registry.register(&catalogue.Upstream{ID: "left", Service: "s"})
+	c.onStreamResult(metastore.StreamUpstreams, metastore.ErrNoAnswer)
+	c.onStreamResult(metastore.StreamUpstreams, nil)
 	c.applyUpstreams(nil, true)
 	if u := views.Load().Upstreams.ByID["left"]; u.Leaving {
 		t.Fatal("right after an outage a missing entry is taken for leaving")
 	}
-	c.followedPlanner(time.Second)
+	c.onPlannerFollowed(time.Second)
 	if u := views.Load().Upstreams.ByID["left"]; u.Leaving {
 		t.Fatal("a planner that had a break too cannot tell")
 	}
-	c.followedPlanner(time.Minute)
+	c.onPlannerFollowed(time.Minute)
 	if u := views.Load().Upstreams.ByID["left"]; !u.Leaving {
 		t.Fatal("still sent to, though the planner saw no outage")
 	}
@@ -113,16 +113,16 @@
 // a second later. The time in which lapsed entries come back runs from the
 // first sign that the log service is back, not from the list.
 func TestSparedTimeRunsFromTheFirstSign(t *testing.T) {
-	c := newControl(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewHolder(), planner.Options{Host: "h"}, evacuateBound)
+	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, evacuateBound)
 	for _, s := range []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams} {
-		c.noteStream(s, metastore.ErrNoAnswer)
+		c.onStreamResult(s, metastore.ErrNoAnswer)
 	}
-	c.noteStream(metastore.StreamDesired, nil)
-	first := c.backAt
-	c.backAt = first.Add(-500 * time.Millisecond)
-	c.noteStream(metastore.StreamUpstreams, nil)
+	c.onStreamResult(metastore.StreamDesired, nil)
+	first := c.logRecoveredAt
+	c.logRecoveredAt = first.Add(-500 * time.Millisecond)
+	c.onStreamResult(metastore.StreamUpstreams, nil)
 	now := time.Now()
-	if got := c.spareUntil(now).Sub(now); got > relist-400*time.Millisecond {
+	if got := c.missingGraceUntil(now).Sub(now); got > relistGracePeriod-400*time.Millisecond {
 		t.Errorf("spared for %v more", got)
 	}
 }
@@ -131,11 +131,11 @@
 func TestOnlyOneReaderTriesDuringAnOutage(t *testing.T) {
 	log := memstore.New()
 	log.SetDown(true)
-	c := newControl(zap.NewNop(), log, decoder{}, nil, view.NewHolder(), planner.Options{Host: "h"}, evacuateBound)
+	c := newController(zap.NewNop(), log, decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, evacuateBound)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.run(ctx)
-	own, rest := c.followers(ctx)
+	own, rest := c.newStreamReaders(ctx)
 	for _, f := range append(rest, own) {
 		go f.run(ctx)
 	}
@@ -149,22 +149,22 @@
 // entries lapsed. It never saw the outage, but spares what is missing now as
 // if it had: the entries are back within two seconds.
 func TestHostThatStoodStillSparesMissingEntries(t *testing.T) {
-	c := newControl(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewHolder(), planner.Options{Host: "h"}, evacuateBound)
+	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, evacuateBound)
 	clock := bootclock.Time(time.Hour)
 	c.clock = func() bootclock.Time { return clock }
-	c.watchStall()
-	listed(c.roster, "u")
-	clock = clock.Add(tickOther)
-	c.watchStall()
-	if now := time.Now(); c.spareUntil(now).After(now) {
+	c.detectStall()
+	listed(c.registry, "u")
+	clock = clock.Add(followerTickInterval)
+	c.detectStall()
+	if now := time.Now(); c.missingGraceUntil(now).After(now) {
 		t.Fatal("spares entries without a reason")
 	}
 	clock = clock.Add(5 * time.Second)
-	c.watchStall()
+	c.detectStall()
 	now := time.Now()
-	c.roster.missing("u", c.spareUntil(now), now)
-	wantState(t, c.roster, "u", "ready")
-	if c.copy.Steady(now) > time.Second {
+	c.registry.markMissing("u", c.missingGraceUntil(now), now)
+	wantState(t, c.registry, "u", "ready")
+	if c.replica.LogReachableFor(now) > time.Second {
 		t.Error("claims to have reached the log service all the while")
 	}
 }
@@ -175,16 +175,16 @@
 // the new life that is leaving.
 func TestServerThatStartsAgainUnderItsID(t *testing.T) {
 	now := time.Unix(1000, 0)
-	r := newRoster(zap.NewNop())
-	first, second := catalogue.LifeID("u1", 1), catalogue.LifeID("u1", 2)
+	r := newUpstreamRegistry(zap.NewNop())
+	first, second := catalogue.IncarnationID("u1", 1), catalogue.IncarnationID("u1", 2)
 	listed(r, first)
 	listed(r, second)
 	listed(r, first)
 	wantState(t, r, first, "unknown")
 	wantState(t, r, second, "ready")
-	r.missing("u1", now, now)
+	r.markMissing("u1", now, now)
 	wantState(t, r, second, "leaving")
-	r.settle(false, now.Add(remembered+time.Second))
+	r.expireSuspects(false, now.Add(unlistedRetention+time.Second))
 	wantState(t, r, second, "unknown")
 	listed(r, first)
 	wantState(t, r, first, "ready")
@@ -195,8 +195,8 @@
 // it writes again, the others are left alone, and one line is logged for all.
 func TestEntryOfAnotherWriterNamesNoUpstream(t *testing.T) {
 	core, logs := observer.New(zap.ErrorLevel)
-	views := view.NewHolder()
-	c := newControl(zap.New(core), memstore.New(), decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
+	views := view.NewPublisher()
+	c := newController(zap.New(core), memstore.New(), decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
 	entry := func(id string) metastore.Record {
 		return metastore.Record{Key: id, Value: fmt.Appendf(nil, `{"ID":%q,"Service":"s"}`, id)}
 	}
--- a/internal/entryhost/seat.go
+++ b/internal/entryhost/seat.go
@@ -22,28 +22,28 @@
 const memberships = 2
 
 // alone is the number of hosts from which on one membership each is enough.
-const alone = 24
+const singleMembershipFleetSize = 24
 
-// seatSeeker seeks the seat under several names.
-type seatSeeker struct {
+// plannerElector seeks the seat under several names.
+type plannerElector struct {
 	store metastore.Store
 	// names are the memberships', generations what the group last told each.
 	names       []string
 	generations []int64
-	// hosts returns how many hosts there are.
-	hosts func() int
+	// fleetSize returns how many hosts there are.
+	fleetSize func() int
 }
 
-func newSeatSeeker(store metastore.Store, host string) *seatSeeker {
-	return &seatSeeker{store: store, names: []string{host, host + "/2"}, generations: make([]int64, memberships),
-		hosts: func() int { return 1 }}
+func newPlannerElector(store metastore.Store, host string) *plannerElector {
+	return &plannerElector{store: store, names: []string{host, host + "/2"}, generations: make([]int64, memberships),
+		fleetSize: func() int { return 1 }}
 }
 
-// join seeks the seat, or proves it, and reports whether this host holds it.
+// tryAcquireOrRenew seeks the seat, or proves it, and reports whether this host holds it.
 // It must not be called twice at once.
-func (s *seatSeeker) join(ctx context.Context, ttl time.Duration) (held bool, err error) {
+func (s *plannerElector) tryAcquireOrRenew(ctx context.Context, ttl time.Duration) (held bool, err error) {
 	for i, name := range s.wanted() {
-		seat, err := s.store.Join(ctx, name, ttl, s.generations[i])
+		seat, err := s.store.JoinElection(ctx, name, ttl, s.generations[i])
 		if err != nil {
 			return false, err
 		}
@@ -56,17 +56,17 @@
 }
 
 // wanted returns the names under which the seat is sought now.
-func (s *seatSeeker) wanted() []string {
-	if s.hosts() >= alone {
+func (s *plannerElector) wanted() []string {
+	if s.fleetSize() >= singleMembershipFleetSize {
 		return s.names[:1]
 	}
 	return s.names
 }
 
-// leave ends all memberships.
-func (s *seatSeeker) leave(ctx context.Context) error {
+// release ends all memberships.
+func (s *plannerElector) release(ctx context.Context) error {
 	for _, name := range s.names {
-		if err := s.store.Leave(ctx, name); err != nil {
+		if err := s.store.LeaveElection(ctx, name); err != nil {
 			return err
 		}
 	}
--- a/internal/entryhost/seat_test.go
+++ b/internal/entryhost/seat_test.go
@@ -18,12 +18,12 @@
 	joined []string
 }
 
-func (s *seatStore) Join(_ context.Context, member string, _ time.Duration, generation int64) (metastore.Seat, error) {
+func (s *seatStore) JoinElection(_ context.Context, member string, _ time.Duration, generation int64) (metastore.Lease, error) {
 	s.joined = append(s.joined, member)
 	if member == s.broken {
-		return metastore.Seat{}, metastore.ErrNoAnswer
+		return metastore.Lease{}, metastore.ErrNoAnswer
 	}
-	return metastore.Seat{Generation: generation + 1, Held: member == s.holder}, nil
+	return metastore.Lease{Generation: generation + 1, Held: member == s.holder}, nil
 }
 
 // A host holds the seat under its second name. A proof of it that fails must
@@ -31,12 +31,12 @@
 // planner that still is one.
 func TestSeatHeldUnderTheSecondName(t *testing.T) {
 	st := &seatStore{holder: "h/2"}
-	s := newSeatSeeker(st, "h")
-	if held, err := s.join(context.Background(), time.Second); !held || err != nil {
+	s := newPlannerElector(st, "h")
+	if held, err := s.tryAcquireOrRenew(context.Background(), time.Second); !held || err != nil {
 		t.Fatalf("held %v, error %v", held, err)
 	}
 	st.broken = "h/2"
-	if _, err := s.join(context.Background(), time.Second); !errors.Is(err, metastore.ErrNoAnswer) {
+	if _, err := s.tryAcquireOrRenew(context.Background(), time.Second); !errors.Is(err, metastore.ErrNoAnswer) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -44,9 +44,9 @@
 // A large fleet has members enough with one for each host.
 func TestLargeFleetsHostsHaveOneMembership(t *testing.T) {
 	st := &seatStore{}
-	s := newSeatSeeker(st, "h")
-	s.hosts = func() int { return alone }
-	if _, err := s.join(context.Background(), time.Second); err != nil {
+	s := newPlannerElector(st, "h")
+	s.fleetSize = func() int { return singleMembershipFleetSize }
+	if _, err := s.tryAcquireOrRenew(context.Background(), time.Second); err != nil {
 		t.Fatal(err)
 	}
 	if !slices.Equal(st.joined, []string{"h"}) {
--- a/internal/entryhost/slowstart_test.go
+++ b/internal/entryhost/slowstart_test.go
@@ -8,23 +8,23 @@
 
 	"github.com/papayatide/papayatide/internal/catalogue"
 	"github.com/papayatide/papayatide/internal/metastore"
-	"github.com/papayatide/papayatide/internal/standin/ranged"
+	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
 // slowStartMost is how many requests a cold upstream may get in a second.
 const slowStartMost = 4*slowStartFactor + slowStartSlack
 
 // startCold adds an upstream that is in its slow start for lasts.
-func (f *testFleet) startCold(service, id string, lasts time.Duration) *ranged.Upstream {
-	u := f.start(service, id)
-	f.put(u, catalogue.Upstream{Service: service, DataCentre: "dc", Slots: 3, SlowUntil: time.Now().Add(lasts)})
+func (f *testFleet) startCold(service, id string, lasts time.Duration) *rangeowner.Upstream {
+	u := f.startUpstream(service, id)
+	f.putEntry(u, catalogue.Upstream{Service: service, DataCentre: "dc", Slots: 3, SlowUntil: time.Now().Add(lasts)})
 	return u
 }
 
-// press has callers ask on every host at once, as fast as they are answered.
-func (f *testFleet) press(route string, d time.Duration) { f.pressOn(f.hosts, route, d) }
+// generateLoad has callers ask on every host at once, as fast as they are answered.
+func (f *testFleet) generateLoad(route string, d time.Duration) { f.generateLoadOn(f.hosts, route, d) }
 
-func (f *testFleet) pressOn(hosts []*testHost, route string, d time.Duration) {
+func (f *testFleet) generateLoadOn(hosts []*testHost, route string, d time.Duration) {
 	var wg sync.WaitGroup
 	for _, h := range hosts {
 		for c := range 4 {
@@ -49,28 +49,28 @@
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", plainRoute}} {
 		for _, warm := range []int{3, 0} {
 			t.Run(fmt.Sprint(c.service, " beside ", warm), func(t *testing.T) {
-				fleetTest(t, func(t *testing.T) {
+				runFleetTest(t, func(t *testing.T) {
 					f := newFleet(t, 8, 0)
 					for i := range warm {
-						f.addTo(c.service, fmt.Sprint("warm", i))
+						f.addServiceUpstream(c.service, fmt.Sprint("warm", i))
 					}
 					if warm > 0 {
-						f.answers(c.route, "/x", startup)
+						f.waitAnswered(c.route, "/x", startupTimeout)
 					}
 					time.Sleep(4 * time.Second)
 					from := time.Now() // what starts now is cold until then and cold more
-					var started []*ranged.Upstream
+					var started []*rangeowner.Upstream
 					for i := range 2 {
 						started = append(started, f.startCold(c.service, fmt.Sprint("cold", i), cold))
 					}
-					f.press(c.route, cold)
+					f.generateLoad(c.route, cold)
 					for _, u := range started {
-						if n := u.MostInASecond(from, from.Add(cold)); n > int(slowStartMost) {
+						if n := u.PeakInSecond(from, from.Add(cold)); n > int(slowStartMost) {
 							t.Errorf("%d requests came to a cold upstream within a second, it bears %v", n, slowStartMost)
 						}
 					}
 					time.Sleep(time.Second)
-					f.answers(c.route, "/x", handover)
+					f.waitAnswered(c.route, "/x", maxHandover)
 				})
 			})
 		}
@@ -80,13 +80,13 @@
 // A data centre that is taken back has become cold meanwhile, and the log service
 // fails before its upstreams have written so: they must not get their usual share.
 func TestDataCentreTakenBackIsColdWhileTheLogIsAway(t *testing.T) {
-	fleetTest(t, func(t *testing.T) {
+	runFleetTest(t, func(t *testing.T) {
 		const cold = 3 * time.Second
 		f := newFleet(t, 6, 0)
-		far := f.start("plain", "far")
+		far := f.startUpstream("plain", "far")
 		entry := catalogue.Upstream{Service: "plain", DataCentre: "far", Slots: 30}
-		f.put(far, entry)
-		f.answers(plainRoute, "/x", startup)
+		f.putEntry(far, entry)
+		f.waitAnswered(plainRoute, "/x", startupTimeout)
 		time.Sleep(4 * time.Second)
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
 		time.Sleep(evacuateBound + time.Second)
@@ -95,15 +95,15 @@
 		time.Sleep(500 * time.Millisecond)
 		f.log.SetDown(true)
 		entry.SlowUntil = back.Add(cold)
-		f.put(far, entry)
-		f.press(plainRoute, cold)
-		if n := far.MostInASecond(back, back.Add(cold)); n > int(slowStartMost) {
+		f.putEntry(far, entry)
+		f.generateLoad(plainRoute, cold)
+		if n := far.PeakInSecond(back, back.Add(cold)); n > int(slowStartMost) {
 			t.Errorf("%d requests came to a cold upstream within a second, it takes %v", n, slowStartMost)
 		}
 		f.log.SetDown(false)
 		time.Sleep(2 * time.Second)
 		before := time.Now()
-		f.press(plainRoute, 2*time.Second)
+		f.generateLoad(plainRoute, 2*time.Second)
 		if n := len(far.Arrivals(before, time.Now())); n == 0 {
 			t.Error("it is not used once it is warm")
 		}
@@ -119,28 +119,28 @@
 		busy           int
 	}{{"sheets", "read.example", 4}, {"plain", plainRoute, 4}, {"plain", plainRoute, 1}} {
 		t.Run(fmt.Sprint(c.service, " with ", c.busy, " busy hosts"), func(t *testing.T) {
-			fleetTest(t, func(t *testing.T) {
+			runFleetTest(t, func(t *testing.T) {
 				f := newFleet(t, 4, 0)
-				old := f.addTo(c.service, "server")
-				f.addTo(c.service, "other")
-				f.answers(c.route, "/x", startup)
-				f.press(c.route, 4*time.Second)
+				old := f.addServiceUpstream(c.service, "server")
+				f.addServiceUpstream(c.service, "other")
+				f.waitAnswered(c.route, "/x", startupTimeout)
+				f.generateLoad(c.route, 4*time.Second)
 				f.log.SetDown(true)
-				f.cut(old)
-				f.pressOn(f.hosts[:c.busy], c.route, time.Second)
+				f.killUpstream(old)
+				f.generateLoadOn(f.hosts[:c.busy], c.route, time.Second)
 				back := time.Now()
-				again := f.start(c.service, "server")
+				again := f.startUpstream(c.service, "server")
 				const cold = 3 * time.Second
-				f.press(c.route, cold)
-				if n := again.MostInASecond(back, back.Add(cold)); n > int(slowStartMost) {
+				f.generateLoad(c.route, cold)
+				if n := again.PeakInSecond(back, back.Add(cold)); n > int(slowStartMost) {
 					t.Errorf("%d requests came to it within a second, it takes %v", n, slowStartMost)
 				}
 				f.log.SetDown(false)
-				f.listAs(c.service, again, false)
-				f.listAs(c.service, f.ups["other:80"], false)
+				f.registerAs(c.service, again, false)
+				f.registerAs(c.service, f.upstreams["other:80"], false)
 				time.Sleep(4 * time.Second)
 				before := time.Now()
-				f.press(c.route, 2*time.Second)
+				f.generateLoad(c.route, 2*time.Second)
 				if n := len(again.Arrivals(before, time.Now())); n == 0 {
 					t.Error("it is not used once it is warm")
 				}
--- a/internal/entryhost/status.go
+++ b/internal/entryhost/status.go
@@ -12,42 +12,42 @@
 // keptChanges bounds the changes of ownership that a host remembers.
 const keptChanges = 32
 
-// change is a change of ownership that this host adopted. It does not keep
+// ownershipChange is a change of ownership that this host adopted. It does not keep
 // the table: thirty of them are two megabytes on a large fleet.
-type change struct {
+type ownershipChange struct {
 	at             time.Time
 	service, cause string
 	term, fence    int64
 	keys           int
 }
 
-// changes are the last ones. It is safe for concurrent use.
-type changes struct {
+// ownershipHistory are the last ones. It is safe for concurrent use.
+type ownershipHistory struct {
 	mu   sync.Mutex
-	last []change
+	last []ownershipChange
 }
 
-func (c *changes) add(old, now *ownership.Table) {
+func (c *ownershipHistory) add(old, now *ownership.Table) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = append(c.last, change{at: time.Now(), service: now.Service, cause: now.Cause, term: now.Term, fence: now.Fence,
+	c.last = append(c.last, ownershipChange{at: time.Now(), service: now.Service, cause: now.Cause, term: now.Term, fence: now.MaxFencingToken,
 		keys: now.KeysMovedSince(old)})
 	if n := len(c.last) - keptChanges; n > 0 {
-		c.last = append([]change(nil), c.last[n:]...)
+		c.last = append([]ownershipChange(nil), c.last[n:]...)
 	}
 }
 
-func (c *changes) list() []change {
+func (c *ownershipHistory) list() []ownershipChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]change(nil), c.last...)
+	return append([]ownershipChange(nil), c.last...)
 }
 
 // retire stops what this host plans of the service in terms before the given
 // one, and reports whether no grant of those is under way any more.
 func (h *host) retire(ctx context.Context, service string, term int64) bool {
 	done := make(chan bool, 1)
-	h.control.post(ctx, func() { done <- h.control.plan.Retired(service, term, h.control.clock()) })
+	h.controller.post(ctx, func() { done <- h.controller.plan.Retire(service, term, h.controller.clock()) })
 	select {
 	case retired := <-done:
 		return retired
@@ -60,16 +60,16 @@
 func (h *host) status(context.Context) *peerpb.StatusReply {
 	now := time.Now()
 	v := h.views.Load()
-	out := &peerpb.StatusReply{Host: h.cfg.Host, DataCentre: h.cfg.DataCentre, Planning: h.control.planning.Load(),
-		ViewAgeMs: uint32(h.control.copy.Age(now).Milliseconds()), Hosts: uint32(h.fleet.Size(now)), InFlight: h.inFlight.Load()}
-	out.Follows = h.feed.followed()
+	out := &peerpb.StatusReply{Host: h.cfg.Host, DataCentre: h.cfg.DataCentre, Planning: h.controller.planning.Load(),
+		ViewAgeMs: uint32(h.controller.replica.Age(now).Milliseconds()), Hosts: uint32(h.fleet.Size(now)), InFlight: h.inFlight.Load()}
+	out.Follows = h.logSyncer.followedAddr()
 	if v.Desired != nil {
 		out.Version = v.Desired.Version
 	}
 	for _, t := range v.Tables {
 		out.Services = append(out.Services, describeTable(t))
 	}
-	for _, c := range h.control.changes.list() {
+	for _, c := range h.controller.ownershipHistory.list() {
 		out.Changes = append(out.Changes, &peerpb.OwnershipChange{AgeMs: uint32(now.Sub(c.at).Milliseconds()), Service: c.service,
 			Term: c.term, Fence: c.fence, Keys: uint32(c.keys), Cause: c.cause})
 	}
@@ -77,9 +77,9 @@
 }
 
 func describeTable(t *ownership.Table) *peerpb.ServiceStatus {
-	s := &peerpb.ServiceStatus{Name: t.Service, Term: t.Term, Fence: t.Fence, Planner: t.Planner, Lost: t.Lost}
+	s := &peerpb.ServiceStatus{Name: t.Service, Term: t.Term, Fence: t.MaxFencingToken, Planner: t.Planner, Lost: t.Lost}
 	for _, r := range t.Ranges {
-		s.Ranges = append(s.Ranges, &peerpb.OwnedRange{From: uint32(r.From), To: uint32(r.To), Owner: r.Owner, Fence: r.Fence})
+		s.Ranges = append(s.Ranges, &peerpb.OwnedRange{From: uint32(r.From), To: uint32(r.To), Owner: r.Owner, Fence: r.FencingToken})
 	}
 	return s
 }
--- a/internal/entryhost/tries.go
+++ b/internal/entryhost/tries.go
@@ -8,20 +8,20 @@
 
 // tryStream is the place of the upstreams' stream, which is tried, among those
 // that followers returns.
-const tryStream = 1
+const attemptStreamIndex = 1
 
-// whatNext is what a host does that waits for the log service to serve it.
-type whatNext int
+// attemptDecision is what a host does that waits for the log service to serve it.
+type attemptDecision int
 
 const (
-	tryLater whatNext = iota
-	tryNow
-	tryServed
+	attemptLater attemptDecision = iota
+	attemptNow
+	attemptSucceeded
 )
 
-// tries are a host's single reads of the log service while it waits for others
+// readAttempts are a host's single reads of the log service while it waits for others
 // to have a young copy again. It is safe for concurrent use.
-type tries struct {
+type readAttempts struct {
 	mu sync.Mutex
 	// underWay is set while a read is, served once one was answered.
 	underWay, served bool
@@ -32,24 +32,24 @@
 }
 
 // next returns what to do now, in a fleet of so many hosts.
-func (t *tries) next(now time.Time, hosts int) whatNext {
+func (t *readAttempts) next(now time.Time, hosts int) attemptDecision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case t.served:
 		t.served = false
-		return tryServed
+		return attemptSucceeded
 	case t.underWay || now.Before(t.due):
-		return tryLater
+		return attemptLater
 	}
-	pace := min(time.Duration(hosts)*time.Second/triesPerSecond, tryMost)
+	pace := min(time.Duration(hosts)*time.Second/fleetAttemptsPerSecond, maxAttemptInterval)
 	t.due = now.Add(pace/2 + rand.N(pace+1))
 	t.underWay = true
-	return tryNow
+	return attemptNow
 }
 
-// made takes a read's outcome.
-func (t *tries) made(err error) {
+// finish takes a read's outcome.
+func (t *readAttempts) finish(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.underWay, t.served = false, err == nil
@@ -58,22 +58,22 @@
 	}
 }
 
-// failed takes note that a reader at work failed.
-func (t *tries) failed() {
+// recordFailure takes note that a reader at work failed.
+func (t *readAttempts) recordFailure() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.failedAt = time.Now()
 }
 
 // failedSince reports whether a read failed after the given time.
-func (t *tries) failedSince(at time.Time) bool {
+func (t *readAttempts) failedSince(at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.failedAt.After(at)
 }
 
-// end takes note that another host's copy is young again.
-func (t *tries) end() {
+// reset takes note that another host's copy is young again.
+func (t *readAttempts) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.served, t.due = false, time.Time{}
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -24,10 +24,10 @@
 	HostListFailed    = 309
 
 	// 4xx: traffic.
-	ForwardFailed      = 400
-	CrossedAnswer      = 401
-	ContentEndsTargets = 402
-	TargetReported     = 403
+	ForwardFailed             = 400
+	MismatchedResponse        = 401
+	FingerprintCrashesTargets = 402
+	TargetReported            = 403
 
 	// 5xx: the log service.
 	LogUnreachable = 500
@@ -37,51 +37,51 @@
 // Events of an entry host on the platform.
 const (
 	// 6xx: what the host believes.
-	EntryStarted           = 600
-	EntryStopping          = 601
-	EntryStopped           = 602
-	SettingsReloaded       = 603
-	SettingsRefused        = 604
-	StreamLost             = 610
-	StreamRegained         = 611
-	PlannerFollowed        = 612
-	PlannerUnfollowed      = 613
-	HostStalled            = 614
-	DesiredAdopted         = 620
-	DesiredRefused         = 621
-	EvacuationBegun        = 622
-	EvacuationEnded        = 623
-	UpstreamListed         = 630
-	UpstreamLeaving        = 631
-	UpstreamUnlisted       = 632
-	UpstreamRefused        = 633
-	UpstreamRestarted      = 634
-	UpstreamReported       = 635
-	OwnershipAdopted       = 640
-	OwnershipRefused       = 641
-	OwnershipChangeRefused = 642
-	ContentRefused         = 650
-	CrashRefused           = 651
-	CrashesRead            = 652
-	CrashesNotWritten      = 653
-	ContentCleared         = 654
-	LinesDropped           = 660
+	EntryHostStarted        = 600
+	EntryHostStopping       = 601
+	EntryHostStopped        = 602
+	SettingsReloaded        = 603
+	SettingsRejected        = 604
+	StreamLost              = 610
+	StreamRecovered         = 611
+	PlannerFollowed         = 612
+	PlannerUnfollowed       = 613
+	HostStalled             = 614
+	DesiredAdopted          = 620
+	DesiredRejected         = 621
+	EvacuationBegun         = 622
+	EvacuationEnded         = 623
+	UpstreamListed          = 630
+	UpstreamLeaving         = 631
+	UpstreamUnlisted        = 632
+	UpstreamRecordRejected  = 633
+	UpstreamRestarted       = 634
+	UpstreamReported        = 635
+	OwnershipAdopted        = 640
+	OwnershipRejected       = 641
+	OwnershipChangeRejected = 642
+	FingerprintRefused      = 650
+	CrashRecordRejected     = 651
+	CrashRecordsRead        = 652
+	CrashWriteFailed        = 653
+	FingerprintCleared      = 654
+	LogLinesDropped         = 660
 
 	// 7xx: the planner.
-	PlannerSeatTaken   = 700
-	PlannerSeatLost    = 701
-	PlannerTermStarted = 702
-	PlannerTermEnded   = 703
-	OwnershipRecorded  = 704
-	OwnershipConflict  = 705
-	OwnerLost          = 706
-	GrantRefused       = 707
-	ReleaseFailed      = 708
-	PlannerNotRetired  = 709
+	PlannerLeaseAcquired       = 700
+	PlannerLeaseLost           = 701
+	PlannerTermStarted         = 702
+	PlannerTermEnded           = 703
+	OwnershipRecorded          = 704
+	OwnershipConflict          = 705
+	OwnerLost                  = 706
+	GrantRejected              = 707
+	ReleaseFailed              = 708
+	PreviousPlannerUnreachable = 709
 
 	// 8xx: requests.
 	RequestServed  = 800
 	RequestRefused = 801
 	RequestFailed  = 802
-	SendBrokeOff   = 803
+	BrokenSend     = 803
 )
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -107,24 +107,24 @@
 	return out
 }
 
-// Story is what the logs say of one request.
-type Story struct {
-	// Own are the request's lines on all hosts, Around the changes of
+// Timeline is what the logs say of one request.
+type Timeline struct {
+	// RequestLines are the request's lines on all hosts, Around the changes of
 	// belief on those hosts that concern its service or upstream.
-	Own, Around []*Line
+	RequestLines, ContextLines []*Line
 }
 
 // Find returns the story of the request with the given ID.
-func Find(lines []*Line, id string) Story {
-	var s Story
+func Find(lines []*Line, id string) Timeline {
+	var s Timeline
 	for _, l := range lines {
 		if l.Field("request") == id {
-			s.Own = append(s.Own, l)
+			s.RequestLines = append(s.RequestLines, l)
 		}
 	}
 	for _, l := range lines {
 		if !isRequest(l) && s.concerns(l) {
-			s.Around = append(s.Around, l)
+			s.ContextLines = append(s.ContextLines, l)
 		}
 	}
 	return s
@@ -133,8 +133,8 @@
 func isRequest(l *Line) bool { return l.Event >= firstRequestEvent && l.Event <= lastRequestEvent }
 
 // concerns reports whether a line belongs beside the request's own.
-func (s *Story) concerns(l *Line) bool {
-	for _, own := range s.Own {
+func (s *Timeline) concerns(l *Line) bool {
+	for _, own := range s.RequestLines {
 		if l.At < own.At-around || l.At > own.At+after {
 			continue
 		}
@@ -151,8 +151,8 @@
 }
 
 // Write tells the story in order of time.
-func (s Story) Write(w io.Writer) error {
-	all := append(append([]*Line(nil), s.Own...), s.Around...)
+func (s Timeline) Write(w io.Writer) error {
+	all := append(append([]*Line(nil), s.RequestLines...), s.ContextLines...)
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].At != all[j].At {
 			return all[i].At < all[j].At
--- a/internal/feedback/bench_test.go
+++ b/internal/feedback/bench_test.go
@@ -13,7 +13,7 @@
 	now := time.Now()
 	for b.Loop() {
 		t.Record("u", Decode(names, http.StatusOK, h), now, now)
-		t.Rest("u", now)
-		t.Limit("u")
+		t.Backoff("u", now)
+		t.RateLimit("u")
 	}
 }
--- a/internal/feedback/report.go
+++ b/internal/feedback/report.go
@@ -12,16 +12,16 @@
 
 // Report is what one answer says of its upstream.
 type Report struct {
-	// Limit is the number of requests a second that the upstream takes from
+	// RateLimit is the number of requests a second that the upstream takes from
 	// all hosts together; 0 if the answer names none.
-	Limit float64
+	RateLimit float64
 	// LimitUnreadable is set if a limit is named that is not a usable number.
 	LimitUnreadable bool
 	// Leaving is set if the upstream will end soon and wants no new work.
 	Leaving bool
-	// Rest is for how long it wants no requests from this host; 0 if the answer
+	// Backoff is for how long it wants no requests from this host; 0 if the answer
 	// does not say.
-	Rest time.Duration
+	Backoff time.Duration
 }
 
 const (
@@ -45,8 +45,8 @@
 			continue
 		}
 		limit = min(max(limit, leastLimit), mostLimit)
-		if r.Limit == 0 || limit < r.Limit {
-			r.Limit = limit
+		if r.RateLimit == 0 || limit < r.RateLimit {
+			r.RateLimit = limit
 		}
 	}
 	for _, v := range h.Values(names.Leaving) {
@@ -58,7 +58,7 @@
 	for _, v := range h.Values("Retry-After") {
 		if seconds, ok := number(v); ok {
 			rest := time.Duration(min(seconds, mostRest.Seconds()) * float64(time.Second))
-			r.Rest = max(r.Rest, rest)
+			r.Backoff = max(r.Backoff, rest)
 		}
 	}
 	return r
--- a/internal/feedback/report_test.go
+++ b/internal/feedback/report_test.go
@@ -21,20 +21,20 @@
 		want   Report
 	}{
 		{"nothing", 200, http.Header{}, Report{}},
-		{"limit", 200, http.Header{"X-Limit": {"1.6"}}, Report{Limit: 1.6}},
-		{"limit with spaces", 200, http.Header{"X-Limit": {" 2 "}}, Report{Limit: 2}},
-		{"limit of zero", 200, http.Header{"X-Limit": {"0"}}, Report{Limit: leastLimit}},
-		{"huge limit", 200, http.Header{"X-Limit": {"1e300"}}, Report{Limit: mostLimit}},
+		{"limit", 200, http.Header{"X-Limit": {"1.6"}}, Report{RateLimit: 1.6}},
+		{"limit with spaces", 200, http.Header{"X-Limit": {" 2 "}}, Report{RateLimit: 2}},
+		{"limit of zero", 200, http.Header{"X-Limit": {"0"}}, Report{RateLimit: leastLimit}},
+		{"huge limit", 200, http.Header{"X-Limit": {"1e300"}}, Report{RateLimit: mostLimit}},
 		{"negative limit", 200, http.Header{"X-Limit": {"-1"}}, Report{LimitUnreadable: true}},
 		{"infinite limit", 200, http.Header{"X-Limit": {"Inf"}}, Report{LimitUnreadable: true}},
 		{"limit that is no number", 200, http.Header{"X-Limit": {"few"}}, Report{LimitUnreadable: true}},
-		{"repeated limit", 200, http.Header{"X-Limit": {"3", "2", "x"}}, Report{Limit: 2, LimitUnreadable: true}},
+		{"repeated limit", 200, http.Header{"X-Limit": {"3", "2", "x"}}, Report{RateLimit: 2, LimitUnreadable: true}},
 		{"leaving", 404, http.Header{"X-Leaving": {"1"}}, Report{Leaving: true}},
 		{"not leaving", 200, http.Header{"X-Leaving": {"0"}}, Report{}},
-		{"rest", 503, http.Header{"Retry-After": {"3"}}, Report{Rest: 3 * time.Second}},
-		{"rest with a fraction", 503, http.Header{"Retry-After": {"0.25"}}, Report{Rest: 250 * time.Millisecond}},
-		{"rest repeated", 503, http.Header{"Retry-After": {"1", "2"}}, Report{Rest: 2 * time.Second}},
-		{"rest of a day", 503, http.Header{"Retry-After": {"86400"}}, Report{Rest: mostRest}},
+		{"rest", 503, http.Header{"Retry-After": {"3"}}, Report{Backoff: 3 * time.Second}},
+		{"rest with a fraction", 503, http.Header{"Retry-After": {"0.25"}}, Report{Backoff: 250 * time.Millisecond}},
+		{"rest repeated", 503, http.Header{"Retry-After": {"1", "2"}}, Report{Backoff: 2 * time.Second}},
+		{"rest of a day", 503, http.Header{"Retry-After": {"86400"}}, Report{Backoff: mostRest}},
 		{"rest as a date", 503, http.Header{"Retry-After": {"Thu, 03 Dec 2026 08:00:00 GMT"}}, Report{}},
 		{"negative rest", 503, http.Header{"Retry-After": {"-3"}}, Report{}},
 		{"rest with another status", 429, http.Header{"Retry-After": {"3"}}, Report{}},
@@ -52,11 +52,11 @@
 	f.Add("0x1p-1074", "", "1e309")
 	f.Fuzz(func(t *testing.T, limit, leaving, rest string) {
 		r := Decode(names, http.StatusServiceUnavailable, http.Header{"X-Limit": {limit}, "X-Leaving": {leaving}, "Retry-After": {rest}})
-		if r.Limit != 0 && (r.Limit < leastLimit || r.Limit > mostLimit || math.IsNaN(r.Limit)) {
-			t.Errorf("limit %q: %v", limit, r.Limit)
+		if r.RateLimit != 0 && (r.RateLimit < leastLimit || r.RateLimit > mostLimit || math.IsNaN(r.RateLimit)) {
+			t.Errorf("limit %q: %v", limit, r.RateLimit)
 		}
-		if r.Rest < 0 || r.Rest > mostRest {
-			t.Errorf("rest %q: %v", rest, r.Rest)
+		if r.Backoff < 0 || r.Backoff > mostRest {
+			t.Errorf("rest %q: %v", rest, r.Backoff)
 		}
 	})
 }
--- a/internal/feedback/tracker.go
+++ b/internal/feedback/tracker.go
@@ -81,21 +81,21 @@
 	Upstream string
 	// From is the host that received the answer; empty for this one.
 	From string
-	// Limit is the one in force, 0 for none, and Before the one until now.
-	Limit, Before float64
+	// RateLimit is the one in force, 0 for none, and Before the one until now.
+	RateLimit, PreviousRateLimit float64
 	// Leaving is set if the upstream is now known to leave.
 	Leaving bool
-	// Rest is the rest that the upstream has asked this host for.
-	Rest time.Duration
-	// EndedAt is when another host saw the upstream end; zero if that is not new.
-	EndedAt time.Time
+	// Backoff is the rest that the upstream has asked this host for.
+	Backoff time.Duration
+	// CrashedAt is when another host saw the upstream end; zero if that is not new.
+	CrashedAt time.Time
 }
 
 // Tracker keeps the reports of all upstreams. It is safe for concurrent use.
 type Tracker struct {
-	// Changed is called, without the lock, for each change. It must be set
+	// OnChange is called, without the lock, for each change. It must be set
 	// before the first use.
-	Changed func(Change)
+	OnChange func(Change)
 
 	mu sync.Mutex
 	by map[string]*state
@@ -103,7 +103,7 @@
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{Changed: func(Change) {}, by: map[string]*state{}}
+	return &Tracker{OnChange: func(Change) {}, by: map[string]*state{}}
 }
 
 func (t *Tracker) of(id string) *state {
@@ -126,17 +126,17 @@
 		return
 	}
 	s := t.of(id)
-	c := Change{Upstream: id, Before: s.limit, Rest: r.Rest}
+	c := Change{Upstream: id, PreviousRateLimit: s.limit, Backoff: r.Backoff}
 	switch {
-	case r.Limit > 0:
-		s.limit, s.limitAt = r.Limit, now
+	case r.RateLimit > 0:
+		s.limit, s.limitAt = r.RateLimit, now
 	case !r.LimitUnreadable && s.limit > 0 && sent.After(s.limitAt):
 		s.limit, s.limitAt = 0, now
 	}
-	if c.Limit = s.limit; r.Leaving && s.leavingAt.IsZero() {
+	if c.RateLimit = s.limit; r.Leaving && s.leavingAt.IsZero() {
 		s.leavingAt, c.Leaving = now, true
 	}
-	if until := now.Add(r.Rest); r.Rest > 0 && until.After(s.restUntil) {
+	if until := now.Add(r.Backoff); r.Backoff > 0 && until.After(s.restUntil) {
 		s.restUntil, s.restOver = until, until
 	}
 	t.mu.Unlock()
@@ -144,20 +144,20 @@
 }
 
 func (t *Tracker) notify(c Change) {
-	if c.Limit != c.Before || c.Leaving || c.Rest > 0 || !c.EndedAt.IsZero() {
-		t.Changed(c)
+	if c.RateLimit != c.PreviousRateLimit || c.Leaving || c.Backoff > 0 || !c.CrashedAt.IsZero() {
+		t.OnChange(c)
 	}
 }
 
-// NoteEnded takes note that this host saw the upstream end at now.
-func (t *Tracker) NoteEnded(id string, now time.Time) {
+// RecordCrash takes note that this host saw the upstream end at now.
+func (t *Tracker) RecordCrash(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.of(id).endedAt = now
 }
 
-// Limit returns the upstream's limit in requests a second; 0 if it has none.
-func (t *Tracker) Limit(id string) float64 {
+// RateLimit returns the upstream's limit in requests a second; 0 if it has none.
+func (t *Tracker) RateLimit(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.by[id]; s != nil {
@@ -166,8 +166,8 @@
 	return 0
 }
 
-// Rest returns for how much longer the upstream wants no requests from this host.
-func (t *Tracker) Rest(id string, now time.Time) time.Duration {
+// Backoff returns for how much longer the upstream wants no requests from this host.
+func (t *Tracker) Backoff(id string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.by[id]; s != nil {
@@ -176,29 +176,29 @@
 	return 0
 }
 
-// Standing is what counts for the placing of an upstream's keys.
-type Standing struct {
-	// Limit is in requests a second, 0 for none; LimitAge how long ago the newest
+// Status is what counts for the placing of an upstream's keys.
+type Status struct {
+	// RateLimit is in requests a second, 0 for none; LimitAge how long ago the newest
 	// answer that says so was received by a host.
-	Limit    float64
-	LimitAge time.Duration
-	// Resting is how many hosts, of this one and its followers, it has asked for a
+	RateLimit    float64
+	RateLimitAge time.Duration
+	// BackoffHosts is how many hosts, of this one and its followers, it has asked for a
 	// rest that is not over.
-	Resting int
-	// Lately is set if it has, or had within the last minute, a limit or a rest.
-	Lately bool
+	BackoffHosts int
+	// RecentlyThrottled is set if it has, or had within the last minute, a limit or a rest.
+	RecentlyThrottled bool
 }
 
-// Standing returns the upstream's.
-func (t *Tracker) Standing(id string, now time.Time) Standing {
+// Status returns the upstream's.
+func (t *Tracker) Status(id string, now time.Time) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.by[id]
 	if s == nil {
-		return Standing{}
+		return Status{}
 	}
 	hosts, _ := s.resting(now)
-	return Standing{Limit: s.limit, LimitAge: now.Sub(s.limitAt), Resting: hosts, Lately: s.lately(now)}
+	return Status{RateLimit: s.limit, RateLimitAge: now.Sub(s.limitAt), BackoffHosts: hosts, RecentlyThrottled: s.lately(now)}
 }
 
 // LeavingSince returns when a host first received a report that the upstream leaves,
@@ -215,20 +215,20 @@
 // Notice is what hosts tell each other of an upstream.
 type Notice struct {
 	Upstream string
-	// Limit is as in Report, LimitAge how long ago the newest answer that says
+	// RateLimit is as in Report, LimitAge how long ago the newest answer that says
 	// so was received; negative if no answer ever named a limit.
-	Limit    float64
-	LimitAge time.Duration
+	RateLimit    float64
+	RateLimitAge time.Duration
 	// Leaving is set if the upstream leaves, LeavingAge how long that is known.
 	Leaving    bool
 	LeavingAge time.Duration
-	// RestHosts is how many hosts were asked for a rest, RestLeft how much of the
+	// BackoffHosts is how many hosts were asked for a rest, RestLeft how much of the
 	// longest is left. They are sent only to the host that one follows.
-	RestHosts int
-	RestLeft  time.Duration
-	// Ended is set if a host saw the upstream end lately, EndedAge ago.
-	Ended    bool
-	EndedAge time.Duration
+	BackoffHosts int
+	BackoffLeft  time.Duration
+	// Crashed is set if a host saw the upstream end lately, EndedAge ago.
+	Crashed  bool
+	CrashAge time.Duration
 }
 
 // maxNotices bounds the notices of one message.
@@ -241,15 +241,15 @@
 	defer t.mu.Unlock()
 	var out []Notice
 	for id, s := range t.by {
-		n := Notice{Upstream: id, Limit: s.limit, LimitAge: -1, Leaving: !s.leavingAt.IsZero(), Ended: s.ended(now)}
-		if n.RestHosts, n.RestLeft = s.resting(now); s.limitAt.IsZero() && !n.Leaving && n.RestHosts == 0 && !n.Ended {
+		n := Notice{Upstream: id, RateLimit: s.limit, RateLimitAge: -1, Leaving: !s.leavingAt.IsZero(), Crashed: s.ended(now)}
+		if n.BackoffHosts, n.BackoffLeft = s.resting(now); s.limitAt.IsZero() && !n.Leaving && n.BackoffHosts == 0 && !n.Crashed {
 			continue
 		}
-		if n.Ended {
-			n.EndedAge = now.Sub(s.endedAt)
+		if n.Crashed {
+			n.CrashAge = now.Sub(s.endedAt)
 		}
 		if !s.limitAt.IsZero() {
-			n.LimitAge = now.Sub(s.limitAt)
+			n.RateLimitAge = now.Sub(s.limitAt)
 		}
 		if n.Leaving {
 			n.LeavingAge = now.Sub(s.leavingAt)
@@ -267,17 +267,17 @@
 // newest is the age of the newest thing that the notice says.
 func (n Notice) newest() time.Duration {
 	age := time.Duration(math.MaxInt64)
-	if n.RestHosts > 0 {
+	if n.BackoffHosts > 0 {
 		age = 0
 	}
-	if n.LimitAge >= 0 {
-		age = min(age, n.LimitAge)
+	if n.RateLimitAge >= 0 {
+		age = min(age, n.RateLimitAge)
 	}
 	if n.Leaving {
 		age = min(age, n.LeavingAge)
 	}
-	if n.Ended {
-		age = min(age, n.EndedAge)
+	if n.Crashed {
+		age = min(age, n.CrashAge)
 	}
 	return age
 }
@@ -292,18 +292,18 @@
 	var out []Notice
 	for _, n := range notices {
 		its, ok := by[n.Upstream]
-		known := ok && its.Limit == n.Limit && its.Leaving == n.Leaving && its.Ended == n.Ended
-		if known || (n.LimitAge < 0 && !n.Leaving && !n.Ended) {
+		known := ok && its.RateLimit == n.RateLimit && its.Leaving == n.Leaving && its.Crashed == n.Crashed
+		if known || (n.RateLimitAge < 0 && !n.Leaving && !n.Crashed) {
 			continue
 		}
-		n.RestHosts, n.RestLeft = 0, 0
+		n.BackoffHosts, n.BackoffLeft = 0, 0
 		out = append(out, n)
 	}
 	return out
 }
 
-// Learn takes in what another host knows. Rests are taken in from followers.
-func (t *Tracker) Learn(from string, notices []Notice, now time.Time) {
+// Merge takes in what another host knows. Rests are taken in from followers.
+func (t *Tracker) Merge(from string, notices []Notice, now time.Time) {
 	for _, n := range notices {
 		t.notify(t.learn(from, n, now))
 	}
@@ -313,22 +313,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.of(n.Upstream)
-	c := Change{Upstream: n.Upstream, From: from, Before: s.limit}
-	if at := now.Add(-n.LimitAge); n.LimitAge >= 0 && at.After(s.limitAt) {
-		s.limit, s.limitAt = n.Limit, at
+	c := Change{Upstream: n.Upstream, From: from, PreviousRateLimit: s.limit}
+	if at := now.Add(-n.RateLimitAge); n.RateLimitAge >= 0 && at.After(s.limitAt) {
+		s.limit, s.limitAt = n.RateLimit, at
 	}
-	if c.Limit = s.limit; n.Leaving && s.leavingAt.IsZero() {
+	if c.RateLimit = s.limit; n.Leaving && s.leavingAt.IsZero() {
 		s.leavingAt, c.Leaving = now.Add(-n.LeavingAge), true
 	}
-	if at := now.Add(-n.EndedAge); n.Ended && at.After(s.endedAt.Add(sameEnd)) {
-		s.endedAt, c.EndedAt = at, at
+	if at := now.Add(-n.CrashAge); n.Crashed && at.After(s.endedAt.Add(sameEnd)) {
+		s.endedAt, c.CrashedAt = at, at
 	}
-	if n.RestHosts > 0 {
+	if n.BackoffHosts > 0 {
 		if s.others == nil {
 			s.others = map[string]othersRest{}
 		}
-		until := now.Add(n.RestLeft)
-		s.others[from] = othersRest{n.RestHosts, until}
+		until := now.Add(n.BackoffLeft)
+		s.others[from] = othersRest{n.BackoffHosts, until}
 		if until.After(s.restOver) {
 			s.restOver = until
 		}
--- a/internal/feedback/tracker_test.go
+++ b/internal/feedback/tracker_test.go
@@ -9,17 +9,17 @@
 // An answer to a request that was sent before the limit was named must not lift it.
 func TestLimitEndsWithALaterRequestOnly(t *testing.T) {
 	tr, now := NewTracker(), time.Unix(1000, 0)
-	tr.Record("u", Report{Limit: 2}, now, now.Add(time.Second))
+	tr.Record("u", Report{RateLimit: 2}, now, now.Add(time.Second))
 	tr.Record("u", Report{}, now.Add(500*time.Millisecond), now.Add(2*time.Second))
-	if got := tr.Limit("u"); got != 2 {
+	if got := tr.RateLimit("u"); got != 2 {
 		t.Errorf("limit %v after an answer to an earlier request, want 2", got)
 	}
 	tr.Record("u", Report{LimitUnreadable: true}, now.Add(2*time.Second), now.Add(3*time.Second))
-	if got := tr.Limit("u"); got != 2 {
+	if got := tr.RateLimit("u"); got != 2 {
 		t.Errorf("limit %v after one that is no number, want 2", got)
 	}
 	tr.Record("u", Report{}, now.Add(2*time.Second), now.Add(3*time.Second))
-	if got := tr.Limit("u"); got != 0 {
+	if got := tr.RateLimit("u"); got != 0 {
 		t.Errorf("limit %v after an answer without one, want none", got)
 	}
 }
@@ -28,22 +28,22 @@
 // a leave that one host received must not be lost by another's older knowledge.
 func TestNewestReportWins(t *testing.T) {
 	a, b, now := NewTracker(), NewTracker(), time.Unix(1000, 0)
-	a.Record("u", Report{Limit: 2, Leaving: true}, now, now)
-	b.Learn("a", a.Notices(now.Add(time.Second)), now.Add(time.Second))
-	if b.Limit("u") != 2 {
-		t.Errorf("limit %v learnt, want 2", b.Limit("u"))
+	a.Record("u", Report{RateLimit: 2, Leaving: true}, now, now)
+	b.Merge("a", a.Notices(now.Add(time.Second)), now.Add(time.Second))
+	if b.RateLimit("u") != 2 {
+		t.Errorf("limit %v learnt, want 2", b.RateLimit("u"))
 	}
 	if since, ok := b.LeavingSince("u"); !ok || !since.Equal(now) {
 		t.Errorf("leaving since %v, %v; want %v", since, ok, now)
 	}
 	b.Record("u", Report{}, now.Add(2*time.Second), now.Add(3*time.Second))
-	b.Learn("a", a.Notices(now.Add(4*time.Second)), now.Add(4*time.Second))
-	if b.Limit("u") != 0 {
-		t.Errorf("limit %v brought back by an older report", b.Limit("u"))
+	b.Merge("a", a.Notices(now.Add(4*time.Second)), now.Add(4*time.Second))
+	if b.RateLimit("u") != 0 {
+		t.Errorf("limit %v brought back by an older report", b.RateLimit("u"))
 	}
-	a.Learn("b", b.Notices(now.Add(5*time.Second)), now.Add(5*time.Second))
-	if a.Limit("u") != 0 {
-		t.Errorf("limit %v after its end was reported", a.Limit("u"))
+	a.Merge("b", b.Notices(now.Add(5*time.Second)), now.Add(5*time.Second))
+	if a.RateLimit("u") != 0 {
+		t.Errorf("limit %v after its end was reported", a.RateLimit("u"))
 	}
 	if _, ok := a.LeavingSince("u"); !ok {
 		t.Error("the leave was forgotten")
@@ -53,22 +53,22 @@
 // A rest that is asked for later must not shorten one under way, nor reach other hosts.
 func TestRestIsTheHostsOwn(t *testing.T) {
 	a, b, now := NewTracker(), NewTracker(), time.Unix(1000, 0)
-	a.Record("u", Report{Rest: 3 * time.Second}, now, now)
-	a.Record("u", Report{Rest: time.Second}, now, now.Add(time.Second))
-	if got := a.Rest("u", now.Add(time.Second)); got != 2*time.Second {
+	a.Record("u", Report{Backoff: 3 * time.Second}, now, now)
+	a.Record("u", Report{Backoff: time.Second}, now, now.Add(time.Second))
+	if got := a.Backoff("u", now.Add(time.Second)); got != 2*time.Second {
 		t.Errorf("rest of %v left, want 2s", got)
 	}
-	b.Learn("a", a.Notices(now), now)
-	if got := b.Rest("u", now); got != 0 {
+	b.Merge("a", a.Notices(now), now)
+	if got := b.Backoff("u", now); got != 0 {
 		t.Errorf("another host rests for %v", got)
 	}
-	if got := b.Standing("u", now).Resting; got != 1 {
+	if got := b.Status("u", now).BackoffHosts; got != 1 {
 		t.Errorf("%d hosts known to rest, want 1", got)
 	}
 	if got := ForFollower(b.Notices(now), nil); len(got) != 0 {
 		t.Errorf("a follower receives its own rest: %+v", got)
 	}
-	if got := b.Standing("u", now.Add(time.Hour)).Resting; got != 0 {
+	if got := b.Status("u", now.Add(time.Hour)).BackoffHosts; got != 0 {
 		t.Errorf("%d hosts known to rest after the end, want none", got)
 	}
 }
@@ -78,7 +78,7 @@
 func TestTrackerIsBounded(t *testing.T) {
 	tr, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 3 * maxNotices {
-		tr.Record(fmt.Sprint("u", i), Report{Limit: 2}, now, now.Add(time.Duration(i)*time.Second))
+		tr.Record(fmt.Sprint("u", i), Report{RateLimit: 2}, now, now.Add(time.Duration(i)*time.Second))
 	}
 	got := tr.Notices(now.Add(time.Hour))
 	if len(got) != maxNotices || got[0].Upstream != fmt.Sprint("u", 3*maxNotices-1) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -34,8 +34,8 @@
 	// DataCentre is where it runs, PeerAddr (host:port) where its peers
 	// reach it.
 	DataCentre, PeerAddr string
-	// Eager hosts are strong enough to plan and to relay.
-	Eager bool
+	// Candidate hosts are strong enough to plan and to relay.
+	Candidate bool
 	// Followers is how many hosts follow it in turn.
 	Followers int
 }
@@ -63,22 +63,22 @@
 	return &Fleet{home: home, by: map[string]entry{}, relays: map[string]string{}}
 }
 
-// Seen takes in a call of h.
-func (f *Fleet) Seen(h Host, now time.Time) {
+// RecordHeartbeat takes in a call of h.
+func (f *Fleet) RecordHeartbeat(h Host, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.by[h.Name] = entry{Host: h, at: now}
 }
 
-// Told takes in the fleet's size as the planner knows it.
-func (f *Fleet) Told(size int) {
+// SetPlannerSize takes in the fleet's size as the planner knows it.
+func (f *Fleet) SetPlannerSize(size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.told = size
 }
 
-// WasTold reports whether another host has said how many there are.
-func (f *Fleet) WasTold() bool {
+// HasPlannerSize reports whether another host has said how many there are.
+func (f *Fleet) HasPlannerSize() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.told > 0
@@ -112,13 +112,13 @@
 	return n
 }
 
-// EagerAlive reports whether another host that is strong enough to plan has
+// HasLiveCandidate reports whether another host that is strong enough to plan has
 // called lately.
-func (f *Fleet) EagerAlive(now time.Time) bool {
+func (f *Fleet) HasLiveCandidate(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.by {
-		if e.Eager && now.Sub(e.at) <= alive {
+		if e.Candidate && now.Sub(e.at) <= alive {
 			return true
 		}
 	}
@@ -152,7 +152,7 @@
 			continue
 		}
 		n++
-		if e.Eager && (best.Name == "" || e.Name < best.Name) {
+		if e.Candidate && (best.Name == "" || e.Name < best.Name) {
 			best = e
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -7,8 +7,8 @@
 )
 
 func call(f *Fleet, dc string, i int, eager bool, now time.Time) string {
-	h := Host{Name: fmt.Sprintf("%s-%02d", dc, i), DataCentre: dc, PeerAddr: fmt.Sprintf("%s:%d", dc, i), Eager: eager}
-	f.Seen(h, now)
+	h := Host{Name: fmt.Sprintf("%s-%02d", dc, i), DataCentre: dc, PeerAddr: fmt.Sprintf("%s:%d", dc, i), Candidate: eager}
+	f.RecordHeartbeat(h, now)
 	return f.RelayFor(h, now)
 }
 
@@ -83,15 +83,15 @@
 	if f.Size(now) != 1 {
 		t.Errorf("alone: %d", f.Size(now))
 	}
-	f.Seen(Host{Name: "a"}, now)
-	f.Seen(Host{Name: "relay", Followers: 30}, now)
+	f.RecordHeartbeat(Host{Name: "a"}, now)
+	f.RecordHeartbeat(Host{Name: "relay", Followers: 30}, now)
 	if got := f.Size(now.Add(counted / 2)); got != 33 {
 		t.Errorf("%d hosts, want this one, two callers and thirty behind one of them", got)
 	}
 	if got := f.Size(now.Add(2 * counted)); got != 1 {
 		t.Errorf("%d hosts long after the last call", got)
 	}
-	f.Told(91)
+	f.SetPlannerSize(91)
 	if got := f.Size(now); got != 91 {
 		t.Errorf("%d hosts, the planner counts 91", got)
 	}
@@ -101,12 +101,12 @@
 // has ended.
 func TestEagerAlive(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
-	f.Seen(Host{Name: "weak"}, now)
-	if f.EagerAlive(now) {
+	f.RecordHeartbeat(Host{Name: "weak"}, now)
+	if f.HasLiveCandidate(now) {
 		t.Error("a weak host counts as strong")
 	}
-	f.Seen(Host{Name: "strong", Eager: true}, now)
-	if !f.EagerAlive(now) || f.EagerAlive(now.Add(alive+time.Second)) {
+	f.RecordHeartbeat(Host{Name: "strong", Candidate: true}, now)
+	if !f.HasLiveCandidate(now) || f.HasLiveCandidate(now.Add(alive+time.Second)) {
 		t.Error("a strong host must count while it calls")
 	}
 }
--- a/internal/usage/play_test.go
+++ b/internal/inflight/play_test.go
@@ -1,4 +1,4 @@
-package usage
+package inflight
 
 import (
 	"context"
@@ -91,9 +91,9 @@
 		servers[id] = &server{slots: w.slots, length: 4 * w.slots, speed: speed}
 		can += float64(w.slots) * speed / w.work.Seconds()
 	}
-	boards := make([]*balance.Board, w.hosts)
+	boards := make([]*balance.Picker, w.hosts)
 	for i := range boards {
-		boards[i] = balance.NewBoard(fmt.Sprint("host", i))
+		boards[i] = balance.NewPicker(fmt.Sprint("host", i))
 	}
 	done := make(chan struct{})
 	defer close(done)
@@ -140,7 +140,7 @@
 const followEvery = 300 * time.Millisecond
 
 // exchange has each host report in its turn.
-func exchange(boards []*balance.Board, ups []*catalogue.Upstream, done chan struct{}) {
+func exchange(boards []*balance.Picker, ups []*catalogue.Upstream, done chan struct{}) {
 	byID := map[string]*catalogue.Upstream{}
 	for _, u := range ups {
 		byID[u.ID] = u
@@ -155,19 +155,19 @@
 			case <-time.After(followEvery / time.Duration(len(boards))):
 			}
 			name := fmt.Sprint(i)
-			sum.Report(name, b.Report(), time.Now())
-			b.Learn(sum.Others(name, b.Using().IDs, time.Now()), time.Now())
+			sum.Record(name, b.FlushLoadStats(), time.Now())
+			b.SetPeerLoads(sum.PeerLoads(name, b.Subset().IDs, time.Now()), time.Now())
 		}
 	}
 }
 
 // one sends a request until it is served or no upstream is left to try.
-func (w world) one(b *balance.Board, ups []*catalogue.Upstream, servers map[string]*server, work time.Duration) (bool, time.Duration) {
+func (w world) one(b *balance.Picker, ups []*catalogue.Upstream, servers map[string]*server, work time.Duration) (bool, time.Duration) {
 	start := time.Now()
-	c := balance.Choice{Home: "dc", FarPenalty: w.objective / 4}
+	c := balance.Criteria{LocalDataCentre: "dc", FarPenalty: w.objective / 4}
 	for range playedAttempts {
 		u := b.Pick(ups, c, time.Now())
-		if b.Expected(u, time.Now()) > w.objective {
+		if b.ExpectedLatency(u, time.Now()) > w.objective {
 			return false, time.Since(start) // as the dispatcher does
 		}
 		patience := max(w.objective/2-time.Since(start), 0)
@@ -180,7 +180,7 @@
 		took := time.Since(sent)
 		v, o := admission.InTime, balance.Served
 		if !ok {
-			v, o = admission.Full, balance.Full
+			v, o = admission.Full, balance.Overloaded
 		} else if took > w.objective*8/10 {
 			v = admission.Late
 		}
@@ -189,7 +189,7 @@
 		if ok {
 			return true, time.Since(start)
 		}
-		c.Not = append(c.Not, u.ID)
+		c.Excluded = append(c.Excluded, u.ID)
 	}
 	return false, time.Since(start)
 }
--- a/internal/usage/usage.go
+++ b/internal/inflight/usage.go
@@ -1,11 +1,11 @@
-// Package usage adds up what the hosts of a data centre have under way at
+// Package inflight adds up what the hosts of a data centre have under way at
 // upstreams that any of them may choose.
 //
 // One host of sixty sends an upstream a request in ten seconds. What it sees
 // by itself does not tell whether the upstream is busy or slow; the sum of what
 // all see does. The hosts report over the calls that they make to follow the
 // planner, and are told the others' sum in the answers.
-package usage
+package inflight
 
 import (
 	"sync"
@@ -27,11 +27,11 @@
 
 type report struct {
 	at   time.Time
-	uses []balance.Use
+	uses []balance.LoadStats
 }
 
-// Sum is safe for concurrent use.
-type Sum struct {
+// Aggregator is safe for concurrent use.
+type Aggregator struct {
 	// upstreams returns those that are listed.
 	upstreams func() *catalogue.Snapshot
 
@@ -44,12 +44,12 @@
 }
 
 // New returns an empty sum over the upstreams that are listed.
-func New(upstreams func() *catalogue.Snapshot, now time.Time) *Sum {
-	return &Sum{upstreams: upstreams, hosts: map[string]report{}, underWay: map[string]int{}, answers: worktime.New(now)}
+func New(upstreams func() *catalogue.Snapshot, now time.Time) *Aggregator {
+	return &Aggregator{upstreams: upstreams, hosts: map[string]report{}, underWay: map[string]int{}, answers: worktime.New(now)}
 }
 
-// Report takes in what a host has, in place of what it reported before.
-func (s *Sum) Report(host string, uses []balance.Use, now time.Time) {
+// Record takes in what a host has, in place of what it reported before.
+func (s *Aggregator) Record(host string, uses []balance.LoadStats, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replace(host, report{now, uses})
@@ -61,37 +61,37 @@
 }
 
 // replace puts a host's report in the place of its last one.
-func (s *Sum) replace(host string, next report) {
+func (s *Aggregator) replace(host string, next report) {
 	for _, u := range s.hosts[host].uses {
-		s.underWay[u.ID] -= u.UnderWay
+		s.underWay[u.ID] -= u.InFlight
 	}
 	for _, u := range next.uses {
-		s.underWay[u.ID] += u.UnderWay
+		s.underWay[u.ID] += u.InFlight
 	}
 	s.hosts[host] = next
 }
 
-// Others returns what the hosts but the given one have at each of the upstreams
+// PeerLoads returns what the hosts but the given one have at each of the upstreams
 // with the given IDs; the zero value where nothing is known.
-func (s *Sum) Others(host string, ids []string, now time.Time) []balance.Others {
+func (s *Aggregator) PeerLoads(host string, ids []string, now time.Time) []balance.PeerLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.update(now)
 	own := map[string]int{}
 	for _, u := range s.hosts[host].uses {
-		own[u.ID] = u.UnderWay
+		own[u.ID] = u.InFlight
 	}
-	out := make([]balance.Others, len(ids))
+	out := make([]balance.PeerLoad, len(ids))
 	for i, id := range ids {
 		if work, known := s.work[id]; known {
-			out[i] = balance.Others{ID: id, UnderWay: s.underWay[id] - own[id], Work: work}
+			out[i] = balance.PeerLoad{ID: id, InFlight: s.underWay[id] - own[id], WorkTime: work}
 		}
 	}
 	return out
 }
 
 // update drops old reports and works the work times out, now and then.
-func (s *Sum) update(now time.Time) {
+func (s *Aggregator) update(now time.Time) {
 	if now.Sub(s.workedAt) < workEvery {
 		return
 	}
@@ -114,8 +114,8 @@
 			continue
 		}
 		if _, ok := typical[u.Service]; !ok {
-			typical[u.Service] = s.answers.Typical(listed.Of(u.Service), now)
+			typical[u.Service] = s.answers.Median(listed.ForService(u.Service), now)
 		}
-		s.work[id] = time.Duration(s.answers.Of(u, typical[u.Service], now) * float64(time.Second))
+		s.work[id] = time.Duration(s.answers.Estimate(u, typical[u.Service], now) * float64(time.Second))
 	}
 }
--- a/internal/usage/usage_test.go
+++ b/internal/inflight/usage_test.go
@@ -1,4 +1,4 @@
-package usage
+package inflight
 
 import (
 	"testing"
@@ -9,8 +9,8 @@
 )
 
 // others returns what the sum tells a host of an upstream.
-func others(s *Sum, host, id string, now time.Time) balance.Others {
-	return s.Others(host, []string{id}, now)[0]
+func others(s *Aggregator, host, id string, now time.Time) balance.PeerLoad {
+	return s.PeerLoads(host, []string{id}, now)[0]
 }
 
 // Each host is told what the others have, without what it has itself, by each
@@ -20,20 +20,20 @@
 	listed := catalogue.NewSnapshot(map[string]*catalogue.Upstream{"a": {ID: "a", Service: "s", Slots: 3}, "b": {ID: "b", Service: "s", Slots: 3}})
 	now := time.Unix(1000, 0)
 	s := New(func() *catalogue.Snapshot { return listed }, now)
-	s.Report("h1", []balance.Use{{ID: "a", UnderWay: 9}}, now)
-	s.Report("h1", []balance.Use{{ID: "a", UnderWay: 2}, {ID: "b", UnderWay: 1}}, now)
-	s.Report("h2", []balance.Use{{ID: "a", UnderWay: 3}}, now)
+	s.Record("h1", []balance.LoadStats{{ID: "a", InFlight: 9}}, now)
+	s.Record("h1", []balance.LoadStats{{ID: "a", InFlight: 2}, {ID: "b", InFlight: 1}}, now)
+	s.Record("h2", []balance.LoadStats{{ID: "a", InFlight: 3}}, now)
 	for _, c := range []struct {
 		host, id string
 		want     int
 	}{{"h1", "a", 3}, {"h2", "a", 2}, {"h3", "a", 5}, {"h2", "b", 1}, {"h1", "b", 0}} {
-		if got := others(s, c.host, c.id, now).UnderWay; got != c.want {
+		if got := others(s, c.host, c.id, now).InFlight; got != c.want {
 			t.Errorf("%s is told that others have %d at %s, want %d", c.host, got, c.id, c.want)
 		}
 	}
 	later := now.Add(fresh + time.Millisecond)
-	s.Report("h2", []balance.Use{{ID: "a", UnderWay: 4}}, later)
-	if got := others(s, "h3", "a", later).UnderWay; got != 4 {
+	s.Record("h2", []balance.LoadStats{{ID: "a", InFlight: 4}}, later)
+	if got := others(s, "h3", "a", later).InFlight; got != 4 {
 		t.Errorf("%d at a after h1 fell silent, want h2's 4", got)
 	}
 	listed = catalogue.NewSnapshot(map[string]*catalogue.Upstream{"b": listed.ByID["b"]})
@@ -50,10 +50,10 @@
 	s := New(func() *catalogue.Snapshot { return listed }, now)
 	for i := range 20 {
 		now = now.Add(200 * time.Millisecond)
-		s.Report(string(rune('a'+i)), []balance.Use{{ID: "slow", Answered: 1, Latency: 500 * time.Millisecond},
+		s.Record(string(rune('a'+i)), []balance.LoadStats{{ID: "slow", Answered: 1, Latency: 500 * time.Millisecond},
 			{ID: "fast", Answered: 1, Latency: 200 * time.Millisecond}}, now)
 	}
-	slow, fast := others(s, "x", "slow", now).Work, others(s, "x", "fast", now).Work
+	slow, fast := others(s, "x", "slow", now).WorkTime, others(s, "x", "fast", now).WorkTime
 	if slow < 3*fast/2 {
 		t.Errorf("work takes %v at the slow one and %v at the fast one", slow, fast)
 	}
--- a/internal/loadmap/loadmap.go
+++ b/internal/keyload/loadmap.go
@@ -1,6 +1,6 @@
-// Package loadmap estimates what callers ask of each key and how fast each
+// Package keyload estimates what callers ask of each key and how fast each
 // upstream works, from samples that all hosts report to the planner.
-package loadmap
+package keyload
 
 import (
 	"math"
@@ -48,17 +48,17 @@
 	forgotAt time.Time
 }
 
-// Map is not safe for concurrent use.
-type Map struct {
+// Estimator is not safe for concurrent use.
+type Estimator struct {
 	by map[string]*service
 }
 
 // New returns an empty map.
-func New() *Map { return &Map{by: map[string]*service{}} }
+func New() *Estimator { return &Estimator{by: map[string]*service{}} }
 
 // Add takes in samples of a service, each of which stands for weight
 // requests.
-func (m *Map) Add(name string, samples []Sample, weight float64, now time.Time) {
+func (m *Estimator) Add(name string, samples []Sample, weight float64, now time.Time) {
 	s := m.by[name]
 	if s == nil {
 		s = &service{keys: map[int]*key{}, work: worktime.New(now), started: now, forgotAt: now}
@@ -94,7 +94,7 @@
 
 // span is the time over which a sum with time constant tau has gathered.
 func (s *service) span(tau time.Duration, now time.Time) float64 {
-	return decay.Span(tau, now.Sub(s.started))
+	return decay.EffectiveWindow(tau, now.Sub(s.started))
 }
 
 // rate returns the requests a second for a key: its usual rate, unless the
@@ -115,7 +115,7 @@
 
 // Load returns the requests a second for each key and how many a second each
 // owner can answer. It also returns how many samples it rests on.
-func (m *Map) Load(name string, owners []*catalogue.Upstream, now time.Time) (ownership.Load, float64) {
+func (m *Estimator) Load(name string, owners []*catalogue.Upstream, now time.Time) (ownership.Load, float64) {
 	out := ownership.Load{Capacity: map[string]float64{}}
 	s := m.by[name]
 	if s == nil {
@@ -124,15 +124,15 @@
 		}
 		return out, 0
 	}
-	out.ByKey = make([]float64, ownership.Keys)
+	out.ByKey = make([]float64, ownership.KeySpaceSize)
 	samples := 0.0
 	for k, v := range s.keys {
 		out.ByKey[k] = s.rate(v, now)
 		samples += v.usual.Value(steady, now)
 	}
-	typical := s.work.Typical(owners, now)
+	typical := s.work.Median(owners, now)
 	for _, u := range owners {
-		out.Capacity[u.ID] = float64(u.Slots) / s.work.Of(u, typical, now)
+		out.Capacity[u.ID] = float64(u.Slots) / s.work.Estimate(u, typical, now)
 	}
 	out.Share = shares(out, owners)
 	return out, samples
--- a/internal/loadmap/loadmap_test.go
+++ b/internal/keyload/loadmap_test.go
@@ -1,4 +1,4 @@
-package loadmap
+package keyload
 
 import (
 	"math"
@@ -12,7 +12,7 @@
 var owners = []*catalogue.Upstream{{ID: "slow", Slots: 3}, {ID: "usual", Slots: 3}, {ID: "quick", Slots: 3}}
 
 // feed adds requests for a key at a rate for a time, in reports of 300 ms.
-func feed(m *Map, key int, id string, latency time.Duration, perSecond float64, from time.Time, d time.Duration) {
+func feed(m *Estimator, key int, id string, latency time.Duration, perSecond float64, from time.Time, d time.Duration) {
 	const report = 300 * time.Millisecond
 	carry := 0.0
 	for at := time.Duration(0); at < d; at += report {
--- a/internal/loadmap/share_test.go
+++ b/internal/keyload/share_test.go
@@ -1,4 +1,4 @@
-package loadmap
+package keyload
 
 import (
 	"math"
--- a/internal/manifest/examples.go
+++ b/internal/manifest/examples.go
@@ -37,9 +37,9 @@
 // ServiceSize is one row of a generated manifest: a service and how many
 // upstreams it has.
 type ServiceSize struct {
-	Name      string
-	Upstreams int
-	Checked   bool
+	Name           string
+	Upstreams      int
+	FencingChecked bool
 }
 
 // Generate builds a loopback manifest with upstreams spread round-robin
@@ -49,7 +49,7 @@
 	m := &Manifest{Deployment: deployment, DataCentres: dcs}
 	port := firstPort
 	for _, ss := range services {
-		s := Service{Name: ss.Name, FencingChecked: ss.Checked}
+		s := Service{Name: ss.Name, FencingChecked: ss.FencingChecked}
 		for i := 0; i < ss.Upstreams; i++ {
 			s.Upstreams = append(s.Upstreams, Upstream{
 				Name:        fmt.Sprintf("%s-%02d", ss.Name, i+1),
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -24,9 +24,9 @@
 type View struct {
 	// Lease is how long, in the log's milliseconds, a host stays alive
 	// after its last heartbeat.
-	LeaseMs int64
-	last    map[string]seen
-	newest  int64
+	HeartbeatTimeoutMs int64
+	last               map[string]seen
+	newest             int64
 }
 
 type seen struct {
@@ -36,7 +36,7 @@
 
 // NewView returns an empty view with the given host lease.
 func NewView(leaseMs int64) *View {
-	return &View{LeaseMs: leaseMs, last: map[string]seen{}}
+	return &View{HeartbeatTimeoutMs: leaseMs, last: map[string]seen{}}
 }
 
 // Observe records a heartbeat stamped unixMs by the log service. Malformed
@@ -56,7 +56,7 @@
 func (v *View) Alive(dc, self string) []string {
 	out := []string{self}
 	for h, s := range v.last {
-		if h != self && s.dc == dc && s.ms >= v.newest-v.LeaseMs {
+		if h != self && s.dc == dc && s.ms >= v.newest-v.HeartbeatTimeoutMs {
 			out = append(out, h)
 		}
 	}
--- a/internal/metastore/metastore.go
+++ b/internal/metastore/metastore.go
@@ -23,9 +23,9 @@
 	// ErrConflict means the stream did not end where an append expected:
 	// someone else appended and nothing was written.
 	ErrConflict = errors.New("stream moved on")
-	// ErrRefused means the service answered that it did nothing: it is
+	// ErrRejected means the service answered that it did nothing: it is
 	// busy, over its rate limit or failing for this host.
-	ErrRefused = errors.New("log service refused the call")
+	ErrRejected = errors.New("log service refused the call")
 	// ErrNoAnswer means a call got no answer. A write may still take
 	// effect, even seconds later.
 	ErrNoAnswer = errors.New("no answer from the log service")
@@ -56,8 +56,8 @@
 	End int64
 }
 
-// Seat is the answer to a Join.
-type Seat struct {
+// Lease is the answer to a Join.
+type Lease struct {
 	// Generation is passed to the next Join.
 	Generation int64
 	// Held says whether this member holds the planner's seat.
@@ -79,9 +79,9 @@
 	// Append appends records, all or none, wherever the stream ends. A nil
 	// value deletes its key; offsets are ignored.
 	Append(ctx context.Context, s Stream, recs []Record) error
-	// Join takes part in the election of the planner, or stays in it. A
+	// JoinElection takes part in the election of the planner, or stays in it. A
 	// member that has not joined for ttl loses its seat.
-	Join(ctx context.Context, member string, ttl time.Duration, generation int64) (Seat, error)
-	// Leave gives the seat up at once.
-	Leave(ctx context.Context, member string) error
+	JoinElection(ctx context.Context, member string, ttl time.Duration, generation int64) (Lease, error)
+	// LeaveElection gives the seat up at once.
+	LeaveElection(ctx context.Context, member string) error
 }
--- a/internal/ownership/change.go
+++ b/internal/ownership/change.go
@@ -8,27 +8,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// Change turns one table of a service into a later one. A table of hundreds
+// Delta turns one table of a service into a later one. A table of hundreds
 // of owners takes tens of kilobytes and changes by a few ranges several times
 // a second; hosts that have the earlier one are sent only those.
-type Change struct {
-	// Base is the digest of the table that the change applies to, Result that
+type Delta struct {
+	// BaseDigest is the digest of the table that the change applies to, Result that
 	// of the table it makes. A host that missed a change, or was sent one
 	// twice, finds another digest and asks for the whole table; without them
 	// it would go on with a wrong owner for every key of the lost change.
-	Base   uint64 `json:"base"`
-	Result uint64 `json:"result"`
+	BaseDigest   uint64 `json:"base"`
+	ResultDigest uint64 `json:"result"`
 	// Next is the later table, with only those ranges that the earlier one
 	// has not.
 	Next Table `json:"next"`
 }
 
 // ErrBase means that a change does not apply to the table at hand.
-var ErrBase = errors.New("change of another ownership table")
+var ErrBaseMismatch = errors.New("change of another ownership table")
 
-// ChangeOf returns what turns old into next.
-func ChangeOf(old, next *Table) *Change {
-	c := &Change{Base: old.Digest(), Result: next.Digest(), Next: *next}
+// Diff returns what turns old into next.
+func Diff(old, next *Table) *Delta {
+	c := &Delta{BaseDigest: old.Digest(), ResultDigest: next.Digest(), Next: *next}
 	c.Next.Ranges = nil
 	had := make(map[Range]bool, len(old.Ranges))
 	for _, r := range old.Ranges {
@@ -44,25 +44,25 @@
 
 // Apply returns the table that the change makes of old, which may be nil. It
 // fails with ErrBase if the change was not made from old.
-func (c *Change) Apply(old *Table) (*Table, error) {
-	if old == nil || old.Digest() != c.Base {
-		return nil, eris.Wrapf(ErrBase, "ownership table %s: base", c.Next.Service)
+func (c *Delta) Apply(old *Table) (*Table, error) {
+	if old == nil || old.Digest() != c.BaseDigest {
+		return nil, eris.Wrapf(ErrBaseMismatch, "ownership table %s: base", c.Next.Service)
 	}
 	next := c.Next
 	next.Ranges = overlay(old.Ranges, c.Next.Ranges)
-	if next.Digest() != c.Result {
-		return nil, eris.Wrapf(ErrBase, "ownership table %s: result", c.Next.Service)
+	if next.Digest() != c.ResultDigest {
+		return nil, eris.Wrapf(ErrBaseMismatch, "ownership table %s: result", c.Next.Service)
 	}
 	return &next, nil
 }
 
 // Encode returns the change as it is sent, compressed like a table.
-func (c *Change) Encode() ([]byte, error) { return pack(c) }
+func (c *Delta) Encode() ([]byte, error) { return pack(c) }
 
-// DecodeChange reads a change. Whether it makes sense shows when it is
+// DecodeDelta reads a change. Whether it makes sense shows when it is
 // applied.
-func DecodeChange(data []byte) (*Change, error) {
-	var c Change
+func DecodeDelta(data []byte) (*Delta, error) {
+	var c Delta
 	if err := unpack(data, &c); err != nil {
 		return nil, err
 	}
@@ -73,14 +73,14 @@
 func (t *Table) Digest() uint64 {
 	b := make([]byte, 0, digestRoom*(len(t.Ranges)+1))
 	b = appendStrings(b, t.Service, t.Planner, t.PlannerAddr, t.Cause)
-	b = appendInts(b, t.Term, t.Fence, int64(len(t.Earlier)), int64(len(t.Lost)), int64(len(t.Ranges)))
-	for _, p := range t.Earlier {
+	b = appendInts(b, t.Term, t.MaxFencingToken, int64(len(t.PreviousPlanners)), int64(len(t.Lost)), int64(len(t.Ranges)))
+	for _, p := range t.PreviousPlanners {
 		b = appendStrings(b, p.Host, p.Addr)
 	}
 	b = appendStrings(b, t.Lost...)
 	for _, r := range t.Ranges {
-		b = appendInts(b, int64(r.From), int64(r.To), r.Fence)
-		b = appendStrings(b, r.Owner, r.Handover)
+		b = appendInts(b, int64(r.From), int64(r.To), r.FencingToken)
+		b = appendStrings(b, r.Owner, r.HandoverToken)
 	}
 	return xxhash.Sum64(b)
 }
--- a/internal/ownership/change_test.go
+++ b/internal/ownership/change_test.go
@@ -22,11 +22,11 @@
 		return t.WithLost([]string{fmt.Sprint("u", rng.IntN(9))})
 	}
 	var moves []Move
-	step := Keys / 5
+	step := KeySpaceSize / 5
 	for i := range 1 + rng.IntN(5) {
 		from := i*step + rng.IntN(step/2)
-		to := min(from+rng.IntN(step/2), Keys-1)
-		moves = append(moves, Move{From: from, To: to, NewOwner: fmt.Sprint("u", rng.IntN(9)), Handover: fmt.Sprint(rng.IntN(3))})
+		to := min(from+rng.IntN(step/2), KeySpaceSize-1)
+		moves = append(moves, Move{From: from, To: to, NewOwner: fmt.Sprint("u", rng.IntN(9)), HandoverToken: fmt.Sprint(rng.IntN(3))})
 	}
 	return t.Apply(moves)
 }
@@ -49,11 +49,11 @@
 		have := 0
 		for range 60 {
 			from, to := rng.IntN(len(history)), rng.IntN(len(history))
-			data, err := ChangeOf(history[from], history[to]).Encode()
+			data, err := Diff(history[from], history[to]).Encode()
 			if err != nil {
 				return "", err
 			}
-			c, err := DecodeChange(data)
+			c, err := DecodeDelta(data)
 			if err != nil {
 				return "", err
 			}
@@ -61,7 +61,7 @@
 			switch {
 			case from == have && (err != nil || !reflect.DeepEqual(got, history[to])):
 				return fmt.Sprintf("change from %d to %d: %v", from, to, err), nil
-			case from != have && !errors.Is(err, ErrBase):
+			case from != have && !errors.Is(err, ErrBaseMismatch):
 				return fmt.Sprintf("change of %d taken by %d", from, have), nil
 			case from == have:
 				have = to
@@ -118,7 +118,7 @@
 func BenchmarkChange(b *testing.B) {
 	var moves []Move
 	for i := range 900 {
-		moves = append(moves, Move{From: i * 72, To: i*72 + 71, NewOwner: fmt.Sprintf("i-%010x", i*7919), Handover: fmt.Sprintf("%016x", i*104729)})
+		moves = append(moves, Move{From: i * 72, To: i*72 + 71, NewOwner: fmt.Sprintf("i-%010x", i*7919), HandoverToken: fmt.Sprintf("%016x", i*104729)})
 	}
 	old := NewTable("s").Apply(moves)
 	next := old.Apply([]Move{{From: 100, To: 120, NewOwner: "a"}, {From: 900, To: 950, NewOwner: "b"}, {From: 9000, To: 9100, NewOwner: "c"}})
@@ -126,7 +126,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	part, err := ChangeOf(old, next).Encode()
+	part, err := Diff(old, next).Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 	})
 	b.Run("change", func(b *testing.B) {
 		for b.Loop() {
-			c, err := DecodeChange(part)
+			c, err := DecodeDelta(part)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/ownership/errors.go
+++ b/internal/ownership/errors.go
@@ -6,8 +6,8 @@
 	// ErrFenced means an upstream has seen a higher fencing token than the
 	// one it was shown.
 	ErrFenced = errors.New("a higher fencing token was seen")
-	// ErrRefused means an upstream answered that it did not take an order.
-	ErrRefused = errors.New("upstream refused the order")
+	// ErrRejected means an upstream answered that it did not take an order.
+	ErrRejected = errors.New("upstream refused the order")
 	// ErrNotSent means no byte of an order left this host.
 	ErrNotSent = errors.New("order was not sent")
 	// ErrNoAnswer means an order got no answer; it may be carried out
--- a/internal/ownership/rebalance.go
+++ b/internal/ownership/rebalance.go
@@ -24,19 +24,19 @@
 	// asked of one, keys are moved to it from any owner above its share, whether or
 	// not that reaches the trigger.
 	Refill map[string]bool
-	// Slow owners are those whose keys would be without an owner for long on
+	// SlowToMove owners are those whose keys would be without an owner for long on
 	// their way to another one.
-	Slow map[string]bool
+	SlowToMove map[string]bool
 }
 
 // Limits shape a rebalance.
 type Limits struct {
-	// Trigger is how far above its fair share an owner's load must be
+	// HighWatermark is how far above its fair share an owner's load must be
 	// before keys move; under it the difference may be chance.
-	Trigger float64
-	// Settle is the load, relative to the fair share, down to which an
+	HighWatermark float64
+	// LowWatermark is the load, relative to the fair share, down to which an
 	// overloaded owner is relieved.
-	Settle float64
+	LowWatermark float64
 	// MaxMoves bounds the moves made to relieve owners.
 	MaxMoves int
 }
@@ -139,14 +139,14 @@
 	byID := make(map[string]*account, len(load.Capacity))
 	whole := 0.0
 	for id, capacity := range load.Capacity {
-		byID[id] = &account{id: id, capacity: capacity, slow: load.Slow[id], refill: load.Refill[id]}
+		byID[id] = &account{id: id, capacity: capacity, slow: load.SlowToMove[id], refill: load.Refill[id]}
 		b.owners = append(b.owners, byID[id])
 		whole += share[id]
 	}
 	slices.SortFunc(b.owners, func(x, y *account) int { return strings.Compare(x.id, y.id) })
 	b.open = slices.Clone(b.owners)
 	for _, o := range b.owners {
-		o.fair = b.prefix[Keys] * share[o.id] / whole
+		o.fair = b.prefix[KeySpaceSize] * share[o.id] / whole
 	}
 	for _, r := range t.Ranges {
 		p := piece{from: r.From, to: r.To}
@@ -168,12 +168,12 @@
 	for _, l := range byKey {
 		total += min(l, most)
 	}
-	base := total * idleLoad / Keys
+	base := total * idleLoad / KeySpaceSize
 	if total == 0 {
 		base = 1
 	}
-	out := make([]float64, Keys+1)
-	for k := range Keys {
+	out := make([]float64, KeySpaceSize+1)
+	for k := range KeySpaceSize {
 		out[k+1] = out[k] + base
 		if k < len(byKey) {
 			out[k+1] += min(byKey[k], most)
@@ -268,7 +268,7 @@
 func (b *balance) cutFront(p piece, want float64) int {
 	n := sort.Search(p.to-p.from+1, func(i int) bool { return b.sum(piece{p.from, p.from + i}) > want })
 	cut := max(p.from+n-1, p.from)
-	if b.sum(piece{cut, p.to}) < b.prefix[Keys]*sliver {
+	if b.sum(piece{cut, p.to}) < b.prefix[KeySpaceSize]*sliver {
 		return p.to
 	}
 	return cut
@@ -306,11 +306,11 @@
 		if to == nil {
 			return false
 		}
-		if from.slow && from.use() < lim.Trigger*slowTrigger {
+		if from.slow && from.use() < lim.HighWatermark*slowTrigger {
 			b.setAside(from)
 			continue
 		}
-		want := min(from.load-lim.Settle*from.fair, to.fair-to.load)
+		want := min(from.load-lim.LowWatermark*from.fair, to.fair-to.load)
 		if want <= 0 {
 			return false
 		}
@@ -331,7 +331,7 @@
 		}
 	}
 	switch {
-	case from.use() >= lim.Trigger:
+	case from.use() >= lim.HighWatermark:
 		return b.least()
 	case b.idle != nil && b.idle.use() < filledUse:
 		return b.idle
@@ -369,7 +369,7 @@
 			if l > want*overshoot {
 				continue
 			}
-			score := l - want*float64(c.to-c.from)/Keys
+			score := l - want*float64(c.to-c.from)/KeySpaceSize
 			if score > bestScore {
 				best, bestScore, bestCut = i, score, c
 			}
--- a/internal/ownership/rebalance_test.go
+++ b/internal/ownership/rebalance_test.go
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-var testLimits = Limits{Trigger: 1.35, Settle: 1.05, MaxMoves: 24}
+var testLimits = Limits{HighWatermark: 1.35, LowWatermark: 1.05, MaxMoves: 24}
 
 func equalCapacity(ids ...string) map[string]float64 {
 	out := map[string]float64{}
@@ -56,7 +56,7 @@
 func TestFirstDivisionSpreadsABusyRegion(t *testing.T) {
 	capacity := equalCapacity("a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
 	tab := NewTable("s").Apply(Rebalance(NewTable("s"), Load{Capacity: capacity}, testLimits))
-	byKey := make([]float64, Keys)
+	byKey := make([]float64, KeySpaceSize)
 	for k := 30000; k < 34096; k++ {
 		byKey[k] = 1
 	}
@@ -72,7 +72,7 @@
 func TestManySmallRangesAreMovedTogether(t *testing.T) {
 	capacity := equalCapacity("a", "b")
 	tab := NewTable("s").Apply(Rebalance(NewTable("s"), Load{Capacity: capacity}, testLimits))
-	byKey := make([]float64, Keys)
+	byKey := make([]float64, KeySpaceSize)
 	for _, r := range tab.Ranges {
 		if r.Owner == "a" {
 			byKey[r.From] = 10
@@ -80,7 +80,7 @@
 	}
 	load := Load{ByKey: byKey, Capacity: capacity}
 	// The load assumed on idle keys makes the two reckonings differ a little.
-	if u := use(settled(tab, load), load)["a"]; u > testLimits.Trigger*1.05 {
+	if u := use(settled(tab, load), load)["a"]; u > testLimits.HighWatermark*1.05 {
 		t.Errorf("a is left with %.2f times its share", u)
 	}
 }
@@ -89,9 +89,9 @@
 // and that one's other keys go elsewhere.
 func TestHottestKeyGoesToTheStrongestOwner(t *testing.T) {
 	capacity := map[string]float64{"weak": 7, "mid": 14, "strong": 21, "other": 14}
-	tab := NewTable("s").Apply([]Move{{0, 16383, "weak", ""}, {16384, 32767, "mid", ""}, {32768, 49151, "strong", ""}, {49152, Keys - 1, "other", ""}})
-	byKey := make([]float64, Keys)
-	for k := 0; k < Keys; k += 64 {
+	tab := NewTable("s").Apply([]Move{{0, 16383, "weak", ""}, {16384, 32767, "mid", ""}, {32768, 49151, "strong", ""}, {49152, KeySpaceSize - 1, "other", ""}})
+	byKey := make([]float64, KeySpaceSize)
+	for k := 0; k < KeySpaceSize; k += 64 {
 		byKey[k] = 0.01
 	}
 	byKey[100] = 15
@@ -122,11 +122,11 @@
 	capacity := equalCapacity(ids...)
 	tab := NewTable("s")
 	for i, id := range ids {
-		tab = tab.Apply([]Move{{From: i * Keys / len(ids), To: (i+1)*Keys/len(ids) - 1, NewOwner: id}})
+		tab = tab.Apply([]Move{{From: i * KeySpaceSize / len(ids), To: (i+1)*KeySpaceSize/len(ids) - 1, NewOwner: id}})
 	}
-	byKey := make([]float64, Keys)
-	hot := 19*Keys/len(ids) + 100
-	for k := 0; k < 3*Keys/len(ids); k += 10 {
+	byKey := make([]float64, KeySpaceSize)
+	hot := 19*KeySpaceSize/len(ids) + 100
+	for k := 0; k < 3*KeySpaceSize/len(ids); k += 10 {
 		byKey[k] = 0.1
 	}
 	region := Load{ByKey: slices.Clone(byKey), Capacity: capacity}
@@ -135,7 +135,7 @@
 	owner := tab.Find(hot).Owner
 	delete(region.Capacity, owner)
 	for id, u := range use(tab, region) {
-		if id != owner && u > testLimits.Trigger*1.1 {
+		if id != owner && u > testLimits.HighWatermark*1.1 {
 			t.Errorf("%s is left with %.1f times its share of the busy region", id, u)
 		}
 	}
@@ -154,8 +154,8 @@
 		for i := range 1 + rng.IntN(12) {
 			capacity[string(rune('a'+i))] = 1 + rng.Float64()*9
 		}
-		byKey := make([]float64, Keys)
-		at := rng.IntN(Keys - 4096)
+		byKey := make([]float64, KeySpaceSize)
+		at := rng.IntN(KeySpaceSize - 4096)
 		for range rng.IntN(500) {
 			byKey[at+rng.IntN(4096)] += rng.Float64()
 		}
@@ -210,7 +210,7 @@
 			}
 			next = r.To + 1
 		}
-		if next != Keys {
+		if next != KeySpaceSize {
 			t.Fatalf("ranges end at %d", next)
 		}
 	})
@@ -226,9 +226,9 @@
 		capacity[fmt.Sprint("u", i)] = 10
 	}
 	tab := NewTable("s").Apply(Rebalance(NewTable("s"), Load{Capacity: capacity}, testLimits))
-	byKey := make([]float64, Keys)
+	byKey := make([]float64, KeySpaceSize)
 	for range 600 {
-		byKey[rng.IntN(Keys)] += 0.1
+		byKey[rng.IntN(KeySpaceSize)] += 0.1
 	}
 	if moves := Rebalance(tab, Load{ByKey: byKey, Capacity: capacity}, testLimits); len(moves) > 0 {
 		t.Errorf("%d moves between idle owners", len(moves))
@@ -249,15 +249,15 @@
 		capacity[id] = 8 + 8*rng.Float64()
 	}
 	var moves []Move
-	for from := 0; from < Keys; from += 14 {
-		moves = append(moves, Move{From: from, To: min(from+13, Keys-1), NewOwner: ids[rng.IntN(len(ids))]})
+	for from := 0; from < KeySpaceSize; from += 14 {
+		moves = append(moves, Move{From: from, To: min(from+13, KeySpaceSize-1), NewOwner: ids[rng.IntN(len(ids))]})
 	}
 	tab := NewTable("s").Apply(moves)
-	byKey := make([]float64, Keys)
+	byKey := make([]float64, KeySpaceSize)
 	for range 3000 {
-		byKey[rng.IntN(Keys)] += 0.1
+		byKey[rng.IntN(KeySpaceSize)] += 0.1
 	}
-	lim := Limits{Trigger: 1.35, Settle: 1.05, MaxMoves: 150}
+	lim := Limits{HighWatermark: 1.35, LowWatermark: 1.05, MaxMoves: 150}
 	for b.Loop() {
 		Rebalance(tab, Load{ByKey: byKey, Capacity: capacity}, lim)
 	}
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -13,7 +13,7 @@
 )
 
 // Keys is the size of the key space: keys are 0 to Keys-1.
-const Keys = 1 << 16
+const KeySpaceSize = 1 << 16
 
 // Range is a run of keys with one owner. From and To are both inclusive.
 type Range struct {
@@ -21,15 +21,15 @@
 	To   int `json:"t"`
 	// Owner is an upstream's ID, or empty while nobody owns the range.
 	Owner string `json:"o,omitempty"`
-	// Fence is the fencing token of the owner's grant.
-	Fence int64 `json:"e"`
-	// Handover is the token with which the last owner gave the keys back;
+	// FencingToken is the fencing token of the owner's grant.
+	FencingToken int64 `json:"e"`
+	// HandoverToken is the token with which the last owner gave the keys back;
 	// the next owner starts warm if its grant carries it.
-	Handover string `json:"h,omitempty"`
+	HandoverToken string `json:"h,omitempty"`
 }
 
-// Planner is a host that planned.
-type Planner struct {
+// PlannerHost is a host that planned.
+type PlannerHost struct {
 	Host string `json:"h"`
 	// Addr is where its peers reach it.
 	Addr string `json:"a"`
@@ -46,10 +46,10 @@
 	PlannerAddr string `json:"planner_addr"`
 	// Cause says why it differs from the record before, for operators.
 	Cause string `json:"cause,omitempty"`
-	// Fence is the highest fencing token used so far.
-	Fence int64 `json:"fence"`
-	// Earlier are the planners of earlier terms that may still send grants.
-	Earlier []Planner `json:"earlier,omitempty"`
+	// MaxFencingToken is the highest fencing token used so far.
+	MaxFencingToken int64 `json:"fence"`
+	// PreviousPlanners are the planners of earlier terms that may still send grants.
+	PreviousPlanners []PlannerHost `json:"earlier,omitempty"`
 	// Lost are owners, sorted, to which this term's planner has stopped
 	// sending grants: they do not answer. None is sent to them before a
 	// record without them is written, so that a successor knows how long
@@ -62,7 +62,7 @@
 // WithLost returns the table with other lost owners, under a new token.
 func (t *Table) WithLost(lost []string) *Table {
 	next := t.copyWith(t.Planner, t.PlannerAddr)
-	next.Fence++
+	next.MaxFencingToken++
 	next.Lost = lost
 	return next
 }
@@ -75,7 +75,7 @@
 
 // NewTable returns a table in which nobody owns anything.
 func NewTable(service string) *Table {
-	return &Table{Service: service, Ranges: []Range{{From: 0, To: Keys - 1}}}
+	return &Table{Service: service, Ranges: []Range{{From: 0, To: KeySpaceSize - 1}}}
 }
 
 // Decode reads a table and checks that its ranges cover all keys once.
@@ -89,12 +89,12 @@
 		if r.From != next || r.To < r.From {
 			return nil, eris.Errorf("ownership table %s: range %d-%d where %d should start", t.Service, r.From, r.To, next)
 		}
-		if r.Fence > t.Fence {
-			return nil, eris.Errorf("ownership table %s: range fence %d above %d", t.Service, r.Fence, t.Fence)
+		if r.FencingToken > t.MaxFencingToken {
+			return nil, eris.Errorf("ownership table %s: range fence %d above %d", t.Service, r.FencingToken, t.MaxFencingToken)
 		}
 		next = r.To + 1
 	}
-	if next != Keys {
+	if next != KeySpaceSize {
 		return nil, eris.Errorf("ownership table %s: ranges end at %d", t.Service, next)
 	}
 	return &t, nil
@@ -144,8 +144,8 @@
 	From, To int
 	// NewOwner is an upstream's ID.
 	NewOwner string
-	// Handover is the last owner's token, or empty if it gave none.
-	Handover string
+	// HandoverToken is the last owner's token, or empty if it gave none.
+	HandoverToken string
 }
 
 // TakeOver returns the table of a new planner's term: every range keeps its
@@ -154,32 +154,32 @@
 func (t *Table) TakeOver(planner, addr string) *Table {
 	next := t.copyWith(planner, addr)
 	next.Term++
-	next.Earlier = t.planners()
-	next.Fence++
+	next.PreviousPlanners = t.planners()
+	next.MaxFencingToken++
 	for i := range next.Ranges {
-		next.Ranges[i].Fence = next.Fence
+		next.Ranges[i].FencingToken = next.MaxFencingToken
 	}
 	next.merge()
 	return next
 }
 
 // planners returns those that may send grants: t's own and those before it.
-func (t *Table) planners() []Planner {
+func (t *Table) planners() []PlannerHost {
 	if t.Planner == "" {
 		return nil
 	}
-	others := slices.DeleteFunc(slices.Clone(t.Earlier), func(p Planner) bool { return p.Host == t.Planner })
-	return append(others, Planner{Host: t.Planner, Addr: t.PlannerAddr})
+	others := slices.DeleteFunc(slices.Clone(t.PreviousPlanners), func(p PlannerHost) bool { return p.Host == t.Planner })
+	return append(others, PlannerHost{Host: t.Planner, Addr: t.PlannerAddr})
 }
 
 // Apply returns the table after the moves, all under one new fencing token. No
 // two moves may have a key in common.
 func (t *Table) Apply(moves []Move) *Table {
 	next := t.copyWith(t.Planner, t.PlannerAddr)
-	next.Fence++
+	next.MaxFencingToken++
 	var moved []Range
 	for _, m := range moves {
-		moved = append(moved, Range{From: m.From, To: m.To, Owner: m.NewOwner, Fence: next.Fence, Handover: m.Handover})
+		moved = append(moved, Range{From: m.From, To: m.To, Owner: m.NewOwner, FencingToken: next.MaxFencingToken, HandoverToken: m.HandoverToken})
 	}
 	slices.SortStableFunc(moved, func(x, y Range) int { return cmp.Compare(x.From, y.From) })
 	next.Ranges = overlay(t.Ranges, moved)
@@ -251,7 +251,7 @@
 	for _, r := range t.Ranges {
 		if n := len(out); n > 0 {
 			last := &out[n-1]
-			if last.Owner == r.Owner && last.Fence == r.Fence && last.Handover == r.Handover {
+			if last.Owner == r.Owner && last.FencingToken == r.FencingToken && last.HandoverToken == r.HandoverToken {
 				last.To = r.To
 				continue
 			}
--- a/internal/ownership/within.go
+++ b/internal/ownership/within.go
@@ -4,10 +4,10 @@
 // must be asked often enough to show when it can do more.
 const limitedUse = 0.8
 
-// Within lowers owners' capacities to the given ones. Each of these owners gets what
+// LimitCapacity lowers owners' capacities to the given ones. Each of these owners gets what
 // fills limitedUse of that, or its former share where that is less; the others
 // divide the rest as before.
-func (l *Load) Within(most map[string]float64) {
+func (l *Load) LimitCapacity(most map[string]float64) {
 	share := l.Share
 	if share == nil {
 		share = l.Capacity
--- a/internal/ownership/within_test.go
+++ b/internal/ownership/within_test.go
@@ -8,9 +8,9 @@
 // An owner with a limit must get about what the limit allows, whatever the others'
 // capacity: with less it is hardly asked and cannot report the limit's end.
 func TestWithinFillsLimitedOwners(t *testing.T) {
-	byKey := make([]float64, Keys)
+	byKey := make([]float64, KeySpaceSize)
 	for k := range byKey {
-		byKey[k] = 60.0 / Keys
+		byKey[k] = 60.0 / KeySpaceSize
 	}
 	for _, c := range []struct {
 		name string
@@ -24,7 +24,7 @@
 		{"all", map[string]float64{"a": 5, "b": 10, "c": 10}, map[string]float64{"a": 4, "b": 8, "c": 8}},
 	} {
 		l := Load{ByKey: byKey, Capacity: map[string]float64{"a": 100, "b": 100, "c": 100}}
-		l.Within(c.most)
+		l.LimitCapacity(c.most)
 		if l.Share == nil {
 			t.Fatalf("%s: no shares", c.name)
 		}
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -15,38 +15,38 @@
 const (
 	// Unknown means that the connection cannot be looked at.
 	Unknown State = iota
-	// Quiet means that it is open and nothing has arrived.
-	Quiet
-	// Data means that bytes have arrived.
-	Data
-	// Ended means that the other side closed or reset it.
-	Ended
+	// Idle means that it is open and nothing has arrived.
+	Idle
+	// Readable means that bytes have arrived.
+	Readable
+	// Closed means that the other side closed or reset it.
+	Closed
 )
 
-// At returns the connection's state. It uses Control and not Read, which would
+// Conn returns the connection's state. It uses Control and not Read, which would
 // wait for a read under way on another goroutine.
-func At(c net.Conn) State {
+func Conn(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return Unknown
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	state := Ended
+	state := Closed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, rerr := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
 		case rerr == unix.EAGAIN:
-			state = Quiet
+			state = Idle
 		case rerr == nil && n > 0:
-			state = Data
+			state = Readable
 		}
 	})
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	return state
 }
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -25,17 +25,17 @@
 	defer func() { _ = c.Close() }()
 	want := func(s State) {
 		t.Helper()
-		for end := time.Now().Add(time.Second); At(c) != s; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(time.Second); Conn(c) != s; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("state %d, want %d", At(c), s)
+				t.Fatalf("state %d, want %d", Conn(c), s)
 			}
 		}
 	}
-	want(Quiet)
+	want(Idle)
 	if _, err := far.Write([]byte("xy")); err != nil {
 		t.Fatal(err)
 	}
-	want(Data)
+	want(Readable)
 	var b [2]byte
 	if _, err := c.Read(b[:]); err != nil {
 		t.Fatal(err)
@@ -43,11 +43,11 @@
 	reading := make(chan struct{})
 	go func() { _, _ = c.Read(b[:]); close(reading) }()
 	time.Sleep(10 * time.Millisecond)
-	want(Quiet)
+	want(Idle)
 	_ = far.Close()
 	<-reading
-	want(Ended)
-	if At(struct{ net.Conn }{c}) != Unknown {
+	want(Closed)
+	if Conn(struct{ net.Conn }{c}) != Unknown {
 		t.Error("a connection that cannot be looked at has a state")
 	}
 }
--- a/internal/peer/feedback.go
+++ b/internal/peer/feedback.go
@@ -12,20 +12,20 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// Admit asks the planner at addr (host:port) for leave for up to want requests to
+// AcquirePermits asks the planner at addr (host:port) for leave for up to want requests to
 // an upstream that takes perSecond.
-func (c *Client) Admit(ctx context.Context, addr, upstream string, perSecond float64, want int) (ratelimit.Grant, error) {
+func (c *Client) AcquirePermits(ctx context.Context, addr, upstream string, perSecond float64, want int) (ratelimit.Permit, error) {
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Admit(ctx,
 		&peerpb.AdmitRequest{Upstream: upstream, PerSecond: perSecond, Want: uint32(want)})
 	if err != nil {
-		return ratelimit.Grant{}, eris.Wrapf(err, "peer %s: admit", addr)
+		return ratelimit.Permit{}, eris.Wrapf(err, "peer %s: admit", addr)
 	}
-	return ratelimit.Grant{Requests: int(reply.Requests), Wait: time.Duration(reply.WaitMs) * time.Millisecond}, nil
+	return ratelimit.Permit{Requests: int(reply.Requests), Wait: time.Duration(reply.WaitMs) * time.Millisecond}, nil
 }
 
 // Admit implements peerpb.Peer.
 func (s *Server) Admit(_ context.Context, m *peerpb.AdmitRequest) (*peerpb.AdmitReply, error) {
-	g, ok := s.Leave(m.Upstream, m.PerSecond, int(m.Want))
+	g, ok := s.AcquirePermits(m.Upstream, m.PerSecond, int(m.Want))
 	if !ok {
 		return nil, twirp.NewError(twirp.Unavailable, "this host does not plan")
 	}
@@ -36,10 +36,10 @@
 func encodeNotices(ns []feedback.Notice) []*peerpb.UpstreamNotice {
 	var out []*peerpb.UpstreamNotice
 	for _, n := range ns {
-		out = append(out, &peerpb.UpstreamNotice{Id: n.Upstream, Limit: n.Limit, LimitKnown: n.LimitAge >= 0,
-			LimitAgeMs: uint32(max(n.LimitAge, 0).Milliseconds()), Leaving: n.Leaving, LeavingAgeMs: uint32(n.LeavingAge.Milliseconds()),
-			RestHosts: uint32(n.RestHosts), RestLeftMs: uint32(n.RestLeft.Milliseconds()),
-			Ended: n.Ended, EndedAgeMs: uint32(n.EndedAge.Milliseconds())})
+		out = append(out, &peerpb.UpstreamNotice{Id: n.Upstream, Limit: n.RateLimit, LimitKnown: n.RateLimitAge >= 0,
+			LimitAgeMs: uint32(max(n.RateLimitAge, 0).Milliseconds()), Leaving: n.Leaving, LeavingAgeMs: uint32(n.LeavingAge.Milliseconds()),
+			RestHosts: uint32(n.BackoffHosts), RestLeftMs: uint32(n.BackoffLeft.Milliseconds()),
+			Ended: n.Crashed, EndedAgeMs: uint32(n.CrashAge.Milliseconds())})
 	}
 	return out
 }
@@ -47,12 +47,12 @@
 func decodeNotices(ms []*peerpb.UpstreamNotice) []feedback.Notice {
 	var out []feedback.Notice
 	for _, m := range ms {
-		n := feedback.Notice{Upstream: m.Id, Limit: m.Limit, LimitAge: -1, Leaving: m.Leaving,
-			LeavingAge: time.Duration(m.LeavingAgeMs) * time.Millisecond,
-			RestHosts:  int(m.RestHosts), RestLeft: time.Duration(m.RestLeftMs) * time.Millisecond,
-			Ended: m.Ended, EndedAge: time.Duration(m.EndedAgeMs) * time.Millisecond}
+		n := feedback.Notice{Upstream: m.Id, RateLimit: m.Limit, RateLimitAge: -1, Leaving: m.Leaving,
+			LeavingAge:   time.Duration(m.LeavingAgeMs) * time.Millisecond,
+			BackoffHosts: int(m.RestHosts), BackoffLeft: time.Duration(m.RestLeftMs) * time.Millisecond,
+			Crashed: m.Ended, CrashAge: time.Duration(m.EndedAgeMs) * time.Millisecond}
 		if m.LimitKnown {
-			n.LimitAge = time.Duration(m.LimitAgeMs) * time.Millisecond
+			n.RateLimitAge = time.Duration(m.LimitAgeMs) * time.Millisecond
 		}
 		out = append(out, n)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,7 +14,7 @@
 	"github.com/papayatide/papayatide/internal/balance"
 	"github.com/papayatide/papayatide/internal/feedback"
 	"github.com/papayatide/papayatide/internal/fleet"
-	"github.com/papayatide/papayatide/internal/loadmap"
+	"github.com/papayatide/papayatide/internal/keyload"
 	"github.com/papayatide/papayatide/internal/metastore"
 	"github.com/papayatide/papayatide/internal/ratelimit"
 	"github.com/papayatide/papayatide/internal/relay"
@@ -26,7 +26,7 @@
 	Service string
 	// Weight is how many requests each sample stands for.
 	Weight  float64
-	Samples []loadmap.Sample
+	Samples []keyload.Sample
 }
 
 // Client calls other entry hosts.
@@ -41,93 +41,93 @@
 // NewClient returns a client that calls over hc.
 func NewClient(hc *http.Client) *Client { return &Client{http: hc, told: map[string]uint64{}} }
 
-// Question is what a host says when it calls Follow.
-type Question struct {
+// FollowRequest is what a host says when it calls Follow.
+type FollowRequest struct {
 	Self fleet.Host
 	// Positions are how far it has read each stream.
 	Positions map[metastore.Stream]int64
 	// Loads are what its callers asked for since its last call.
 	Loads []ServiceLoad
-	// Uses are what it has at upstreams that any host may choose.
-	Uses []balance.Use
-	// Using are the upstreams of which it wants to know what others have there.
-	Using balance.Using
+	// LoadStats are what it has at upstreams that any host may choose.
+	LoadStats []balance.LoadStats
+	// Subset are the upstreams of which it wants to know what others have there.
+	Subset balance.Subset
 	// Notices are what upstreams have reported of themselves.
 	Notices []feedback.Notice
 	// Wait is how long the call may wait for something new.
 	Wait time.Duration
 }
 
-// Answer is the answer to Follow.
-type Answer struct {
+// FollowReply is the answer to Follow.
+type FollowReply struct {
 	// Batches are what this host lacks of the log.
 	Batches []relay.Batch
 	// Age is how long ago the planner last knew that its copy is current.
 	Age time.Duration
-	// Steady is for how long it has reached the log service without a break.
-	Steady time.Duration
-	// Hosts is how many hosts there are.
-	Hosts int
+	// LogReachableFor is for how long it has reached the log service without a break.
+	LogReachableFor time.Duration
+	// HostCount is how many hosts there are.
+	HostCount int
 	// Relay is where to call from now on (host:port); empty for the same
 	// host again.
 	Relay string
-	// Others is what the other hosts of the data centre have at the upstreams
+	// PeerLoads is what the other hosts of the data centre have at the upstreams
 	// asked for; empty if the host asked is in another one.
-	Others []balance.Others
+	PeerLoads []balance.PeerLoad
 	// Notices are what upstreams have reported of themselves to other hosts.
 	Notices []feedback.Notice
 }
 
 // ErrNoCopy means that a host answered that it has no copy of the log that could
 // be followed: it reaches neither the planner nor the log service.
-var ErrNoCopy = errors.New("no copy of the log to follow")
+var ErrNoReplica = errors.New("no copy of the log to follow")
 
 // Follow hands loads to the host at addr (host:port), the planner or a relay,
 // and returns what this host lacks of the log.
-func (c *Client) Follow(ctx context.Context, addr string, q Question) (*Answer, error) {
+func (c *Client) Follow(ctx context.Context, addr string, q FollowRequest) (*FollowReply, error) {
 	msg := &peerpb.FollowRequest{Host: q.Self.Name, DataCentre: q.Self.DataCentre, PeerAddr: q.Self.PeerAddr,
-		Eager: q.Self.Eager, Followers: uint32(q.Self.Followers), WaitMs: uint32(q.Wait.Milliseconds())}
+		Eager: q.Self.Candidate, Followers: uint32(q.Self.Followers), WaitMs: uint32(q.Wait.Milliseconds())}
 	for _, s := range relay.Streams {
 		msg.Positions = append(msg.Positions, &peerpb.Position{Stream: string(s), Next: q.Positions[s]})
 	}
 	for _, l := range q.Loads {
 		msg.Loads = append(msg.Loads, encodeLoad(l))
 	}
-	for _, u := range q.Uses {
-		msg.Uses = append(msg.Uses, &peerpb.UpstreamUse{Id: u.ID, UnderWay: uint32(u.UnderWay), Answered: uint32(u.Answered),
+	for _, u := range q.LoadStats {
+		msg.Uses = append(msg.Uses, &peerpb.UpstreamUse{Id: u.ID, UnderWay: uint32(u.InFlight), Answered: uint32(u.Answered),
 			LatencyMs: uint32(u.Latency.Milliseconds())})
 	}
 	msg.Notices = encodeNotices(q.Notices)
-	msg.UsingToken = q.Using.Token
-	if c.listTold(addr) != q.Using.Token {
-		msg.Using = q.Using.IDs
+	msg.UsingToken = q.Subset.Hash
+	if c.listTold(addr) != q.Subset.Hash {
+		msg.Using = q.Subset.IDs
 	}
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Follow(ctx, msg)
 	if err != nil {
 		var told twirp.Error
 		if errors.As(err, &told) && told.Code() == twirp.Unavailable {
-			err = errors.Join(ErrNoCopy, err)
+			err = errors.Join(ErrNoReplica, err)
 		}
 		return nil, eris.Wrapf(err, "peer %s: follow", addr)
 	}
-	out := &Answer{Age: time.Duration(reply.AgeMs) * time.Millisecond, Steady: time.Duration(reply.SteadyMs) * time.Millisecond,
-		Hosts: int(reply.Hosts), Relay: reply.Relay, Notices: decodeNotices(reply.Notices)}
+	out := &FollowReply{Age: time.Duration(reply.AgeMs) * time.Millisecond, LogReachableFor: time.Duration(reply.SteadyMs) * time.Millisecond,
+		HostCount: int(reply.Hosts), Relay: reply.Relay, Notices: decodeNotices(reply.Notices)}
 	for _, b := range reply.Batches {
 		out.Batches = append(out.Batches, decodeBatch(b))
 	}
 	c.tellList(addr, reply.UsingToken)
-	if reply.UsingToken == q.Using.Token {
-		out.Others = decodeOthers(q.Using.IDs, reply)
+	if reply.UsingToken == q.Subset.Hash {
+		out.PeerLoads = decodeOthers(q.Subset.IDs, reply)
 	}
 	return out, nil
 }
 
 // decodeOthers returns what the reply says of the upstreams, where it does.
-func decodeOthers(ids []string, reply *peerpb.FollowReply) []balance.Others {
-	var out []balance.Others
+func decodeOthers(ids []string, reply *peerpb.FollowReply) []balance.PeerLoad {
+	var out []balance.PeerLoad
 	for i, id := range ids {
 		if i < len(reply.UnderWay) && i < len(reply.WorkMs) && reply.WorkMs[i] > 0 {
-			out = append(out, balance.Others{ID: id, UnderWay: int(reply.UnderWay[i]), Work: time.Duration(reply.WorkMs[i]) * time.Millisecond})
+			out = append(out, balance.PeerLoad{ID: id, InFlight: int(reply.UnderWay[i]), WorkTime: time.Duration(reply.WorkMs[i]) * time.Millisecond})
 		}
 	}
 	return out
@@ -187,7 +187,7 @@
 		return out, eris.Errorf("load report for %s: lists of %d, %d and %d entries", m.Service, len(m.Keys), len(m.Upstream), len(m.LatencyMs))
 	}
 	for i, k := range m.Keys {
-		s := loadmap.Sample{Key: int(k), Latency: time.Duration(m.LatencyMs[i]) * time.Millisecond}
+		s := keyload.Sample{Key: int(k), Latency: time.Duration(m.LatencyMs[i]) * time.Millisecond}
 		if u := int(m.Upstream[i]); u > 0 && u <= len(m.Upstreams) {
 			s.Upstream = m.Upstreams[u-1]
 		}
@@ -197,7 +197,7 @@
 }
 
 func encodeBatch(b relay.Batch) *peerpb.Batch {
-	out := &peerpb.Batch{Stream: string(b.Stream), Reset_: b.Reset, Next: b.Next}
+	out := &peerpb.Batch{Stream: string(b.Stream), Reset_: b.Reset, Next: b.NextOffset}
 	for _, r := range b.Records {
 		out.Records = append(out.Records, &peerpb.Record{Key: r.Key, Value: r.Value, Deleted: r.Value == nil, Offset: r.Offset})
 	}
@@ -208,7 +208,7 @@
 }
 
 func decodeBatch(m *peerpb.Batch) relay.Batch {
-	out := relay.Batch{Stream: metastore.Stream(m.Stream), Reset: m.Reset_, Next: m.Next}
+	out := relay.Batch{Stream: metastore.Stream(m.Stream), Reset: m.Reset_, NextOffset: m.Next}
 	for _, r := range m.Records {
 		rec := metastore.Record{Key: r.Key, Value: r.Value, Offset: r.Offset}
 		if r.Deleted {
@@ -222,55 +222,55 @@
 	return out
 }
 
-// Standing is how far a host's copy of the log can be relied on.
-type Standing struct {
+// ReplicaStatus is how far a host's copy of the log can be relied on.
+type ReplicaStatus struct {
 	// Planning is set on the planner, whose copy the others follow.
 	Planning bool
 	// Age and Steady are as in Answer.
-	Age, Steady time.Duration
+	Age, LogReachableFor time.Duration
 }
 
 // Server answers other hosts.
 type Server struct {
 	// Copy is this host's copy of the log.
-	Copy *relay.Copy
-	// Standing returns the copy's standing; false if this host neither plans
+	Copy *relay.Replica
+	// ReplicaStatus returns the copy's standing; false if this host neither plans
 	// nor has lately followed the planner itself.
-	Standing func(now time.Time) (Standing, bool)
+	ReplicaStatus func(now time.Time) (ReplicaStatus, bool)
 	// Fleet is told of each call.
 	Fleet *fleet.Fleet
-	// Loads is handed each report.
-	Loads func([]ServiceLoad)
-	// Uses is handed what the caller has at upstreams, Others returns what the
+	// OnLoads is handed each report.
+	OnLoads func([]ServiceLoad)
+	// OnLoadStats is handed what the caller has at upstreams, Others returns what the
 	// other hosts of its data centre have at each of those with the given IDs.
-	Uses   func(caller fleet.Host, uses []balance.Use)
-	Others func(caller fleet.Host, ids []string) []balance.Others
+	OnLoadStats func(caller fleet.Host, uses []balance.LoadStats)
+	PeerLoads   func(caller fleet.Host, ids []string) []balance.PeerLoad
 	// Feedback is what upstreams have reported of themselves.
 	Feedback *feedback.Tracker
-	// Leave gives leave to send to an upstream with a rate limit; false if this
+	// AcquirePermits gives leave to send to an upstream with a rate limit; false if this
 	// host does not plan.
-	Leave func(upstream string, perSecond float64, want int) (ratelimit.Grant, bool)
+	AcquirePermits func(upstream string, perSecond float64, want int) (ratelimit.Permit, bool)
 	// Name is this host's.
 	Name string
-	// Retired stops what this host plans of a service in terms before the
+	// RetireTermsBefore stops what this host plans of a service in terms before the
 	// given one, and reports whether no grant of those is under way any more.
-	Retired func(ctx context.Context, service string, term int64) bool
-	// Tell describes this host.
-	Tell func(context.Context) *peerpb.StatusReply
+	RetireTermsBefore func(ctx context.Context, service string, term int64) bool
+	// HostStatus describes this host.
+	HostStatus func(context.Context) *peerpb.StatusReply
 
 	mu sync.Mutex
 	// lists are the upstreams that each caller is told of, by its name.
-	lists map[string]balance.Using
+	lists map[string]balance.Subset
 }
 
 // Retire implements peerpb.Peer.
 func (s *Server) Retire(ctx context.Context, m *peerpb.RetireRequest) (*peerpb.RetireReply, error) {
-	return &peerpb.RetireReply{Host: s.Name, Retired: s.Retired(ctx, m.Service, m.Term)}, nil
+	return &peerpb.RetireReply{Host: s.Name, Retired: s.RetireTermsBefore(ctx, m.Service, m.Term)}, nil
 }
 
 // Status implements peerpb.Peer.
 func (s *Server) Status(ctx context.Context, _ *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	return s.Tell(ctx), nil
+	return s.HostStatus(ctx), nil
 }
 
 // maxWait bounds how long a call is kept waiting.
@@ -278,33 +278,33 @@
 
 // Follow implements peerpb.Peer.
 func (s *Server) Follow(ctx context.Context, m *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
-	if _, ok := s.Standing(time.Now()); !ok {
+	if _, ok := s.ReplicaStatus(time.Now()); !ok {
 		return nil, twirp.NewError(twirp.Unavailable, "this host is neither the planner nor does it follow one")
 	}
 	loads, err := decodeLoads(m.Loads)
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("loads", err.Error())
 	}
-	s.Loads(loads)
-	caller := fleet.Host{Name: m.Host, DataCentre: m.DataCentre, PeerAddr: m.PeerAddr, Eager: m.Eager, Followers: int(m.Followers)}
-	s.Fleet.Seen(caller, time.Now())
+	s.OnLoads(loads)
+	caller := fleet.Host{Name: m.Host, DataCentre: m.DataCentre, PeerAddr: m.PeerAddr, Candidate: m.Eager, Followers: int(m.Followers)}
+	s.Fleet.RecordHeartbeat(caller, time.Now())
 	positions := map[metastore.Stream]int64{}
 	for _, p := range m.Positions {
 		positions[metastore.Stream(p.Stream)] = p.Next
 	}
-	s.Uses(caller, decodeUses(m.Uses))
+	s.OnLoadStats(caller, decodeUses(m.Uses))
 	notices := decodeNotices(m.Notices)
-	s.Feedback.Learn(caller.Name, notices, time.Now())
+	s.Feedback.Merge(caller.Name, notices, time.Now())
 	reply := &peerpb.FollowReply{}
-	for _, b := range s.Copy.Since(ctx, positions, min(time.Duration(m.WaitMs)*time.Millisecond, maxWait)) {
+	for _, b := range s.Copy.Fetch(ctx, positions, min(time.Duration(m.WaitMs)*time.Millisecond, maxWait)) {
 		reply.Batches = append(reply.Batches, encodeBatch(b))
 	}
 	reply.Notices = encodeNotices(feedback.ForFollower(s.Feedback.Notices(time.Now()), notices))
 	using := s.listOf(m)
-	reply.UsingToken = using.Token
-	for _, o := range s.Others(caller, using.IDs) {
-		reply.UnderWay = append(reply.UnderWay, uint32(max(o.UnderWay, 0)))
-		reply.WorkMs = append(reply.WorkMs, uint32(o.Work.Milliseconds()))
+	reply.UsingToken = using.Hash
+	for _, o := range s.PeerLoads(caller, using.IDs) {
+		reply.UnderWay = append(reply.UnderWay, uint32(max(o.InFlight, 0)))
+		reply.WorkMs = append(reply.WorkMs, uint32(o.WorkTime.Milliseconds()))
 	}
 	return reply, s.describe(reply, caller)
 }
@@ -315,31 +315,31 @@
 // listOf returns the upstreams that the caller is to be told of: those that it
 // names now, or the last ones if it means the same. Without it each call and each
 // answer would name a hundred upstreams.
-func (s *Server) listOf(m *peerpb.FollowRequest) balance.Using {
+func (s *Server) listOf(m *peerpb.FollowRequest) balance.Subset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(m.Using) > 0 {
 		if s.lists == nil || len(s.lists) >= maxLists {
-			s.lists = map[string]balance.Using{}
+			s.lists = map[string]balance.Subset{}
 		}
-		s.lists[m.Host] = balance.Using{IDs: m.Using, Token: m.UsingToken}
+		s.lists[m.Host] = balance.Subset{IDs: m.Using, Hash: m.UsingToken}
 	}
-	if known := s.lists[m.Host]; known.Token == m.UsingToken {
+	if known := s.lists[m.Host]; known.Hash == m.UsingToken {
 		return known
 	}
-	return balance.Using{}
+	return balance.Subset{}
 }
 
 // describe says in the reply how far it can be relied on and whom the caller
 // calls next.
 func (s *Server) describe(reply *peerpb.FollowReply, caller fleet.Host) error {
 	now := time.Now()
-	st, ok := s.Standing(now)
+	st, ok := s.ReplicaStatus(now)
 	if !ok {
 		return twirp.NewError(twirp.Unavailable, "this host has lost the planner")
 	}
 	reply.AgeMs = uint32(st.Age.Milliseconds())
-	reply.SteadyMs = uint32(st.Steady.Milliseconds())
+	reply.SteadyMs = uint32(st.LogReachableFor.Milliseconds())
 	reply.Hosts = uint32(s.Fleet.Size(now))
 	if st.Planning {
 		reply.Relay = s.Fleet.RelayFor(caller, now)
@@ -347,10 +347,10 @@
 	return nil
 }
 
-func decodeUses(ms []*peerpb.UpstreamUse) []balance.Use {
-	var out []balance.Use
+func decodeUses(ms []*peerpb.UpstreamUse) []balance.LoadStats {
+	var out []balance.LoadStats
 	for _, m := range ms {
-		out = append(out, balance.Use{ID: m.Id, UnderWay: int(m.UnderWay), Answered: int(m.Answered), Latency: time.Duration(m.LatencyMs) * time.Millisecond})
+		out = append(out, balance.LoadStats{ID: m.Id, InFlight: int(m.UnderWay), Answered: int(m.Answered), Latency: time.Duration(m.LatencyMs) * time.Millisecond})
 	}
 	return out
 }
