--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,7 +11,7 @@
 	"github.com/papayatide/papayatide/internal/balance"
 	"github.com/papayatide/papayatide/internal/feedback"
 	"github.com/papayatide/papayatide/internal/fleet"
-	"github.com/papayatide/papayatide/internal/loadmap"
+	"github.com/papayatide/papayatide/internal/keyload"
 	"github.com/papayatide/papayatide/internal/relay"
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
@@ -19,13 +19,13 @@
 // followed is a host that answers as one that can be followed.
 func followed(t *testing.T) (addr string, s *Server) {
 	t.Helper()
-	s = &Server{Copy: relay.NewCopy(), Feedback: feedback.NewTracker(), Fleet: fleet.New("dc"), Loads: func([]ServiceLoad) {}, Uses: func(fleet.Host, []balance.Use) {},
-		Standing: func(time.Time) (Standing, bool) { return Standing{Planning: true}, true },
-		Others: func(_ fleet.Host, ids []string) []balance.Others {
-			out := make([]balance.Others, len(ids))
+	s = &Server{Copy: relay.NewReplica(), Feedback: feedback.NewTracker(), Fleet: fleet.New("dc"), OnLoads: func([]ServiceLoad) {}, OnLoadStats: func(fleet.Host, []balance.LoadStats) {},
+		ReplicaStatus: func(time.Time) (ReplicaStatus, bool) { return ReplicaStatus{Planning: true}, true },
+		PeerLoads: func(_ fleet.Host, ids []string) []balance.PeerLoad {
+			out := make([]balance.PeerLoad, len(ids))
 			for i, id := range ids {
 				if id != "unknown" {
-					out[i] = balance.Others{ID: id, UnderWay: len(id), Work: time.Duration(len(id)) * time.Millisecond}
+					out[i] = balance.PeerLoad{ID: id, InFlight: len(id), WorkTime: time.Duration(len(id)) * time.Millisecond}
 				}
 			}
 			return out
@@ -42,13 +42,13 @@
 	addr, s := followed(t)
 	c := NewClient(http.DefaultClient)
 	ask := func(token uint64, ids ...string) []string {
-		a, err := c.Follow(t.Context(), addr, Question{Self: fleet.Host{Name: "h"}, Using: balance.Using{IDs: ids, Token: token}})
+		a, err := c.Follow(t.Context(), addr, FollowRequest{Self: fleet.Host{Name: "h"}, Subset: balance.Subset{IDs: ids, Hash: token}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var told []string
-		for _, o := range a.Others {
-			told = append(told, fmt.Sprint(o.ID, o.UnderWay))
+		for _, o := range a.PeerLoads {
+			told = append(told, fmt.Sprint(o.ID, o.InFlight))
 		}
 		return told
 	}
@@ -79,9 +79,9 @@
 func TestLoadsArriveAsReported(t *testing.T) {
 	addr, s := followed(t)
 	var got []ServiceLoad
-	s.Loads = func(l []ServiceLoad) { got = l }
-	want := ServiceLoad{Service: "sheets", Weight: 1.5, Samples: []loadmap.Sample{{Key: 7, Upstream: "u1", Latency: 20 * time.Millisecond}, {Key: 9}}}
-	if _, err := NewClient(http.DefaultClient).Follow(t.Context(), addr, Question{Loads: []ServiceLoad{want}}); err != nil {
+	s.OnLoads = func(l []ServiceLoad) { got = l }
+	want := ServiceLoad{Service: "sheets", Weight: 1.5, Samples: []keyload.Sample{{Key: 7, Upstream: "u1", Latency: 20 * time.Millisecond}, {Key: 9}}}
+	if _, err := NewClient(http.DefaultClient).Follow(t.Context(), addr, FollowRequest{Loads: []ServiceLoad{want}}); err != nil {
 		t.Fatal(err)
 	}
 	if len(got) != 1 || got[0].Service != want.Service || got[0].Weight != want.Weight || !slices.Equal(got[0].Samples, want.Samples) {
--- a/internal/planner/actions.go
+++ b/internal/planner/actions.go
@@ -11,14 +11,14 @@
 // method named after it.
 type Action interface{ action() }
 
-// Join proves or seeks the planner's seat; see Planner.JoinDone.
-type Join struct {
+// AcquireLease proves or seeks the planner's seat; see Planner.JoinDone.
+type AcquireLease struct {
 	TTL    time.Duration
 	SentAt bootclock.Time
 }
 
-// Leave ends this host's membership of the group that holds the seat.
-type Leave struct{}
+// ReleaseLease ends this host's membership of the group that holds the seat.
+type ReleaseLease struct{}
 
 // Retire asks the host that planned before this one to send no more grants;
 // see Planner.RetireDone.
@@ -33,8 +33,8 @@
 // Append records a table if the ownership stream ends at At; see
 // Planner.AppendDone.
 type Append struct {
-	Table *ownership.Table
-	At    int64
+	Table          *ownership.Table
+	ExpectedOffset int64
 	// Cause says why the table changed, for the log.
 	Cause string
 }
@@ -43,13 +43,13 @@
 type Grant struct {
 	Service, Addr string
 	Range         ownership.Range
-	Hold          time.Duration
+	TTL           time.Duration
 	SentAt        bootclock.Time
-	// KeptOnly grants go over a connection that is open already, or not at
+	// ExistingConnOnly grants go over a connection that is open already, or not at
 	// all; see the package comment.
-	KeptOnly bool
-	// holder is where it was counted when it was sent.
-	holder *holder
+	ExistingConnOnly bool
+	// server is where it was counted when it was sent.
+	server *serverState
 }
 
 // Release takes keys back; see Planner.ReleaseDone.
@@ -58,9 +58,9 @@
 	Range         ownership.Range
 }
 
-func (*Leave) action()   {}
-func (*Retire) action()  {}
-func (*Join) action()    {}
-func (*Append) action()  {}
-func (*Grant) action()   {}
-func (*Release) action() {}
+func (*ReleaseLease) action() {}
+func (*Retire) action()       {}
+func (*AcquireLease) action() {}
+func (*Append) action()       {}
+func (*Grant) action()        {}
+func (*Release) action()      {}
--- a/internal/planner/cold_test.go
+++ b/internal/planner/cold_test.go
@@ -15,18 +15,18 @@
 	cold := map[string]bool{"c": true}
 	h := newHarness(t, "a", "b", "c")
 	h.p.Cold = func(u *catalogue.Upstream) bool { return cold[u.ID] }
-	h.play(4*time.Second, allWell)
-	if !owns(h.tab, "a") || !owns(h.tab, "b") || owns(h.tab, "c") {
+	h.simulate(4*time.Second, succeedAll)
+	if !owns(h.table, "a") || !owns(h.table, "b") || owns(h.table, "c") {
 		t.Fatal("the cold one owns keys, or a warm one none")
 	}
 	cold["a"], cold["c"] = true, false
-	h.play(2*time.Second, allWell)
-	if owns(h.tab, "a") || !owns(h.tab, "c") {
+	h.simulate(2*time.Second, succeedAll)
+	if owns(h.table, "a") || !owns(h.table, "c") {
 		t.Error("an owner that became cold keeps its keys, or one that is warm gets none")
 	}
 	cold["b"], cold["c"] = true, true
-	h.play(2*time.Second, allWell)
-	if !owns(h.tab, "b") || !owns(h.tab, "c") {
+	h.simulate(2*time.Second, succeedAll)
+	if !owns(h.table, "b") || !owns(h.table, "c") {
 		t.Error("owners lose their keys though all are cold")
 	}
 }
--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -13,19 +13,19 @@
 
 // harness drives one planner by hand.
 type harness struct {
-	t   *testing.T
-	p   *Planner
-	now bootclock.Time
-	ups map[string]*catalogue.Upstream
-	tab *ownership.Table
-	v   *view.Holder
-	end int64
+	t     *testing.T
+	p     *Planner
+	now   bootclock.Time
+	ups   map[string]*catalogue.Upstream
+	table *ownership.Table
+	v     *view.Publisher
+	end   int64
 	// warmUp is how long keys are slow without a handover.
 	warmUp time.Duration
 }
 
 func newHarness(t *testing.T, ids ...string) *harness {
-	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), ups: map[string]*catalogue.Upstream{}, v: view.NewHolder()}
+	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), ups: map[string]*catalogue.Upstream{}, v: view.NewPublisher()}
 	h.p.opts.Host = "me"
 	for _, id := range ids {
 		h.ups[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
@@ -38,32 +38,32 @@
 	h.v.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true, WarmUp: h.warmUp}}, desired.Limits{})
 		v.Upstreams = catalogue.NewSnapshot(h.ups)
-		if h.tab != nil {
-			v.Tables = map[string]*ownership.Table{simService: h.tab}
+		if h.table != nil {
+			v.Tables = map[string]*ownership.Table{simService: h.table}
 		}
 	})
 }
 
-// play ticks for d; answer gives each order's result, nil errors by default.
-func (h *harness) play(d time.Duration, answer func(Action) error) []Action {
+// simulate ticks for d; answer gives each order's result, nil errors by default.
+func (h *harness) simulate(d time.Duration, answer func(Action) error) []Action {
 	var all []Action
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
 		for _, a := range h.p.Tick(h.now, h.v.Load()) {
 			all = append(all, a)
-			h.answer(a, answer(a))
+			h.complete(a, answer(a))
 		}
 	}
 	return all
 }
 
-func (h *harness) answer(a Action, err error) {
+func (h *harness) complete(a Action, err error) {
 	switch a := a.(type) {
-	case *Join:
-		h.p.JoinDone(a, true, err, h.now)
+	case *AcquireLease:
+		h.p.AcquireLeaseDone(a, true, err, h.now)
 	case *Append:
 		if err == nil {
 			h.end++
-			h.tab = a.Table
+			h.table = a.Table
 		}
 		h.p.AppendDone(a, h.end, err, h.now)
 		h.publish()
@@ -74,7 +74,7 @@
 	}
 }
 
-func allWell(Action) error { return nil }
+func succeedAll(Action) error { return nil }
 
 // owns reports whether the table gives the owner any key.
 func owns(t *ownership.Table, owner string) bool {
@@ -86,21 +86,21 @@
 	return false
 }
 
-// untilMoved plays until a owns nothing and returns how long that took.
-func (h *harness) untilMoved(answer func(Action) error) time.Duration {
+// simulateUntilMoved plays until a owns nothing and returns how long that took.
+func (h *harness) simulateUntilMoved(answer func(Action) error) time.Duration {
 	h.t.Helper()
 	start := h.now
-	for owns(h.tab, "a") {
+	for owns(h.table, "a") {
 		if h.now.Sub(start) > 30*time.Second {
 			h.t.Fatal("a's keys never moved")
 		}
-		h.play(simStep, answer)
+		h.simulate(simStep, answer)
 	}
 	return h.now.Sub(start)
 }
 
-// deadA answers as a dead upstream a and healthy others would.
-func deadA(a Action) error {
+// upstreamADown answers as a dead upstream a and healthy others would.
+func upstreamADown(a Action) error {
 	switch a := a.(type) {
 	case *Grant:
 		if a.Addr == "a" {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// foreignTable is the table as another host's next term would record it.
-func (h *harness) foreignTable() *ownership.Table {
-	return h.tab.TakeOver("other", "other:1")
+// tableOfOtherPlanner is the table as another host's next term would record it.
+func (h *harness) tableOfOtherPlanner() *ownership.Table {
+	return h.table.TakeOver("other", "other:1")
 }
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -16,8 +16,8 @@
 	lostAt map[string]bootclock.Time
 }
 
-// see takes in the newest table.
-func (h *history) see(t *ownership.Table, now bootclock.Time) {
+// observe takes in the newest table.
+func (h *history) observe(t *ownership.Table, now bootclock.Time) {
 	if t.Term != h.term {
 		h.term, h.termAt = t.Term, now
 	}
@@ -33,62 +33,62 @@
 	}
 }
 
-// foreign bounds the grants of earlier planners.
-type foreign struct {
-	before []*predecessor
-	// sooner holds an earlier bound for owners that the last planner had
+// previousGrants bounds the grants of earlier planners.
+type previousGrants struct {
+	planners []*previousPlanner
+	// lostBounds holds an earlier bound for owners that the last planner had
 	// marked as lost.
-	sooner map[string]bootclock.Time
+	lostBounds map[string]bootclock.Time
 }
 
-// seenAt returns when base's term was first seen; now if it is new here. The
+// termSeenAt returns when base's term was first seen; now if it is new here. The
 // planners before it had lost the seat by then.
-func (h *history) seenAt(base *ownership.Table, now bootclock.Time) bootclock.Time {
+func (h *history) termSeenAt(base *ownership.Table, now bootclock.Time) bootclock.Time {
 	if h != nil && h.term == base.Term {
 		return h.termAt
 	}
 	return now
 }
 
-// soonerAfter returns the bounds for owners that base's writer marked as
+// lostBounds returns the bounds for owners that base's writer marked as
 // lost. The writer has stopped sending to them when the mark was seen; those
 // before it have lost their seat before its first record, and send for
 // viewAge after that at most.
-func (h *history) soonerAfter(base *ownership.Table, opts *Options) map[string]bootclock.Time {
+func (h *history) lostBounds(base *ownership.Table, opts *Options) map[string]bootclock.Time {
 	out := map[string]bootclock.Time{}
 	if h == nil || base == nil || base.Term != h.term {
 		return out
 	}
 	for _, id := range base.Lost {
-		out[id] = max(h.lostAt[id], h.termAt.Add(opts.ViewAge))
+		out[id] = max(h.lostAt[id], h.termAt.Add(opts.MaxViewAge))
 	}
 	return out
 }
 
-// until returns when the last grant of the planners before this one may be
+// grantsUntil returns when the last grant of the planners before this one may be
 // sent, to any owner.
-func (f *foreign) until() bootclock.Time {
-	return f.latest(func(b *predecessor) bootclock.Time { return b.until })
+func (f *previousGrants) grantsUntil() bootclock.Time {
+	return f.latest(func(b *previousPlanner) bootclock.Time { return b.grantsUntil })
 }
 
 // dialsUntil returns when they may last open a connection for one.
-func (f *foreign) dialsUntil() bootclock.Time {
-	return f.latest(func(b *predecessor) bootclock.Time { return b.dialsUntil })
+func (f *previousGrants) dialsUntil() bootclock.Time {
+	return f.latest(func(b *previousPlanner) bootclock.Time { return b.dialsUntil })
 }
 
-func (f *foreign) latest(bound func(*predecessor) bootclock.Time) bootclock.Time {
+func (f *previousGrants) latest(bound func(*previousPlanner) bootclock.Time) bootclock.Time {
 	last := bootclock.Time(0)
-	for _, b := range f.before {
+	for _, b := range f.planners {
 		last = max(last, bound(b))
 	}
 	return last
 }
 
-// lastTo returns when the last grant of an earlier planner may be sent to the
+// grantsUntilFor returns when the last grant of an earlier planner may be sent to the
 // owner.
-func (f *foreign) lastTo(owner string) bootclock.Time {
-	if at, ok := f.sooner[owner]; ok {
-		return min(at, f.until())
+func (f *previousGrants) grantsUntilFor(owner string) bootclock.Time {
+	if at, ok := f.lostBounds[owner]; ok {
+		return min(at, f.grantsUntil())
 	}
-	return f.until()
+	return f.grantsUntil()
 }
--- a/internal/planner/holder.go
+++ b/internal/planner/holder.go
@@ -8,16 +8,16 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// holder is what is known of the grants sent to one server. Its lives share
+// serverState is what is known of the grants sent to one server. Its lives share
 // it: a grant that was sent to one may reach the next.
-type holder struct {
-	// life is the newest life a grant was meant for or that was listed. What
+type serverState struct {
+	// incarnation is the newest life a grant was meant for or that was listed. What
 	// earlier ones acknowledged does not count for it.
-	life     string
-	inFlight int
-	// mayHoldFrom is when the last grant was sent that may have reached it.
-	mayHoldFrom bootclock.Time
-	sentAny     bool
+	incarnation string
+	inFlight    int
+	// maybeGrantedAt is when the last grant was sent that may have reached it.
+	maybeGrantedAt bootclock.Time
+	sentAny        bool
 	// unansweredAt is when the last grant was sent that got no answer; it
 	// may be carried out late, even after a release.
 	unansweredAt bootclock.Time
@@ -26,26 +26,26 @@
 	answeredAt bootclock.Time
 	// confirmed are the spans on which it has seen this term's token.
 	confirmed []span
-	// noted is what was last told of orders that failed.
-	noted     map[EventKind]noted
-	losses    int
-	shunUntil bootclock.Time
-	lost      bool
+	// throttles is what was last told of orders that failed.
+	throttles     map[EventKind]eventThrottle
+	losses        int
+	excludedUntil bootclock.Time
+	lost          bool
 }
 
-// noted is when a kind of failure was last told, and how many were not since.
-type noted struct {
-	at     bootclock.Time
-	untold int
+// eventThrottle is when a kind of failure was last told, and how many were not since.
+type eventThrottle struct {
+	at         bootclock.Time
+	suppressed int
 }
 
-// done takes in a grant's result. It must be called for each that was sent, on the
+// recordResult takes in a grant's result. It must be called for each that was sent, on the
 // holder for which it was, also after the term has ended: a later term may go on with
 // the account.
-func (h *holder) done(g *Grant, err error, now bootclock.Time) {
+func (h *serverState) recordResult(g *Grant, err error, now bootclock.Time) {
 	h.inFlight--
 	if !errors.Is(err, ownership.ErrNotSent) {
-		h.mayHoldFrom = now
+		h.maybeGrantedAt = now
 	}
 	switch {
 	case errors.Is(err, ownership.ErrNoAnswer):
@@ -53,7 +53,7 @@
 		h.unansweredAt = now
 	case errors.Is(err, ownership.ErrFenced):
 		h.answeredAt = now
-	case err == nil && !h.outlived(g):
+	case err == nil && !h.forPastIncarnation(g):
 		h.answeredAt = now
 		h.losses = 0
 		h.confirmed = append(h.confirmed, span{g.Range.From, g.Range.To})
@@ -63,16 +63,18 @@
 	}
 }
 
-// outlived reports whether the life that the grant was for has ended: what it
+// forPastIncarnation reports whether the life that the grant was for has ended: what it
 // answers, or does not, says nothing of the next one.
-func (h *holder) outlived(g *Grant) bool { return catalogue.Succeeds(h.life, g.Range.Owner) }
+func (h *serverState) forPastIncarnation(g *Grant) bool {
+	return catalogue.IsLaterIncarnation(h.incarnation, g.Range.Owner)
+}
 
-// succeeded turns to a newer life. It has forgotten the tokens that the older
+// startIncarnation turns to a newer life. It has forgotten the tokens that the older
 // one acknowledged, and none of the older one's failures are its own.
-func (h *holder) succeeded(life string, now bootclock.Time) {
-	h.life = life
+func (h *serverState) startIncarnation(life string, now bootclock.Time) {
+	h.incarnation = life
 	h.confirmed = nil
-	h.lost, h.losses, h.shunUntil = false, 0, 0
+	h.lost, h.losses, h.excludedUntil = false, 0, 0
 	h.answeredAt = now
 }
 
@@ -80,9 +82,9 @@
 // upstream has ranges is never needed.
 const maxConfirmed = 256
 
-// sawThisTerm reports whether the upstream has acknowledged this term's
+// acknowledgedTerm reports whether the upstream has acknowledged this term's
 // token on every key of s, so that it refuses its predecessor's grants.
-func (h *holder) sawThisTerm(s span) bool {
+func (h *serverState) acknowledgedTerm(s span) bool {
 	from := s.from
 	for again := true; again && from <= s.to; {
 		again = false
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -9,15 +9,15 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// manyOwners is a harness with so many upstreams, which have their keys, and
+// newHarnessWithOwners is a harness with so many upstreams, which have their keys, and
 // samples enough for load to be looked at.
-func manyOwners(t *testing.T, n int) (*harness, []string) {
+func newHarnessWithOwners(t *testing.T, n int) (*harness, []string) {
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprintf("u%02d", i))
 	}
 	h := newHarness(t, ids...)
-	h.play(4*time.Second, allWell)
+	h.simulate(4*time.Second, succeedAll)
 	return h, ids
 }
 
@@ -25,18 +25,18 @@
 // on, which are asked for ten times as much.
 func (h *harness) busyKeys(first *int) {
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		byKey := make([]float64, ownership.Keys)
+		byKey := make([]float64, ownership.KeySpaceSize)
 		for k := range byKey {
 			byKey[k] = 0.01
 		}
-		for k := *first; k < *first+ownership.Keys/20; k++ {
+		for k := *first; k < *first+ownership.KeySpaceSize/20; k++ {
 			byKey[k] = 0.1
 		}
 		capacity := map[string]float64{}
 		for _, u := range owners {
 			capacity[u.ID] = 100
 		}
-		return ownership.Load{ByKey: byKey, Capacity: capacity}, 10 * fewestSamples
+		return ownership.Load{ByKey: byKey, Capacity: capacity}, 10 * minSamples
 	}
 }
 
@@ -44,7 +44,7 @@
 // leases to run out. Callers of keys at an overloaded owner that lives must not
 // wait for that too: its keys move meanwhile.
 func TestLostOwnersDoNotKeepOthersFromBeingRelieved(t *testing.T) {
-	h, ids := manyOwners(t, 60)
+	h, ids := newHarnessWithOwners(t, 60)
 	dead := map[string]bool{}
 	for _, id := range ids[:30] {
 		dead[id] = true
@@ -62,18 +62,18 @@
 		}
 		return nil
 	}
-	h.play(testOptions.Hold*7/10, answer)
-	if lost := len(h.tab.Lost); lost != 30 {
+	h.simulate(testOptions.GrantTTL*7/10, answer)
+	if lost := len(h.table.Lost); lost != 30 {
 		t.Fatalf("the play is wrong: %d owners are lost", lost)
 	}
 	first := 0
-	for h.tab.Find(first).Owner != ids[45] {
+	for h.table.Find(first).Owner != ids[45] {
 		first++
 	}
 	h.busyKeys(&first)
-	before := h.tab
-	h.play(500*time.Millisecond, answer)
-	if moved := h.tab.KeysMovedSince(before); moved == 0 {
+	before := h.table
+	h.simulate(500*time.Millisecond, answer)
+	if moved := h.table.KeysMovedSince(before); moved == 0 {
 		t.Error("no key of an overloaded owner moved while others were lost")
 	}
 }
@@ -83,13 +83,13 @@
 // that grant has run out, three seconds; callers are served, if late, while they
 // stay. Once the lost grant counts no more they move.
 func TestKeysStayWhileAGrantOfTheirOwnerIsUnanswered(t *testing.T) {
-	h, ids := manyOwners(t, 20)
+	h, ids := newHarnessWithOwners(t, 20)
 	busy := ids[7]
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		byKey := make([]float64, ownership.Keys)
+		byKey := make([]float64, ownership.KeySpaceSize)
 		for k := range byKey {
 			byKey[k] = 0.01
-			if h.tab.Find(k).Owner == busy {
+			if h.table.Find(k).Owner == busy {
 				byKey[k] = 0.017
 			}
 		}
@@ -97,7 +97,7 @@
 		for _, u := range owners {
 			capacity[u.ID] = 100
 		}
-		return ownership.Load{ByKey: byKey, Capacity: capacity}, 10 * fewestSamples
+		return ownership.Load{ByKey: byKey, Capacity: capacity}, 10 * minSamples
 	}
 	lost := false
 	answer := func(a Action) error {
@@ -109,16 +109,16 @@
 	}
 	for !lost {
 		// A grant's answer is lost before load is looked at.
-		h.p.services[simService].nextFit = h.now.Add(fitEvery)
-		h.play(simStep, answer)
+		h.p.services[simService].nextRebalance = h.now.Add(rebalanceInterval)
+		h.simulate(simStep, answer)
 	}
-	before := h.tab
-	h.play(2*time.Second, answer)
+	before := h.table
+	h.simulate(2*time.Second, answer)
 	if n := len(h.p.services[simService].moves); n > 0 {
 		t.Errorf("%d ranges were taken from their owner that no other may serve for seconds", n)
 	}
-	h.play(2*time.Second, answer)
-	if h.tab.KeysMovedSince(before) == 0 {
+	h.simulate(2*time.Second, answer)
+	if h.table.KeysMovedSince(before) == 0 {
 		t.Error("the overloaded owner is not relieved afterwards")
 	}
 }
@@ -126,7 +126,7 @@
 // Load shifts all the time. Each record of the table goes to every host of the
 // fleet: those for load alone come no closer than gatherMoves.
 func TestRecordsOfMovesForLoadAreGathered(t *testing.T) {
-	h, _ := manyOwners(t, 60)
+	h, _ := newHarnessWithOwners(t, 60)
 	first := 0
 	h.busyKeys(&first)
 	records := 0
@@ -141,17 +141,17 @@
 				releases = append(releases, a)
 				continue
 			}
-			h.answer(a, nil)
+			h.complete(a, nil)
 		}
 		if len(releases) > 0 {
-			h.answer(releases[0], nil)
+			h.complete(releases[0], nil)
 			releases = releases[1:]
 		}
-		if first += 100; first > ownership.Keys*9/10 {
+		if first += 100; first > ownership.KeySpaceSize*9/10 {
 			first = 0
 		}
 	}
-	if most := int(played/gatherMoves) + 1; records == 0 || records > most {
+	if most := int(played/loadRecordInterval) + 1; records == 0 || records > most {
 		t.Errorf("%d records of moves for load in %v, want 1 to %d", records, played, most)
 	}
 }
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -25,7 +25,7 @@
 	// failed is set once a release got no answer, silentUntil is until when
 	// an owner that answers again may still be listed again.
 	failed      bool
-	silentUntil bootclock.Time
+	relistUntil bootclock.Time
 	cause       string
 }
 
@@ -41,15 +41,15 @@
 	causeLoad      = "load"
 )
 
-// unreleased reports whether the move's keys come without a handover from an
+// lacksHandover reports whether the move's keys come without a handover from an
 // owner that was lost or is gone.
-func (m *move) unreleased() bool {
+func (m *move) lacksHandover() bool {
 	return m.handover == "" && (m.cause == causeLost || m.cause == causeGone)
 }
 
 const (
-	// fitEvery is the pause between looks for load that is out of balance.
-	fitEvery = 250 * time.Millisecond
+	// rebalanceInterval is the pause between looks for load that is out of balance.
+	rebalanceInterval = 250 * time.Millisecond
 	// urgentEvery is that pause while keys need an owner. A look costs some
 	// milliseconds; with one in each tick a planner whose upstreams restarted
 	// in turn was too busy to prove its seat and lost it three times.
@@ -58,45 +58,45 @@
 
 // fewestSamples is how many requests must be known before keys move for
 // load: a planner that has just taken over knows nothing of it yet.
-const fewestSamples = 40
+const minSamples = 40
 
 // freshSeat is how lately the seat must have been proved for keys to move for
 // load.
-const freshSeat = 900 * time.Millisecond
+const maxLeaseAge = 900 * time.Millisecond
 
 // plan starts the moves that the present owners and load call for.
 func (t *term) plan(now bootclock.Time) {
 	if t.gathering(now) {
 		return
 	}
-	if now.Before(t.nextUrgent) || (now.Before(t.nextFit) && !t.needsOwner(now)) {
+	if now.Before(t.nextOwnerlessCheck) || (now.Before(t.nextRebalance) && !t.needsOwner(now)) {
 		return
 	}
-	t.nextFit, t.nextUrgent = now.Add(fitEvery), now.Add(urgentEvery)
+	t.nextRebalance, t.nextOwnerlessCheck = now.Add(rebalanceInterval), now.Add(urgentEvery)
 	t.keepReturned(now)
 	t.settleLosses(now)
-	owners := t.candidates(now)
+	owners := t.eligibleOwners(now)
 	if len(owners) == 0 {
 		return
 	}
 	if t.moveToSuccessors(now) {
-		t.syncLeases(now)
+		t.syncGrants(now)
 		return // recorded first; load is looked at after that
 	}
 	load, lim := t.loadOf(owners, now)
-	t.pace.know(t.warmUp, load)
+	t.limiter.setLoad(t.warmUp, load)
 	planned := t.table.Apply(t.pendingMoves())
 	for _, m := range ownership.Rebalance(planned, load, lim) {
 		t.startMove(m, now)
 	}
-	t.syncLeases(now)
+	t.syncGrants(now)
 }
 
 // loadOf returns what is known of the load on the owners, and how far keys may
 // be moved for it now.
 func (t *term) loadOf(owners []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
 	load, samples := t.p.Load(t.name, owners)
-	load.Slow = t.unanswering(owners, now)
+	load.SlowToMove = t.unanswering(owners, now)
 	if t.undivided() {
 		// Requests that were refused for want of an owner say little: after
 		// ten of them the ten keys would be dealt out and the rest left in
@@ -104,9 +104,9 @@
 		load.ByKey = nil
 	}
 	lim := t.p.Limits
-	most := max(lim.MaxMoves, min(len(owners)/movingOwners, movingMost))
+	most := max(lim.MaxMoves, min(len(owners)/ownersPerMove, maxLoadMoves))
 	lim.MaxMoves = max(most-t.movingForLoad(), 0)
-	if samples < fewestSamples || now.Sub(t.p.seat.provenAt) > freshSeat {
+	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > maxLeaseAge {
 		// Keys taken back while the log cannot be written to would stay
 		// without an owner until it can.
 		lim.MaxMoves = 0
@@ -122,8 +122,8 @@
 func (t *term) unanswering(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range owners {
-		h := t.holder(u.ID)
-		if h.unanswered && now.Sub(h.unansweredAt) <= t.p.opts.holdBound() {
+		h := t.server(u.ID)
+		if h.unanswered && now.Sub(h.unansweredAt) <= t.p.opts.maxGrantTTL() {
 			out[u.ID] = true
 		}
 	}
@@ -152,7 +152,7 @@
 func (t *term) moveToSuccessors(now bootclock.Time) bool {
 	found := false
 	for _, r := range t.table.Ranges {
-		if u := t.successor(r.Owner); u != nil && !t.closed(u) && !t.shunned(u.ID, now) {
+		if u := t.successor(r.Owner); u != nil && !t.ineligible(u) && !t.excluded(u.ID, now) {
 			t.startMove(ownership.Move{From: r.From, To: r.To, NewOwner: u.ID}, now)
 			found = true
 		}
@@ -166,12 +166,12 @@
 	if !t.undivided() {
 		return false
 	}
-	a := t.p.arrivals[t.name]
+	a := t.p.registrations[t.name]
 	if a.known == 0 {
 		return true
 	}
 	since := now.Sub(a.first)
-	return since < settle || (now.Sub(a.last) < settleQuiet && since < settleMost)
+	return since < minRegistrationWait || (now.Sub(a.last) < registrationQuiet && since < maxRegistrationWait)
 }
 
 // undivided reports whether no key has had an owner yet.
@@ -184,7 +184,7 @@
 func (t *term) needsOwner(now bootclock.Time) bool {
 	for _, r := range t.table.Ranges {
 		u := t.ups[r.Owner]
-		if u != nil && !t.closed(u) && !t.shunned(r.Owner, now) {
+		if u != nil && !t.ineligible(u) && !t.excluded(r.Owner, now) {
 			continue
 		}
 		if len(t.withoutMoves(span{r.From, r.To})) > 0 {
@@ -233,14 +233,14 @@
 // to 70 requests a second were refused for that from the first change on. The
 // owner acknowledges it with its first grant, or is taken for lost.
 func (t *term) mayStart(old ownership.Range, now bootclock.Time) bool {
-	if old.Owner == "" || old.Fence > t.startFence || now.Sub(t.foreign.lastTo(old.Owner)) > t.p.opts.holdBound() {
+	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantTTL() {
 		return true
 	}
-	h := t.holder(old.Owner)
+	h := t.server(old.Owner)
 	if t.ups[old.Owner] == nil || h.lost {
 		return true
 	}
-	return h.life == old.Owner && h.sawThisTerm(span{old.From, old.To}) && now.Sub(t.foreign.dialsUntil()) > arrival
+	return h.incarnation == old.Owner && h.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
 }
 
 // insertMove keeps the moves in the order of their keys.
@@ -271,9 +271,9 @@
 		return causeLeaving
 	case u.HandingOver():
 		return causeEvacuated
-	case t.shunned(owner, now):
+	case t.excluded(owner, now):
 		return causeLost
-	case t.closed(u):
+	case t.ineligible(u):
 		return causeCold
 	}
 	return causeLoad
@@ -286,7 +286,7 @@
 	var out []Action
 	for _, m := range t.moves {
 		u := t.ups[m.old.Owner]
-		if m.released || m.release != nil || u == nil || now.Before(m.nextRelease) || t.holder(m.old.Owner).inFlight > 0 || !t.mayRelease(m, now) {
+		if m.released || m.release != nil || u == nil || now.Before(m.nextRelease) || t.server(m.old.Owner).inFlight > 0 || !t.mayRelease(m, now) {
 			continue
 		}
 		m.release = &Release{Service: t.name, Addr: u.Addr, Range: m.old}
@@ -303,7 +303,7 @@
 		return
 	}
 	m.release = nil
-	if errors.Is(err, ownership.ErrRefused) {
+	if errors.Is(err, ownership.ErrRejected) {
 		// An upstream refuses no release, so something else answers at its
 		// address: the old owner has ended and its grants with it.
 		m.released = true
@@ -311,8 +311,8 @@
 	}
 	if err != nil {
 		m.failed = true
-		m.nextRelease = now.Add(retryRelease)
-		t.noteTrouble(ReleaseFailed, r.Range.Owner, err, now)
+		m.nextRelease = now.Add(releaseRetryDelay)
+		t.emitFailure(ReleaseFailed, r.Range.Owner, err, now)
 		return
 	}
 	if t.comeBack(r.Range.Owner, now) {
@@ -320,7 +320,7 @@
 	}
 	m.released, m.handover = true, handover
 	if m.failed {
-		m.silentUntil = now.Add(relisted)
+		m.relistUntil = now.Add(relistGrace)
 	}
 }
 
@@ -336,14 +336,14 @@
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool {
 		u := t.ups[m.old.Owner]
 		wasUnlisted := m.cause == causeLeaving || m.cause == causeGone
-		if !m.failed || m.release != nil || u == nil || t.closed(u) || (!m.released && !wasUnlisted) {
+		if !m.failed || m.release != nil || u == nil || t.ineligible(u) || (!m.released && !wasUnlisted) {
 			return false
 		}
-		h := t.holder(u.ID)
+		h := t.server(u.ID)
 		h.lost, h.answeredAt = false, now
 		return true
 	})
-	t.syncLeases(now)
+	t.syncGrants(now)
 }
 
 // comeBack gives an upstream that was taken for lost, but answers again, its
@@ -351,14 +351,14 @@
 // it may be that only the answers to its grants were lost. Moves whose
 // release is still under way go on. It reports whether it did.
 func (t *term) comeBack(id string, now bootclock.Time) bool {
-	h, u := t.holder(id), t.ups[id]
-	if !h.lost || u == nil || t.closed(u) || t.appending != nil {
+	h, u := t.server(id), t.ups[id]
+	if !h.lost || u == nil || t.ineligible(u) || t.appending != nil {
 		return false
 	}
 	h.lost = false
 	h.answeredAt = now
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return m.old.Owner == id && m.release == nil })
-	t.syncLeases(now)
+	t.syncGrants(now)
 	return true
 }
 
@@ -368,14 +368,14 @@
 func (t *term) settleLosses(now bootclock.Time) {
 	owns := map[string]bool{}
 	for _, r := range t.table.Ranges {
-		owns[catalogue.ServerOf(r.Owner)] = true
+		owns[catalogue.ServerID(r.Owner)] = true
 	}
-	for server, h := range t.holders {
+	for server, h := range t.servers {
 		if !h.lost || owns[server] || h.inFlight > 0 {
 			continue
 		}
 		h.lost = false
-		h.shunUntil = now.Add(min(shunFirst<<min(h.losses, 4), shunMost))
+		h.excludedUntil = now.Add(min(minExclusion<<min(h.losses, 4), maxExclusion))
 		h.losses++
 		h.sentAny = false
 	}
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -16,11 +16,11 @@
 // sent, ten seconds in which nobody serves them.
 func TestOwnTermBeforeIsNotGuessed(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(12*time.Second, allWell)
-	h.play(2*time.Second, deadA)
+	h.simulate(12*time.Second, succeedAll)
+	h.simulate(2*time.Second, upstreamADown)
 	// The seat is lost and won back without another planner in between.
 	h.p.dropTerms()
-	if took := h.untilMoved(deadA); took > testOptions.Hold+testOptions.Hold/2 {
+	if took := h.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("moved only %v after the second term began", took)
 	}
 }
@@ -35,18 +35,18 @@
 	// The other host follows the log all the while.
 	watch := func(d time.Duration, answer func(Action) error) {
 		for end := first.now.Add(d); first.now.Before(end); {
-			first.play(simStep, answer)
+			first.simulate(simStep, answer)
 			second.watch(first.now, first.v.Load())
 		}
 	}
-	watch(12*time.Second, allWell)
-	watch(1900*time.Millisecond, deadA)
-	if !first.tab.IsLost("a") || !owns(first.tab, "a") {
+	watch(12*time.Second, succeedAll)
+	watch(1900*time.Millisecond, upstreamADown)
+	if !first.table.IsLost("a") || !owns(first.table, "a") {
 		t.Fatal("the play is wrong: a should be marked and still own keys")
 	}
 	first.p = second
-	second.StreamEnd(first.end)
-	if took := first.untilMoved(deadA); took > testOptions.Hold+testOptions.Hold/2 {
+	second.AdvanceStreamEnd(first.end)
+	if took := first.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("moved only %v after the successor took over", took)
 	}
 }
@@ -57,10 +57,10 @@
 // and a lease and a half later.
 func TestSilentOwnersKeysMoveOnceItsLeaseRanOut(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(12*time.Second, allWell)
+	h.simulate(12*time.Second, succeedAll)
 	silent := h.now
 	moved := bootclock.Time(0)
-	h.play(10*time.Second, func(a Action) error {
+	h.simulate(10*time.Second, func(a Action) error {
 		switch a := a.(type) {
 		case *Grant:
 			if a.Addr == "a" {
@@ -80,10 +80,10 @@
 	}
 	// The last grant that arrived was sent up to a renewal before.
 	waited := moved.Sub(silent)
-	if least := testOptions.Hold - testOptions.Hold/renewals; waited < least {
+	if least := testOptions.GrantTTL - testOptions.GrantTTL/renewalsPerTTL; waited < least {
 		t.Errorf("moved %v after the owner went silent, within its lease", waited)
 	}
-	if most := testOptions.Hold * 3 / 2; waited > most {
+	if most := testOptions.GrantTTL * 3 / 2; waited > most {
 		t.Errorf("moved only %v after the owner went silent", waited)
 	}
 }
@@ -94,9 +94,9 @@
 // have given it has run out.
 func TestOwnerThatAnswersAgainKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(3*time.Second, allWell)
+	h.simulate(3*time.Second, succeedAll)
 	lossUntil := h.now.Add(2 * time.Second)
-	h.play(6*time.Second, func(a Action) error {
+	h.simulate(6*time.Second, func(a Action) error {
 		if g, ok := a.(*Grant); ok && g.Addr == "a" && h.now.Before(lossUntil) {
 			return ownership.ErrNoAnswer
 		}
@@ -106,7 +106,7 @@
 		return nil
 	})
 	owned := 0
-	for _, r := range h.tab.Ranges {
+	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
 			owned++
 		}
@@ -114,7 +114,7 @@
 	if owned == 0 {
 		t.Fatal("the upstream lost its keys though it answers")
 	}
-	for _, a := range h.play(time.Second+testOptions.Hold/renewals, allWell) {
+	for _, a := range h.simulate(time.Second+testOptions.GrantTTL/renewalsPerTTL, succeedAll) {
 		if g, ok := a.(*Grant); ok && g.Addr == "a" {
 			return
 		}
@@ -129,7 +129,7 @@
 // the range since, and its callers would have two owners.
 func TestAnswerToAnEarlierReleaseDoesNotCount(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(12*time.Second, allWell)
+	h.simulate(12*time.Second, succeedAll)
 	var held []*Release
 	mute := true
 	granted := func(*Grant) {}
@@ -142,12 +142,12 @@
 				case *Grant:
 					granted(a)
 					if mute && a.Addr == "a" {
-						h.answer(a, ownership.ErrNoAnswer)
+						h.complete(a, ownership.ErrNoAnswer)
 						continue
 					}
-					h.answer(a, nil)
+					h.complete(a, nil)
 				default:
-					h.answer(a, nil)
+					h.complete(a, nil)
 				}
 			}
 		}
@@ -164,10 +164,10 @@
 		}
 	}
 	h.p.ReleaseDone(first, "token", nil, h.now)
-	step(testOptions.Hold + 2*time.Second)
+	step(testOptions.GrantTTL + 2*time.Second)
 	// The load now asks for the second range to leave a.
-	byKey := make([]float64, ownership.Keys)
-	for _, r := range h.tab.Ranges {
+	byKey := make([]float64, ownership.KeySpaceSize)
+	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
 			byKey[r.From] = 10
 		}
@@ -178,7 +178,7 @@
 	step(500 * time.Millisecond)
 	h.p.ReleaseDone(second, "token", nil, h.now)
 	step(100 * time.Millisecond)
-	if got := h.tab.Find(second.Range.From).Owner; regranted && got != "a" {
+	if got := h.table.Find(second.Range.From).Owner; regranted && got != "a" {
 		t.Fatalf("keys %d to %d went to %q on the answer to a release sent before a was granted them again", second.Range.From, second.Range.To, got)
 	}
 }
@@ -187,16 +187,16 @@
 // taken back now could not be given to anybody, so none may be.
 func TestNoKeyMovesForLoadWhileTheSeatIsNotProved(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(3*time.Second, allWell)
+	h.simulate(3*time.Second, succeedAll)
 	cut := func(a Action) error {
-		if _, ok := a.(*Join); ok {
-			return metastore.ErrRefused
+		if _, ok := a.(*AcquireLease); ok {
+			return metastore.ErrRejected
 		}
 		return nil
 	}
-	h.play(time.Second, cut)
-	byKey := make([]float64, ownership.Keys)
-	for _, r := range h.tab.Ranges {
+	h.simulate(time.Second, cut)
+	byKey := make([]float64, ownership.KeySpaceSize)
+	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
 			byKey[r.From] = 10
 		}
@@ -204,7 +204,7 @@
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		return ownership.Load{ByKey: byKey, Capacity: slotsOf(owners)}, 1000
 	}
-	for _, a := range h.play(3*time.Second, cut) {
+	for _, a := range h.simulate(3*time.Second, cut) {
 		if r, ok := a.(*Release); ok {
 			t.Fatalf("keys %d to %d were taken back", r.Range.From, r.Range.To)
 		}
@@ -216,19 +216,19 @@
 // need not wait for its lease.
 func TestRefusedReleaseProvesThatTheOwnerEnded(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(12*time.Second, allWell)
+	h.simulate(12*time.Second, succeedAll)
 	gone := *h.ups["a"]
 	gone.Leaving = true
 	h.ups["a"] = &gone
 	h.publish()
 	began := h.now
-	h.play(time.Second, func(a Action) error {
+	h.simulate(time.Second, func(a Action) error {
 		if r, ok := a.(*Release); ok && r.Addr == "a" {
-			return ownership.ErrRefused
+			return ownership.ErrRejected
 		}
 		return nil
 	})
-	for _, r := range h.tab.Ranges {
+	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
 			t.Fatalf("keys %d to %d still have no owner %v later", r.From, r.To, h.now.Sub(began))
 		}
@@ -242,24 +242,24 @@
 func TestDeadOwnersKeysDoNotWaitForAPlannerThatRetired(t *testing.T) {
 	play := func(answers string) time.Duration {
 		h := newHarness(t, "a", "b")
-		h.play(12*time.Second, allWell)
-		h.tab = h.foreignTable()
+		h.simulate(12*time.Second, succeedAll)
+		h.table = h.tableOfOtherPlanner()
 		h.end++
 		h.p = New(testOptions)
 		h.p.opts.Host = "me"
-		h.p.StreamEnd(h.end)
+		h.p.AdvanceStreamEnd(h.end)
 		h.publish()
-		return h.untilMoved(func(a Action) error {
+		return h.simulateUntilMoved(func(a Action) error {
 			if r, ok := a.(*Retire); ok {
 				h.p.RetireDone(r, answers, true, h.now)
 			}
-			return deadA(a)
+			return upstreamADown(a)
 		})
 	}
-	if took := play("other"); took > testOptions.Hold+testOptions.Hold/2 {
+	if took := play("other"); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("moved only %v after the change of planner", took)
 	}
-	if took := play("somebody"); took < testOptions.ViewAge+testOptions.Hold {
+	if took := play("somebody"); took < testOptions.MaxViewAge+testOptions.GrantTTL {
 		t.Errorf("moved %v after the change of planner on a stranger's word", took)
 	}
 }
@@ -270,14 +270,14 @@
 // stay without an owner until every earlier planner's grants had run out.
 func TestNoKeyIsTakenBackBeforeItsOwnerKnowsTheTerm(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(12*time.Second, allWell)
-	h.tab = h.foreignTable()
+	h.simulate(12*time.Second, succeedAll)
+	h.table = h.tableOfOtherPlanner()
 	h.end++
 	h.p = New(testOptions)
 	h.p.opts.Host = "me"
-	h.p.StreamEnd(h.end)
-	byKey := make([]float64, ownership.Keys)
-	for _, r := range h.tab.Ranges {
+	h.p.AdvanceStreamEnd(h.end)
+	byKey := make([]float64, ownership.KeySpaceSize)
+	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
 			byKey[r.From] = 5
 		}
@@ -308,7 +308,7 @@
 					t.Fatalf("keys %d to %d are taken back before any grant was acknowledged", a.Range.From, a.Range.To)
 				}
 			}
-			h.answer(a, nil)
+			h.complete(a, nil)
 		}
 	}
 	if released == 0 {
@@ -321,7 +321,7 @@
 // half a second later. Its keys stay with it; nobody else was given them.
 func TestOwnerThatComesBackFromACutKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(12*time.Second, allWell)
+	h.simulate(12*time.Second, succeedAll)
 	// An order that may have arrived keeps the keys where they are for a
 	// lease; the cut heals before that is over.
 	lost := func(a Action) error {
@@ -335,19 +335,19 @@
 		}
 		return nil
 	}
-	h.play(1800*time.Millisecond, lost)
+	h.simulate(1800*time.Millisecond, lost)
 	gone := *h.ups["a"]
 	gone.Leaving = true
 	h.ups["a"] = &gone
 	h.publish()
-	h.play(900*time.Millisecond, lost)
-	h.play(500*time.Millisecond, allWell)
+	h.simulate(900*time.Millisecond, lost)
+	h.simulate(500*time.Millisecond, succeedAll)
 	back := gone
 	back.Leaving = false
 	h.ups["a"] = &back
 	h.publish()
-	h.play(2*time.Second, allWell)
-	if !owns(h.tab, "a") {
+	h.simulate(2*time.Second, succeedAll)
+	if !owns(h.table, "a") {
 		t.Error("the keys have moved")
 	}
 	if n := h.p.services[simService].moves; len(n) != 0 {
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -6,93 +6,93 @@
 type Options struct {
 	// Host is this host's name, PeerAddr where its peers reach it.
 	Host, PeerAddr string
-	// Hold is how long a grant lasts. It bounds how long the keys of an
+	// GrantTTL is how long a grant lasts. It bounds how long the keys of an
 	// upstream that went silent have no owner.
-	Hold time.Duration
-	// ViewAge is the longest that grants are renewed after the seat was
+	GrantTTL time.Duration
+	// MaxViewAge is the longest that grants are renewed after the seat was
 	// last proved. Through an outage of the log service keys stay owned
 	// for ViewAge + Hold.
-	ViewAge time.Duration
-	// SeatTTL is how long the seat outlives its holder's last proof.
-	SeatTTL time.Duration
-	// Eager hosts seek the seat always. The others, whose links and
+	MaxViewAge time.Duration
+	// LeaseTTL is how long the seat outlives its holder's last proof.
+	LeaseTTL time.Duration
+	// Candidate hosts seek the seat always. The others, whose links and
 	// processors are weak, do so only where no planner is seen for
 	// patience: every host follows the planner, and one with a link of 10
 	// Mbit/s made half of 91 hosts fall back to the log service.
-	Eager bool
+	Candidate bool
 }
 
 const (
 	// skew covers an upstream's clock that runs 2% slow.
 	skew = 0.02
-	// arrival covers the way of a grant to its upstream.
-	arrival = 100 * time.Millisecond
-	// renewals is how often a grant is renewed within its time, so that
+	// maxGrantDelay covers the way of a grant to its upstream.
+	maxGrantDelay = 100 * time.Millisecond
+	// renewalsPerTTL is how often a grant is renewed within its time, so that
 	// some may be lost.
-	renewals = 3
-	// retryGrant is the pause after a grant that failed.
-	retryGrant = 100 * time.Millisecond
+	renewalsPerTTL = 3
+	// grantRetryDelay is the pause after a grant that failed.
+	grantRetryDelay = 100 * time.Millisecond
 	// lostAfter is the part of a grant's time after which an upstream that
 	// has answered none is taken for lost.
 	lostAfter = 0.5
-	// retryRelease is the pause before a release that failed is sent again.
-	retryRelease = 800 * time.Millisecond
-	// shunFirst is how long an upstream that was lost gets no keys, if it
+	// releaseRetryDelay is the pause before a release that failed is sent again.
+	releaseRetryDelay = 800 * time.Millisecond
+	// minExclusion is how long an upstream that was lost gets no keys, if it
 	// is still or again listed; it doubles with each loss up to shunMost.
-	shunFirst = time.Second
-	shunMost  = 16 * time.Second
-	// noteEvery is the least time between two log lines of the same kind of
+	minExclusion = time.Second
+	maxExclusion = 16 * time.Second
+	// failureEventInterval is the least time between two log lines of the same kind of
 	// failed order at one upstream.
-	noteEvery = time.Second
-	// relisted is how long an owner that answers again after a silence is
+	failureEventInterval = time.Second
+	// relistGrace is how long an owner that answers again after a silence is
 	// given to be listed again: upstreams write about every 0.9 s.
-	relisted = time.Second
-	// retryAppend is the pause before an append without an answer is sent
+	relistGrace = time.Second
+	// appendRetryDelay is the pause before an append without an answer is sent
 	// again.
-	retryAppend = 150 * time.Millisecond
-	// settle is how long after the first upstream was seen the first
+	appendRetryDelay = 150 * time.Millisecond
+	// minRegistrationWait is how long after the first upstream was seen the first
 	// division of a service's keys waits for the others to register.
-	settle = 1200 * time.Millisecond
-	// settleQuiet is how long no further upstream must have registered for
+	minRegistrationWait = 1200 * time.Millisecond
+	// registrationQuiet is how long no further upstream must have registered for
 	// that, and settleMost the longest wait: hundreds take seconds, and those
 	// that came too late owned nothing until callers had overloaded the
 	// others. In a fleet of 181 the first 81 got all keys.
-	settleQuiet = 700 * time.Millisecond
-	settleMost  = 4 * time.Second
+	registrationQuiet   = 700 * time.Millisecond
+	maxRegistrationWait = 4 * time.Second
 	// trigger, settleAt and maxMoves are the usual limits of rebalancing; an
 	// owner's load estimate rests on some fifty requests, which chance makes
 	// a third too high now and then.
-	trigger, settleAt = 1.35, 1.05
-	maxMoves          = 24
-	// movingOwners bounds the moves for load of a large service, to one for
+	highWatermark, lowWatermark = 1.35, 1.05
+	maxMoves                    = 24
+	// ownersPerMove bounds the moves for load of a large service, to one for
 	// so many owners. Each takes a second or so, most of it work under way,
 	// and a busy region of 200 keys needs 150 new owners while it lasts.
-	movingOwners = 3
-	// movingMost bounds them in services of any size, so that a plan's cost
+	ownersPerMove = 3
+	// maxLoadMoves bounds them in services of any size, so that a plan's cost
 	// does not grow with the number of owners as well.
-	movingMost = 150
-	// gatherMoves is the least pause between records of moves for load alone.
+	maxLoadMoves = 150
+	// loadRecordInterval is the least pause between records of moves for load alone.
 	// Each record goes to every host; at 30 a second a table of 700 ranges
 	// would take a weak host's processor. A move waits 0.5 s and more for the
 	// work under way on its keys anyway.
-	gatherMoves = 150 * time.Millisecond
-	// patience is how long hosts that are not eager wait for a planner.
-	patience = 3 * time.Second
-	// joinHolder and joinOther are the pauses between proofs of the seat,
+	loadRecordInterval = 150 * time.Millisecond
+	// noPlannerTimeout is how long hosts that are not eager wait for a planner.
+	noPlannerTimeout = 3 * time.Second
+	// renewFraction and joinOther are the pauses between proofs of the seat,
 	// relative to its time to live, of its holder and of the others.
-	joinHolder = 0.35
-	joinOther  = 0.7
-	// giveWayAfter is how many times to live of the seat a weak planner plans
+	renewFraction   = 0.35
+	acquireFraction = 0.7
+	// stepDownAfter is how many times to live of the seat a weak planner plans
 	// before it gives way; a member that does not hold the seat lapses after
 	// two.
-	giveWayAfter = 2.5
-	// joinHurried is the least pause between proofs while the planner does
+	stepDownAfter = 2.5
+	// minAcquireInterval is the least pause between proofs while the planner does
 	// not answer.
-	joinHurried = 200 * time.Millisecond
+	minAcquireInterval = 200 * time.Millisecond
 )
 
-// holdBound is the longest that an upstream may keep keys after a grant was
+// maxGrantTTL is the longest that an upstream may keep keys after a grant was
 // sent to it.
-func (o *Options) holdBound() time.Duration {
-	return time.Duration(float64(o.Hold)*(1+skew)) + arrival
+func (o *Options) maxGrantTTL() time.Duration {
+	return time.Duration(float64(o.GrantTTL)*(1+skew)) + maxGrantDelay
 }
--- a/internal/planner/pace.go
+++ b/internal/planner/pace.go
@@ -14,7 +14,7 @@
 // half of the owners' time busy.
 const coldShare = 0.1
 
-// pace holds the keys of lost owners back where too many are lost at once.
+// placementLimiter holds the keys of lost owners back where too many are lost at once.
 //
 // Keys that come without a handover are slow for seconds. A cut takes a third of
 // the owners away: their keys, all placed on the others as soon as their leases
@@ -22,7 +22,7 @@
 // were refused for as long as the cut lasted and some seconds more, also those
 // whose owners had never been lost. Placed as the others can bear it, some keys
 // wait longer, mostly until their owners are back.
-type pace struct {
+type placementLimiter struct {
 	// warmUp is how long such keys are slow; 0 if they are not.
 	warmUp time.Duration
 	// byKey is what the keys are asked for, capacity what the owners can do.
@@ -33,16 +33,16 @@
 	at     bootclock.Time
 }
 
-// know takes in what is known of the load.
-func (p *pace) know(warmUp time.Duration, load ownership.Load) {
+// setLoad takes in what is known of the load.
+func (p *placementLimiter) setLoad(warmUp time.Duration, load ownership.Load) {
 	p.warmUp, p.byKey, p.capacity = warmUp, load.ByKey, 0
 	for _, c := range load.Capacity {
 		p.capacity += c
 	}
 }
 
-// admit reports whether the keys may be placed now, and counts them if so.
-func (p *pace) admit(s span, now bootclock.Time) bool {
+// allow reports whether the keys may be placed now, and counts them if so.
+func (p *placementLimiter) allow(s span, now bootclock.Time) bool {
 	if p.warmUp == 0 || len(p.byKey) == 0 {
 		return true
 	}
--- a/internal/planner/pace_test.go
+++ b/internal/planner/pace_test.go
@@ -13,26 +13,26 @@
 // another owner by then.
 func losing(t *testing.T, n int, d time.Duration) float64 {
 	t.Helper()
-	h, ids := manyOwners(t, 60)
+	h, ids := newHarnessWithOwners(t, 60)
 	h.warmUp = 5 * time.Second
 	h.publish()
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		byKey := make([]float64, ownership.Keys)
+		byKey := make([]float64, ownership.KeySpaceSize)
 		for k := range byKey {
-			byKey[k] = 0.6 * 60 * 12 / ownership.Keys
+			byKey[k] = 0.6 * 60 * 12 / ownership.KeySpaceSize
 		}
 		capacity := map[string]float64{}
 		for _, u := range owners {
 			capacity[u.ID] = 12
 		}
-		return ownership.Load{ByKey: byKey, Capacity: capacity}, 10 * fewestSamples
+		return ownership.Load{ByKey: byKey, Capacity: capacity}, 10 * minSamples
 	}
 	lost := map[string]bool{}
 	for _, id := range ids[:n] {
 		lost[id] = true
 	}
-	before := h.tab
-	h.play(d, func(a Action) error {
+	before := h.table
+	h.simulate(d, func(a Action) error {
 		switch a := a.(type) {
 		case *Grant:
 			if lost[a.Addr] {
@@ -52,7 +52,7 @@
 		}
 		for k := r.From; k <= r.To; k++ {
 			keys++
-			if h.tab.Find(k).Owner != r.Owner {
+			if h.table.Find(k).Owner != r.Owner {
 				moved++
 			}
 		}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -20,30 +20,30 @@
 	Load func(service string, owners []*catalogue.Upstream) (ownership.Load, float64)
 	// Limits shape rebalancing.
 	Limits ownership.Limits
-	// Note is told of each change of the planner's belief.
-	Note func(Event)
+	// OnEvent is told of each change of the planner's belief.
+	OnEvent func(Event)
 	// Cold reports whether an upstream is in its slow start and bears only so
 	// many requests meanwhile.
 	Cold func(*catalogue.Upstream) bool
 
-	seat     seat
+	lease    plannerLease
 	resigned bool
 	services map[string]*term
-	// past is each service's last term of this process.
-	past      map[string]*term
+	// pastTerms is each service's last term of this process.
+	pastTerms map[string]*term
 	histories map[string]*history
 	// end is where the ownership stream ends, as far as is known; endDoubted
 	// is set while an append or an order has shown that it may end further on.
-	end        int64
-	endDoubted bool
+	end          int64
+	endUncertain bool
 	// plannerSeenAt is when another host was last seen to plan.
 	plannerSeenAt bootclock.Time
-	// arrivals is when each service's upstreams registered.
-	arrivals map[string]arrivals
+	// registrations is when each service's upstreams registered.
+	registrations map[string]registrations
 }
 
-// arrivals is when a service's upstreams were seen to register.
-type arrivals struct {
+// registrations is when a service's upstreams were seen to register.
+type registrations struct {
 	// known is the most that were listed at once; first and last are when the
 	// first of them was seen and when the last.
 	known       int
@@ -59,8 +59,8 @@
 	Cause    string
 	Age      time.Duration
 	Err      error
-	// Untold is how many events of the kind were not told since the last.
-	Untold int
+	// Suppressed is how many events of the kind were not told since the last.
+	Suppressed int
 }
 
 // EventKind names an Event.
@@ -68,37 +68,37 @@
 
 // Kinds of events.
 const (
-	SeatTaken EventKind = iota
-	SeatLost
+	LeaseAcquired EventKind = iota
+	LeaseLost
 	TermStarted
 	TermEnded
 	TableRecorded
 	RecordConflict
 	UpstreamLost
-	GrantRefused
+	GrantRejected
 	ReleaseFailed
 )
 
-type seat struct {
+type plannerLease struct {
 	held    bool
 	takenAt bootclock.Time
 	// member is set from the first proof sent to the end of the membership.
-	member   bool
-	provenAt bootclock.Time
-	joining  bool
+	member    bool
+	renewedAt bootclock.Time
+	joining   bool
 	// joinedAt is when the last proof was answered, nextJoin when the next
 	// is due.
-	joinedAt, nextJoin bootclock.Time
+	joinedAt, nextRenewal bootclock.Time
 }
 
 // New returns a planner that holds no seat.
 func New(opts Options) *Planner {
-	return &Planner{opts: opts, services: map[string]*term{}, past: map[string]*term{}, histories: map[string]*history{}, arrivals: map[string]arrivals{},
-		Limits: ownership.Limits{Trigger: trigger, Settle: settleAt, MaxMoves: maxMoves},
+	return &Planner{opts: opts, services: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
+		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: maxMoves},
 		Load: func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 			return ownership.Load{Capacity: slotsOf(owners)}, 0
 		},
-		Note: func(Event) {}, Cold: func(*catalogue.Upstream) bool { return false }}
+		OnEvent: func(Event) {}, Cold: func(*catalogue.Upstream) bool { return false }}
 }
 
 func slotsOf(ups []*catalogue.Upstream) map[string]float64 {
@@ -109,16 +109,16 @@
 	return out
 }
 
-// StreamEnd tells the planner how far the ownership stream was read.
-func (p *Planner) StreamEnd(end int64) {
+// AdvanceStreamEnd tells the planner how far the ownership stream was read.
+func (p *Planner) AdvanceStreamEnd(end int64) {
 	if end > p.end {
-		p.end, p.endDoubted = end, false
+		p.end, p.endUncertain = end, false
 	}
 }
 
-// Holding reports whether this host may act as the planner now.
-func (p *Planner) Holding(now bootclock.Time) bool {
-	return p.seat.held && now.Sub(p.seat.provenAt) <= p.opts.ViewAge
+// HoldsLease reports whether this host may act as the planner now.
+func (p *Planner) HoldsLease(now bootclock.Time) bool {
+	return p.lease.held && now.Sub(p.lease.renewedAt) <= p.opts.MaxViewAge
 }
 
 // SoleWriter reports whether the ownership stream holds nothing that this host
@@ -127,7 +127,7 @@
 // lost answer only reading tells where the stream ends; without it each
 // further append would be refused.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
-	return p.Holding(now) && !p.resigned && !p.endDoubted && now.Sub(p.seat.provenAt) <= freshSeat
+	return p.HoldsLease(now) && !p.resigned && !p.endUncertain && now.Sub(p.lease.renewedAt) <= maxLeaseAge
 }
 
 // Tick returns the calls to make now.
@@ -138,10 +138,10 @@
 		out = append(out, j)
 	}
 	if p.shouldLeave(now) {
-		p.seat.member = false
-		out = append(out, &Leave{})
+		p.lease.member = false
+		out = append(out, &ReleaseLease{})
 	}
-	if !p.Holding(now) {
+	if !p.HoldsLease(now) {
 		p.endTerms(now)
 		return out
 	}
@@ -163,7 +163,7 @@
 			h = &history{lostAt: map[string]bootclock.Time{}}
 			p.histories[name] = h
 		}
-		h.see(t, now)
+		h.observe(t, now)
 	}
 }
 
@@ -173,8 +173,8 @@
 		return
 	}
 	for _, name := range v.Desired.KeyedServices() {
-		a := p.arrivals[name]
-		n := len(v.Upstreams.Of(name))
+		a := p.registrations[name]
+		n := len(v.Upstreams.ForService(name))
 		if n <= a.known {
 			continue
 		}
@@ -182,27 +182,27 @@
 			a.first = now
 		}
 		a.known, a.last = n, now
-		p.arrivals[name] = a
+		p.registrations[name] = a
 	}
 }
 
 // join returns the next proof of the seat if it is due.
 func (p *Planner) join(now bootclock.Time, v *view.View) Action {
-	if p.resigned || p.seat.joining || now.Before(p.seat.nextJoin) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
+	if p.resigned || p.lease.joining || now.Before(p.lease.nextRenewal) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
 		return nil
 	}
 	if p.plannerSeenAt == 0 || !p.tableDue(now, v) {
 		p.plannerSeenAt = now // a planner may be about to show itself
 	}
-	if !p.opts.Eager && !p.seat.held && now.Sub(p.plannerSeenAt) < patience {
+	if !p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout {
 		return nil
 	}
-	p.seat.joining, p.seat.member = true, true
-	ttl := p.opts.SeatTTL
-	if !p.seat.held {
+	p.lease.joining, p.lease.member = true, true
+	ttl := p.opts.LeaseTTL
+	if !p.lease.held {
 		ttl *= 2
 	}
-	return &Join{TTL: ttl, SentAt: now}
+	return &AcquireLease{TTL: ttl, SentAt: now}
 }
 
 // shouldLeave reports whether this host is a member of the group and has no
@@ -210,10 +210,10 @@
 // A member that merely stops its proofs may be dealt the seat until it lapses,
 // and nobody plans meanwhile: 2.6 s were seen.
 func (p *Planner) shouldLeave(now bootclock.Time) bool {
-	if !p.seat.member || p.seat.joining {
+	if !p.lease.member || p.lease.joining {
 		return false
 	}
-	return p.resigned || (!p.opts.Eager && !p.seat.held && now.Sub(p.plannerSeenAt) < patience)
+	return p.resigned || (!p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout)
 }
 
 // tableDue reports whether a planner would have shown itself by now, if there
@@ -223,57 +223,57 @@
 	if len(v.Tables) > 0 {
 		return true
 	}
-	for _, a := range p.arrivals {
-		if now.Sub(a.first) > settle {
+	for _, a := range p.registrations {
+		if now.Sub(a.first) > minRegistrationWait {
 			return true
 		}
 	}
 	return false
 }
 
-// ShouldGiveWay reports whether this host plans, though it is not eager, and
+// ShouldStepDown reports whether this host plans, though it is not eager, and
 // can give the seat up now. It first plans for giveWayAfter seats' times to
 // live: by then the other weak hosts have seen a planner, their memberships
 // have lapsed, and the seat goes to a strong one.
-func (p *Planner) ShouldGiveWay(now bootclock.Time) bool {
-	long := now.Sub(p.seat.takenAt) > time.Duration(giveWayAfter*float64(p.opts.SeatTTL))
-	return !p.opts.Eager && p.Holding(now) && !p.seat.joining && long
+func (p *Planner) ShouldStepDown(now bootclock.Time) bool {
+	long := now.Sub(p.lease.takenAt) > time.Duration(stepDownAfter*float64(p.opts.LeaseTTL))
+	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.joining && long
 }
 
-// GiveWay ends this host's planning in favour of a stronger one. What it
+// StepDown ends this host's planning in favour of a stronger one. What it
 // granted outlives the change: grants last Hold, the successor renews them
 // within one pause between its proofs of the seat.
-func (p *Planner) GiveWay(now bootclock.Time) {
-	p.Note(Event{Kind: SeatLost, Cause: "a stronger host is there", Age: now.Sub(p.seat.provenAt)})
-	p.seat.held = false
+func (p *Planner) StepDown(now bootclock.Time) {
+	p.OnEvent(Event{Kind: LeaseLost, Cause: "a stronger host is there", Age: now.Sub(p.lease.renewedAt)})
+	p.lease.held = false
 	p.plannerSeenAt = now
 	p.dropTerms()
 }
 
-// JoinDone takes a Join's answer: whether this host holds the seat.
-func (p *Planner) JoinDone(j *Join, held bool, err error, now bootclock.Time) {
-	p.seat.joining = false
-	p.seat.joinedAt = now
-	pause := joinOther
-	if p.seat.held {
-		pause = joinHolder
+// AcquireLeaseDone takes a Join's answer: whether this host holds the seat.
+func (p *Planner) AcquireLeaseDone(j *AcquireLease, held bool, err error, now bootclock.Time) {
+	p.lease.joining = false
+	p.lease.joinedAt = now
+	pause := acquireFraction
+	if p.lease.held {
+		pause = renewFraction
 	}
-	p.seat.nextJoin = now.Add(time.Duration(pause * float64(p.opts.SeatTTL)))
+	p.lease.nextRenewal = now.Add(time.Duration(pause * float64(p.opts.LeaseTTL)))
 	if err != nil {
 		return
 	}
 	switch {
-	case held && !p.seat.held:
-		p.Note(Event{Kind: SeatTaken})
-		p.seat.takenAt = now
-		p.seat.nextJoin = now.Add(time.Duration(joinHolder * float64(p.opts.SeatTTL)))
-	case !held && p.seat.held:
-		p.Note(Event{Kind: SeatLost, Age: now.Sub(p.seat.provenAt)})
+	case held && !p.lease.held:
+		p.OnEvent(Event{Kind: LeaseAcquired})
+		p.lease.takenAt = now
+		p.lease.nextRenewal = now.Add(time.Duration(renewFraction * float64(p.opts.LeaseTTL)))
+	case !held && p.lease.held:
+		p.OnEvent(Event{Kind: LeaseLost, Age: now.Sub(p.lease.renewedAt)})
 		p.dropTerms()
 	}
-	p.seat.held = held
+	p.lease.held = held
 	if held {
-		p.seat.provenAt = j.SentAt
+		p.lease.renewedAt = j.SentAt
 	}
 }
 
@@ -281,7 +281,7 @@
 // term starts with a record of its own.
 func (p *Planner) endTerms(now bootclock.Time) {
 	for name := range p.services {
-		p.Note(Event{Kind: TermEnded, Service: name, Age: now.Sub(p.seat.provenAt)})
+		p.OnEvent(Event{Kind: TermEnded, Service: name, Age: now.Sub(p.lease.renewedAt)})
 	}
 	p.dropTerms()
 }
@@ -291,7 +291,7 @@
 func (p *Planner) dropTerms() {
 	for name, t := range p.services {
 		if t.started {
-			p.past[name] = t
+			p.pastTerms[name] = t
 		}
 	}
 	p.services = map[string]*term{}
@@ -305,7 +305,7 @@
 		p.services[name] = t
 	}
 	t.adopt(v.Tables[name], now)
-	if !t.started && p.resigned || t.standingDown() {
+	if !t.started && p.resigned || t.isSuperseded() {
 		return nil
 	}
 	if !t.started {
@@ -333,28 +333,28 @@
 	}
 	switch {
 	case err == nil:
-		p.StreamEnd(end)
+		p.AdvanceStreamEnd(end)
 		t.appending = nil
-		p.Note(Event{Kind: TableRecorded, Service: t.name, Table: a.Table, Cause: a.Cause})
+		p.OnEvent(Event{Kind: TableRecorded, Service: t.name, Table: a.Table, Cause: a.Cause})
 		return a.Table
 	case errors.Is(err, metastore.ErrConflict):
-		p.endDoubted = true
+		p.endUncertain = true
 		t.appending = nil
-		t.nextAppend = now.Add(retryAppend)
-		p.Note(Event{Kind: RecordConflict, Service: t.name, Err: err})
+		t.nextAppend = now.Add(appendRetryDelay)
+		p.OnEvent(Event{Kind: RecordConflict, Service: t.name, Err: err})
 	default:
 		// The record may be written yet, so the same one is sent again
 		// until the log says which.
-		p.endDoubted = true
-		t.nextAppend = now.Add(retryAppend)
-		t.resend = true
+		p.endUncertain = true
+		t.nextAppend = now.Add(appendRetryDelay)
+		t.appendRetryDue = true
 	}
 	return nil
 }
 
 // GrantDone takes a Grant's result.
 func (p *Planner) GrantDone(g *Grant, err error, now bootclock.Time) {
-	g.holder.done(g, err, now)
+	g.server.recordResult(g, err, now)
 	if t := p.services[g.Service]; t != nil {
 		t.grantDone(g, err, now)
 	}
@@ -379,16 +379,16 @@
 // PlannerSeen tells that another host plans.
 func (p *Planner) PlannerSeen(now bootclock.Time) { p.plannerSeenAt = now }
 
-// LogRegained tells that the log service was lost to this host and is back.
+// LogReconnected tells that the log service was lost to this host and is back.
 // That it saw no planner meanwhile says nothing.
-func (p *Planner) LogRegained(now bootclock.Time) { p.plannerSeenAt = now }
+func (p *Planner) LogReconnected(now bootclock.Time) { p.plannerSeenAt = now }
 
 // PlannerLost tells that the planner did not answer or is none any more. The
 // seat may be this host's already, which only its next proof tells it: the
 // group deals seats anew whenever a member joins or leaves.
 func (p *Planner) PlannerLost() {
-	if soon := p.seat.joinedAt.Add(joinHurried); !p.seat.held && soon.Before(p.seat.nextJoin) {
-		p.seat.nextJoin = soon
+	if soon := p.lease.joinedAt.Add(minAcquireInterval); !p.lease.held && soon.Before(p.lease.nextRenewal) {
+		p.lease.nextRenewal = soon
 	}
 }
 
--- a/internal/planner/plays_test.go
+++ b/internal/planner/plays_test.go
@@ -12,10 +12,10 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-var testOptions = Options{Eager: true, Hold: 3 * time.Second, ViewAge: 6 * time.Second, SeatTTL: 1200 * time.Millisecond}
+var testOptions = Options{Candidate: true, GrantTTL: 3 * time.Second, MaxViewAge: 6 * time.Second, LeaseTTL: 1200 * time.Millisecond}
 
 var allFaults = faults{orderLost: 0.05, orderLate: 0.05, mute: 0.05, orderCut: 0.01, appendLost: 0.1, appendLate: 0.1, storeCut: 0.05,
-	reseat: 0.1, freeze: 0.03, crash: 0.01, restart: 0.02, leave: 0.02, hostRestart: 0.03}
+	leaseChange: 0.1, freeze: 0.03, crash: 0.01, restart: 0.02, leave: 0.02, hostRestart: 0.03}
 
 // Callers of one key must never reach two upstreams that both believe they
 // own it. Three hosts plan in turn while orders and records get lost or take
@@ -32,7 +32,7 @@
 	params.Workers = 4
 	p := gopter.NewProperties(params)
 	p.Property("one owner a key", prop.ForAll(func(seed uint64) (string, error) {
-		s := newSim(seed, allFaults, testOptions)
+		s := newSimulation(seed, allFaults, testOptions)
 		if err := s.run(60 * time.Second); err != nil {
 			return err.Error(), nil
 		}
@@ -46,7 +46,7 @@
 // that its successors take for lost, and goes on sending to them for as long
 // as it may.
 func TestNoKeyHasTwoOwnersWhilePlannersAreCutOff(t *testing.T) {
-	cuts := faults{orderLost: 0.02, appendLost: 0.02, orderCut: 0.25, storeCut: 0.2, reseat: 0.5, freeze: 0.02}
+	cuts := faults{orderLost: 0.02, appendLost: 0.02, orderCut: 0.25, storeCut: 0.2, leaseChange: 0.5, freeze: 0.02}
 	seeds := uint64(120)
 	if testing.Short() {
 		seeds = 10
@@ -54,7 +54,7 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			if err := newSim(seed, cuts, testOptions).run(40 * time.Second); err != nil {
+			if err := newSimulation(seed, cuts, testOptions).run(40 * time.Second); err != nil {
 				t.Error(err)
 			}
 		})
@@ -64,7 +64,7 @@
 // Planners that were cut off from the log go on renewing, while upstreams end
 // and start again under their IDs at any moment of a move: a restarted one has
 // forgotten that it refused the cut-off planner's tokens.
-var restartFaults = faults{orderLost: 0.02, orderLate: 0.02, appendLost: 0.02, orderCut: 0.05, storeCut: 0.25, reseat: 0.3, freeze: 0.05, restart: 0.15}
+var restartFaults = faults{orderLost: 0.02, orderLate: 0.02, appendLost: 0.02, orderCut: 0.05, storeCut: 0.25, leaseChange: 0.3, freeze: 0.05, restart: 0.15}
 
 func TestNoKeyHasTwoOwnersWhileUpstreamsRestart(t *testing.T) {
 	seeds := uint64(40)
@@ -74,7 +74,7 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			if err := newSim(seed, restartFaults, testOptions).run(40 * time.Second); err != nil {
+			if err := newSimulation(seed, restartFaults, testOptions).run(40 * time.Second); err != nil {
 				t.Error(err)
 			}
 		})
@@ -89,13 +89,13 @@
 // open connections for grants at any time, it does.
 func TestRestartedUpstreamGetsNoGrantOfAReplacedPlanner(t *testing.T) {
 	play := func(keepsOpen bool) error {
-		s := newSim(1, faults{}, testOptions)
-		s.keepsOpen, s.steady = keepsOpen, true
+		s := newSimulation(1, faults{}, testOptions)
+		s.allowDials, s.steadyLoad = keepsOpen, true
 		if err := s.run(5 * time.Second); err != nil {
 			return err
 		}
 		first := s.planner()
-		first.frozenUntil, first.cutUntil = s.now.Add(4500*time.Millisecond), s.now.Add(6500*time.Millisecond)
+		first.frozenUntil, first.logCutUntil = s.now.Add(4500*time.Millisecond), s.now.Add(6500*time.Millisecond)
 		if err := s.run(2500 * time.Millisecond); err != nil {
 			return err
 		}
@@ -117,8 +117,8 @@
 			t.Fatal("the range has not moved")
 		}
 		old := s.upstream(moved.Owner)
-		old.life++
-		old.holds, old.seen = nil, nil
+		old.incarnation++
+		old.grants, old.tokensSeen = nil, nil
 		return s.run(2 * time.Second)
 	}
 	if err := play(false); err != nil {
@@ -130,9 +130,9 @@
 }
 
 // planner returns the host that holds the seat.
-func (s *sim) planner() *simHost {
+func (s *simulation) planner() *simHost {
 	for _, h := range s.hosts {
-		if h.name == s.seatHolder && s.now.Before(s.seatUntil) {
+		if h.name == s.leaseHolder && s.now.Before(s.leaseUntil) {
 			return h
 		}
 	}
@@ -142,11 +142,11 @@
 // Without faults the play must be a real one: keys get owners, grants are
 // kept up, and load moves keys.
 func TestCalmPlayGivesEveryKeyAnOwner(t *testing.T) {
-	s := newSim(1, faults{}, testOptions)
+	s := newSimulation(1, faults{}, testOptions)
 	if err := s.run(20 * time.Second); err != nil {
 		t.Fatal(err)
 	}
-	s.steady = true
+	s.steadyLoad = true
 	if err := s.run(5 * time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -155,12 +155,12 @@
 	}
 	covered := 0
 	for _, u := range s.ups {
-		for _, h := range u.holds {
+		for _, h := range u.grants {
 			covered += h.to - h.from + 1
 		}
 	}
-	if covered != ownership.Keys {
-		t.Fatalf("%d of %d keys are held", covered, ownership.Keys)
+	if covered != ownership.KeySpaceSize {
+		t.Fatalf("%d of %d keys are held", covered, ownership.KeySpaceSize)
 	}
 }
 
@@ -168,8 +168,8 @@
 // as they are told are given successors too soon, and some seed shows it.
 func TestOracleNoticesMovesThatComeTooSoon(t *testing.T) {
 	for seed := range uint64(40) {
-		s := newSim(seed, allFaults, testOptions)
-		s.overstay = 3
+		s := newSimulation(seed, allFaults, testOptions)
+		s.overstayFactor = 3
 		if s.run(60*time.Second) != nil {
 			return
 		}
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -15,48 +15,48 @@
 	if m.old.Owner == "" {
 		return true
 	}
-	if m.release == nil && catalogue.Succeeds(m.dest, m.old.Owner) {
+	if m.release == nil && catalogue.IsLaterIncarnation(m.dest, m.old.Owner) {
 		return true
 	}
-	bound := t.p.opts.holdBound()
-	h := t.holder(m.old.Owner)
-	if h.inFlight > 0 || m.release != nil || now.Before(m.silentUntil) {
+	bound := t.p.opts.maxGrantTTL()
+	h := t.server(m.old.Owner)
+	if h.inFlight > 0 || m.release != nil || now.Before(m.relistUntil) {
 		return false
 	}
-	if m.old.Fence <= t.startFence && !t.foreignOver(m, now) {
+	if m.old.FencingToken <= t.firstFencingToken && !t.foreignOver(m, now) {
 		return false
 	}
 	if h.unanswered && now.Sub(h.unansweredAt) <= bound {
 		return false
 	}
-	return m.released || !h.sentAny || now.Sub(h.mayHoldFrom) > bound
+	return m.released || !h.sentAny || now.Sub(h.maybeGrantedAt) > bound
 }
 
 // foreignOver reports whether no grant of an earlier planner can keep the
 // move's keys at their old owner.
 func (t *term) foreignOver(m *move, now bootclock.Time) bool {
-	bound := t.p.opts.holdBound()
-	if now.Sub(t.foreign.lastTo(m.old.Owner)) > bound {
+	bound := t.p.opts.maxGrantTTL()
+	if now.Sub(t.previousGrants.grantsUntilFor(m.old.Owner)) > bound {
 		return true
 	}
-	h := t.holder(m.old.Owner)
-	if h.life != m.old.Owner || !h.sawThisTerm(m.span) {
+	h := t.server(m.old.Owner)
+	if h.incarnation != m.old.Owner || !h.acknowledgedTerm(m.span) {
 		return false
 	}
-	return m.released || now.Sub(t.foreign.dialsUntil()) > bound
+	return m.released || now.Sub(t.previousGrants.dialsUntil()) > bound
 }
 
 // mayRelease reports whether a release now would end what earlier planners
 // granted too: none of their grants reaches a later life of the owner's server
 // after it.
 func (t *term) mayRelease(m *move, now bootclock.Time) bool {
-	return m.old.Fence > t.startFence || now.Sub(t.foreign.dialsUntil()) > arrival
+	return m.old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
 }
 
 // record returns the append of the moves that are ready, if any.
 func (t *term) record(now bootclock.Time) Action {
 	if t.appending != nil {
-		if again := t.sendAgain(now); len(again) > 0 {
+		if again := t.retryAppend(now); len(again) > 0 {
 			return again[0]
 		}
 		return nil
@@ -67,17 +67,17 @@
 	var ready []ownership.Move
 	cause, urgent := "", false
 	for _, m := range t.moves {
-		if !t.free(m, now) || (m.unreleased() && !t.pace.admit(m.span, now)) {
+		if !t.free(m, now) || (m.lacksHandover() && !t.limiter.allow(m.span, now)) {
 			continue
 		}
-		if u := t.ups[m.dest]; u == nil || t.closed(u) || t.shunned(m.dest, now) {
+		if u := t.ups[m.dest]; u == nil || t.ineligible(u) || t.excluded(m.dest, now) {
 			t.redirect(m, now)
 		}
-		ready = append(ready, ownership.Move{From: m.from, To: m.to, NewOwner: m.dest, Handover: m.handover})
+		ready = append(ready, ownership.Move{From: m.from, To: m.to, NewOwner: m.dest, HandoverToken: m.handover})
 		cause = m.cause
 		urgent = urgent || m.cause != causeLoad
 	}
-	if len(ready) > 0 && !urgent && now.Sub(t.recordedAt) < gatherMoves {
+	if len(ready) > 0 && !urgent && now.Sub(t.recordedAt) < loadRecordInterval {
 		return nil
 	}
 	next := t.table
@@ -92,8 +92,8 @@
 		return nil
 	}
 	next.Cause = cause
-	next.Earlier = t.earlier(now)
-	t.appending = &Append{Table: next, At: t.p.end, Cause: cause}
+	next.PreviousPlanners = t.activePreviousPlanners(now)
+	t.appending = &Append{Table: next, ExpectedOffset: t.p.end, Cause: cause}
 	t.recordedAt = now
 	return t.appending
 }
@@ -104,7 +104,7 @@
 func (t *term) lostOwners(table *ownership.Table) []string {
 	var out []string
 	for _, r := range table.Ranges {
-		h := t.holder(r.Owner)
+		h := t.server(r.Owner)
 		silent := t.ups[r.Owner] == nil || h.lost
 		if r.Owner != "" && silent && h.inFlight == 0 {
 			out = append(out, r.Owner)
@@ -122,7 +122,7 @@
 		keys[r.Owner] += r.To - r.From + 1
 	}
 	m.dest = ""
-	for _, u := range t.candidates(now) {
+	for _, u := range t.eligibleOwners(now) {
 		if m.dest == "" || keys[u.ID] < keys[m.dest] || (keys[u.ID] == keys[m.dest] && u.ID < m.dest) {
 			m.dest = u.ID
 		}
@@ -131,5 +131,5 @@
 
 // dropFinishedMoves forgets the moves that the table in force contains.
 func (t *term) dropFinishedMoves() {
-	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return t.table.Find(m.from).Fence > m.old.Fence })
+	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return t.table.Find(m.from).FencingToken > m.old.FencingToken })
 }
--- a/internal/planner/seat_test.go
+++ b/internal/planner/seat_test.go
@@ -16,18 +16,18 @@
 // give to anybody.
 func TestResignedPlannerKeepsGrantsUp(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(3*time.Second, allWell)
+	h.simulate(3*time.Second, succeedAll)
 	h.p.Resign()
 	gone := *h.ups["a"]
 	gone.Leaving = true
 	h.ups["a"] = &gone
 	h.publish()
 	grants := 0
-	for _, a := range h.play(2*testOptions.Hold/renewals, allWell) {
+	for _, a := range h.simulate(2*testOptions.GrantTTL/renewalsPerTTL, succeedAll) {
 		switch a.(type) {
 		case *Grant:
 			grants++
-		case *Join, *Release, *Append:
+		case *AcquireLease, *Release, *Append:
 			t.Fatalf("a resigned planner sends %T", a)
 		}
 	}
@@ -41,7 +41,7 @@
 // later change of ownership would be refused too.
 func TestPlannerReadsTheStreamAfterALostAnswer(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(3*time.Second, allWell)
+	h.simulate(3*time.Second, succeedAll)
 	if !h.p.SoleWriter(h.now) {
 		t.Fatal("a calm planner reads what only it writes")
 	}
@@ -49,7 +49,7 @@
 	gone.Leaving = true
 	h.ups["a"] = &gone
 	h.publish()
-	h.play(500*time.Millisecond, func(a Action) error {
+	h.simulate(500*time.Millisecond, func(a Action) error {
 		if _, ok := a.(*Append); ok {
 			return metastore.ErrNoAnswer
 		}
@@ -58,7 +58,7 @@
 	if h.p.SoleWriter(h.now) {
 		t.Error("after a lost answer the stream is not read")
 	}
-	h.p.StreamEnd(h.end + 1)
+	h.p.AdvanceStreamEnd(h.end + 1)
 	if !h.p.SoleWriter(h.now) {
 		t.Error("the stream is still read once its end is known")
 	}
@@ -71,7 +71,7 @@
 func TestGrantsThatEndBetweenTermsAreAccountedFor(t *testing.T) {
 	for _, result := range []error{nil, ownership.ErrNotSent, ownership.ErrNoAnswer} {
 		h := newHarness(t, "a", "b")
-		h.play(3*time.Second, allWell)
+		h.simulate(3*time.Second, succeedAll)
 		var underWay []*Grant
 		for len(underWay) == 0 {
 			for _, a := range h.p.Tick(h.now, h.v.Load()) {
@@ -79,19 +79,19 @@
 					underWay = append(underWay, g)
 					continue
 				}
-				h.answer(a, nil)
+				h.complete(a, nil)
 			}
 			h.now = h.now.Add(simStep)
 		}
-		h.p.JoinDone(&Join{SentAt: h.now}, false, nil, h.now)
+		h.p.AcquireLeaseDone(&AcquireLease{SentAt: h.now}, false, nil, h.now)
 		for _, g := range underWay {
 			h.p.GrantDone(g, result, h.now)
 		}
-		if !h.p.Retired(simService, h.tab.Term+1, h.now) {
+		if !h.p.Retire(simService, h.table.Term+1, h.now) {
 			t.Errorf("result %v: a grant still counts as under way", result)
 		}
-		h.play(2*time.Second, allWell)
-		h.untilMoved(deadA)
+		h.simulate(2*time.Second, succeedAll)
+		h.simulateUntilMoved(upstreamADown)
 	}
 }
 
@@ -99,15 +99,15 @@
 // and takes it once none is seen any more.
 func TestWeakHostPlansOnlyIfNobodyElseDoes(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.p.opts.Eager = false
+	h.p.opts.Candidate = false
 	for range 50 {
 		h.p.PlannerSeen(h.now)
-		if got := h.play(100*time.Millisecond, allWell); len(got) > 0 {
+		if got := h.simulate(100*time.Millisecond, succeedAll); len(got) > 0 {
 			t.Fatalf("sends %T though another host plans", got[0])
 		}
 	}
-	h.play(patience+5*time.Second, allWell)
-	if h.tab == nil || !owns(h.tab, "a") {
+	h.simulate(noPlannerTimeout+5*time.Second, succeedAll)
+	if h.table == nil || !owns(h.table, "a") {
 		t.Error("nobody plans")
 	}
 }
@@ -117,17 +117,17 @@
 // and plan for everybody.
 func TestWeakHostWaitsWhileTheFleetStarts(t *testing.T) {
 	h := newHarness(t)
-	h.p.opts.Eager = false
-	if got := h.play(2*patience, allWell); len(got) > 0 {
+	h.p.opts.Candidate = false
+	if got := h.simulate(2*noPlannerTimeout, succeedAll); len(got) > 0 {
 		t.Fatalf("sends %T though no upstream is there to plan for", got[0])
 	}
 	h.ups["a"] = &catalogue.Upstream{ID: "a", Service: simService, Addr: "a", Slots: 3}
 	h.publish()
-	if got := h.play(patience+settle-simStep, allWell); len(got) > 0 {
+	if got := h.simulate(noPlannerTimeout+minRegistrationWait-simStep, succeedAll); len(got) > 0 {
 		t.Fatalf("sends %T before a planner could have shown itself", got[0])
 	}
-	h.play(patience, allWell)
-	if h.tab == nil || !owns(h.tab, "a") {
+	h.simulate(noPlannerTimeout, succeedAll)
+	if h.table == nil || !owns(h.table, "a") {
 		t.Error("nobody plans")
 	}
 }
@@ -138,34 +138,34 @@
 // with a term every half a second. If nobody takes it, it plans again.
 func TestWeakPlannerGivesWay(t *testing.T) {
 	h := newHarness(t, "a")
-	h.p.opts.Eager = false
-	for !h.p.Holding(h.now) {
-		h.play(simStep, allWell)
+	h.p.opts.Candidate = false
+	for !h.p.HoldsLease(h.now) {
+		h.simulate(simStep, succeedAll)
 	}
-	for taken := h.now; h.now.Sub(taken) < 2*testOptions.SeatTTL; h.play(simStep, allWell) {
-		if h.p.ShouldGiveWay(h.now) {
+	for taken := h.now; h.now.Sub(taken) < 2*testOptions.LeaseTTL; h.simulate(simStep, succeedAll) {
+		if h.p.ShouldStepDown(h.now) {
 			t.Fatalf("gives way after %v", h.now.Sub(taken))
 		}
 	}
-	h.play(time.Second, allWell)
-	if !h.p.ShouldGiveWay(h.now) {
+	h.simulate(time.Second, succeedAll)
+	if !h.p.ShouldStepDown(h.now) {
 		t.Fatal("does not give way")
 	}
-	h.p.GiveWay(h.now)
-	got := h.play(patience-simStep, allWell)
+	h.p.StepDown(h.now)
+	got := h.simulate(noPlannerTimeout-simStep, succeedAll)
 	if len(got) != 1 {
 		t.Fatalf("sends %v, want the end of its membership", got)
 	}
-	if _, ok := got[0].(*Leave); !ok {
+	if _, ok := got[0].(*ReleaseLease); !ok {
 		t.Fatalf("sends %T, want the end of its membership", got[0])
 	}
-	h.play(patience, allWell)
-	if !h.p.Holding(h.now) {
+	h.simulate(noPlannerTimeout, succeedAll)
+	if !h.p.HoldsLease(h.now) {
 		t.Error("nobody plans")
 	}
-	h.p.opts.Eager = true
-	h.play(5*time.Second, allWell)
-	if h.p.ShouldGiveWay(h.now) {
+	h.p.opts.Candidate = true
+	h.simulate(5*time.Second, succeedAll)
+	if h.p.ShouldStepDown(h.now) {
 		t.Error("a strong planner gives way")
 	}
 }
@@ -175,23 +175,23 @@
 // its membership lapses, and nobody plans meanwhile.
 func TestWeakHostLeavesTheGroupOnceItSeesThePlanner(t *testing.T) {
 	h := newHarness(t, "a")
-	h.p.opts.Eager = false
+	h.p.opts.Candidate = false
 	sought := false
 	for !sought {
 		for _, a := range h.p.Tick(h.now, h.v.Load()) {
-			if j, ok := a.(*Join); ok {
+			if j, ok := a.(*AcquireLease); ok {
 				sought = true
-				h.p.JoinDone(j, false, nil, h.now)
+				h.p.AcquireLeaseDone(j, false, nil, h.now)
 			}
 		}
 		h.now = h.now.Add(simStep)
 	}
 	h.p.PlannerSeen(h.now)
-	got := h.play(patience/2, allWell)
+	got := h.simulate(noPlannerTimeout/2, succeedAll)
 	if len(got) != 1 {
 		t.Fatalf("sends %v, want the end of its membership", got)
 	}
-	if _, ok := got[0].(*Leave); !ok {
+	if _, ok := got[0].(*ReleaseLease); !ok {
 		t.Errorf("sends %T, want the end of its membership", got[0])
 	}
 }
@@ -201,12 +201,12 @@
 // seat, which would take it from the planner.
 func TestWeakHostLooksForThePlannerAfterACut(t *testing.T) {
 	h := newHarness(t, "a")
-	h.p.opts.Eager = false
+	h.p.opts.Candidate = false
 	h.p.PlannerSeen(h.now)
-	h.play(10*time.Second, func(Action) error { return metastore.ErrNoAnswer })
-	h.p.LogRegained(h.now)
-	for _, a := range h.play(patience/2, allWell) {
-		if _, ok := a.(*Join); ok {
+	h.simulate(10*time.Second, func(Action) error { return metastore.ErrNoAnswer })
+	h.p.LogReconnected(h.now)
+	for _, a := range h.simulate(noPlannerTimeout/2, succeedAll) {
+		if _, ok := a.(*AcquireLease); ok {
 			t.Fatal("seeks the seat right after the cut")
 		}
 	}
@@ -217,13 +217,13 @@
 // proof come soon; without it keys would be planned for by nobody the longer.
 func TestLostPlannerIsReplacedSoon(t *testing.T) {
 	h := newHarness(t, "a")
-	h.play(simStep, func(Action) error { return metastore.ErrRefused })
-	if got := h.play(joinHurried+simStep, allWell); len(got) > 0 {
+	h.simulate(simStep, func(Action) error { return metastore.ErrRejected })
+	if got := h.simulate(minAcquireInterval+simStep, succeedAll); len(got) > 0 {
 		t.Fatalf("sends %T while the planner is well", got[0])
 	}
 	h.p.PlannerLost()
-	h.play(simStep, allWell)
-	if !h.p.Holding(h.now) {
+	h.simulate(simStep, succeedAll)
+	if !h.p.HoldsLease(h.now) {
 		t.Error("the seat is not sought")
 	}
 }
@@ -235,23 +235,23 @@
 // keys of lost upstreams would wait for what either may have sent.
 func TestStaleProofOfTheSeatStartsNoTerm(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(10*time.Second, allWell)
+	h.simulate(10*time.Second, succeedAll)
 	cut := func(a Action) error {
-		if _, ok := a.(*Join); ok {
+		if _, ok := a.(*AcquireLease); ok {
 			return metastore.ErrNoAnswer
 		}
 		return nil
 	}
-	h.play(5*time.Second, cut)
-	h.tab = h.foreignTable()
+	h.simulate(5*time.Second, cut)
+	h.table = h.tableOfOtherPlanner()
 	h.publish()
-	for _, a := range h.play(500*time.Millisecond, cut) {
+	for _, a := range h.simulate(500*time.Millisecond, cut) {
 		if ap, ok := a.(*Append); ok {
 			t.Fatalf("records term %d on a proof of the seat from before the other planner's term", ap.Table.Term)
 		}
 	}
-	h.play(500*time.Millisecond, allWell)
-	if h.tab.Planner != "me" {
+	h.simulate(500*time.Millisecond, succeedAll)
+	if h.table.Planner != "me" {
 		t.Error("does not take over once the seat is proved again")
 	}
 }
@@ -262,17 +262,17 @@
 // lost, all keys would stand without an owner once it plans again.
 func TestRefusedOrdersMakeThePlannerReadTheStream(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(10*time.Second, allWell)
+	h.simulate(10*time.Second, succeedAll)
 	if !h.p.SoleWriter(h.now) {
 		t.Fatal("a planner in peace reads the stream")
 	}
 	lost := 0
-	h.p.Note = func(e Event) {
+	h.p.OnEvent = func(e Event) {
 		if e.Kind == UpstreamLost {
 			lost++
 		}
 	}
-	h.play(4*time.Second, func(a Action) error {
+	h.simulate(4*time.Second, func(a Action) error {
 		if _, ok := a.(*Grant); ok {
 			return ownership.ErrFenced
 		}
@@ -291,15 +291,15 @@
 // to register; the first one alone must not get them all.
 func TestFirstRecordComesBeforeTheDivision(t *testing.T) {
 	h := newHarness(t, "a")
-	h.play(settle/2, allWell)
-	if h.tab == nil || owns(h.tab, "a") {
-		t.Fatalf("after half the time to register the table is %+v", h.tab)
+	h.simulate(minRegistrationWait/2, succeedAll)
+	if h.table == nil || owns(h.table, "a") {
+		t.Fatalf("after half the time to register the table is %+v", h.table)
 	}
 	h.ups["b"] = &catalogue.Upstream{ID: "b", Service: simService, Addr: "b", Slots: 3}
 	h.publish()
-	h.play(settle, allWell)
-	if !owns(h.tab, "a") || !owns(h.tab, "b") || owns(h.tab, "") {
-		t.Errorf("the keys are not divided among both: %+v", h.tab.Ranges)
+	h.simulate(minRegistrationWait, succeedAll)
+	if !owns(h.table, "a") || !owns(h.table, "b") || owns(h.table, "") {
+		t.Errorf("the keys are not divided among both: %+v", h.table.Ranges)
 	}
 }
 
@@ -308,17 +308,17 @@
 // others own nothing, so the division waits until no more come.
 func TestFirstDivisionWaitsForAllUpstreamsOfALargeFleet(t *testing.T) {
 	h := newHarness(t)
-	h.play(settleQuiet, allWell)
+	h.simulate(registrationQuiet, succeedAll)
 	const arriving = 20
 	for i := range arriving {
 		id := fmt.Sprintf("u%02d", i)
 		h.ups[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
 		h.publish()
-		h.play(100*time.Millisecond, allWell)
+		h.simulate(100*time.Millisecond, succeedAll)
 	}
-	h.play(settle, allWell)
+	h.simulate(minRegistrationWait, succeedAll)
 	for id := range h.ups {
-		if !owns(h.tab, id) {
+		if !owns(h.table, id) {
 			t.Errorf("%s owns nothing", id)
 		}
 	}
@@ -328,13 +328,13 @@
 // same: the keys are divided among those that are there after settleMost.
 func TestFirstDivisionDoesNotWaitForever(t *testing.T) {
 	h := newHarness(t)
-	for at := time.Duration(0); at < settleMost+settleQuiet; at += settleQuiet / 2 {
+	for at := time.Duration(0); at < maxRegistrationWait+registrationQuiet; at += registrationQuiet / 2 {
 		id := fmt.Sprint("u", at)
 		h.ups[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
 		h.publish()
-		h.play(settleQuiet/2, allWell)
+		h.simulate(registrationQuiet/2, succeedAll)
 	}
-	if h.tab == nil || owns(h.tab, "") {
+	if h.table == nil || owns(h.table, "") {
 		t.Error("the keys are not divided while upstreams still come")
 	}
 }
@@ -344,19 +344,19 @@
 // refused, hundreds a second, until its own view ends.
 func TestSupersededPlannerSendsNoOrders(t *testing.T) {
 	h := newHarness(t, "a", "b")
-	h.play(3*time.Second, allWell)
+	h.simulate(3*time.Second, succeedAll)
 	cut := func(a Action) error {
 		switch a.(type) {
-		case *Join:
-			return metastore.ErrRefused
+		case *AcquireLease:
+			return metastore.ErrRejected
 		case *Grant:
 			return ownership.ErrFenced
 		}
 		return nil
 	}
 	told := bootclock.Time(0)
-	h.play(2*time.Second, func(a Action) error {
-		if _, ok := a.(*Join); !ok && told != 0 && told != h.now {
+	h.simulate(2*time.Second, func(a Action) error {
+		if _, ok := a.(*AcquireLease); !ok && told != 0 && told != h.now {
 			t.Errorf("%v after it was told, the superseded planner sends %T", h.now.Sub(told), a)
 		}
 		err := cut(a)
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -14,10 +14,10 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// sim plays several hosts' planners against one log and a set of upstreams in
+// simulation plays several hosts' planners against one log and a set of upstreams in
 // virtual time, with faults drawn from a seed. After every step it checks
 // that no key is held by two upstreams that are up.
-type sim struct {
+type simulation struct {
 	rng   *rand.Rand
 	now   bootclock.Time
 	start time.Time
@@ -26,18 +26,18 @@
 	ups   []*simUpstream
 	log   []*ownership.Table
 	// seat is the group's state.
-	seatHolder string
-	seatUntil  bootclock.Time
+	leaseHolder string
+	leaseUntil  bootclock.Time
 
 	opts   Options
 	faults faults
 	byKey  []float64
-	// steady keeps the load as it is.
-	steady bool
-	// keepsOpen makes hosts open connections for grants whenever they like.
-	keepsOpen bool
-	// overstay is how much longer than told upstreams hold, as a factor.
-	overstay float64
+	// steadyLoad keeps the load as it is.
+	steadyLoad bool
+	// allowDials makes hosts open connections for grants whenever they like.
+	allowDials bool
+	// overstayFactor is how much longer than told upstreams hold, as a factor.
+	overstayFactor float64
 	// granted is set by each grant that an upstream takes.
 	granted bool
 }
@@ -48,19 +48,19 @@
 }
 
 type simHost struct {
-	name        string
-	p           *Planner
-	v           *view.Holder
-	read        int // records of the log seen
-	frozenUntil bootclock.Time
-	cutUntil    bootclock.Time // from the log
-	noWay       map[string]bootclock.Time
+	name             string
+	p                *Planner
+	v                *view.Publisher
+	read             int // records of the log seen
+	frozenUntil      bootclock.Time
+	logCutUntil      bootclock.Time // from the log
+	unreachableUntil map[string]bootclock.Time
 	// kept are the lives of upstreams to which a connection is open.
 	kept map[string]int
 	life int
 }
 
-type hold struct {
+type simGrant struct {
 	from, to int
 	fence    int64
 	until    bootclock.Time
@@ -71,40 +71,40 @@
 	up      bool
 	listed  bool
 	leaving bool
-	// life counts its starts. Each forgets the holds and tokens of the one
+	// incarnation counts its starts. Each forgets the holds and tokens of the one
 	// before.
-	life int
+	incarnation int
 	// muteUntil is until when most of its answers are lost.
-	muteUntil bootclock.Time
-	holds     []hold
-	seen      []hold // highest token seen, by run of keys
+	muteUntil  bootclock.Time
+	grants     []simGrant
+	tokensSeen []simGrant // highest token seen, by run of keys
 }
 
 const simService = "svc"
 
-func newSim(seed uint64, f faults, opts Options) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 17)), now: bootclock.Time(time.Hour), start: time.Unix(1000, 0), opts: opts, faults: f,
-		byKey: make([]float64, ownership.Keys), overstay: 1}
+func newSimulation(seed uint64, f faults, opts Options) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 17)), now: bootclock.Time(time.Hour), start: time.Unix(1000, 0), opts: opts, faults: f,
+		byKey: make([]float64, ownership.KeySpaceSize), overstayFactor: 1}
 	for i := range 6 {
 		s.addUpstream(fmt.Sprintf("u%d", i))
 	}
 	for i := range 3 {
-		h := &simHost{name: fmt.Sprintf("h%d", i), noWay: map[string]bootclock.Time{}, kept: map[string]int{}}
+		h := &simHost{name: fmt.Sprintf("h%d", i), unreachableUntil: map[string]bootclock.Time{}, kept: map[string]int{}}
 		s.hosts = append(s.hosts, h)
 		s.restart(h)
 	}
 	return s
 }
 
-func (s *sim) addUpstream(id string) {
+func (s *simulation) addUpstream(id string) {
 	s.ups = append(s.ups, &simUpstream{id: id, up: true, listed: true})
 }
 
 // restart gives the host a planner that knows nothing.
-func (s *sim) restart(h *simHost) {
+func (s *simulation) restart(h *simHost) {
 	h.life++
 	h.read = 0
-	h.v = view.NewHolder()
+	h.v = view.NewPublisher()
 	opts := s.opts
 	opts.Host, opts.PeerAddr = h.name, h.name+":1"
 	h.p = New(opts)
@@ -116,7 +116,7 @@
 	})
 }
 
-func (s *sim) after(d time.Duration, do func()) {
+func (s *simulation) after(d time.Duration, do func()) {
 	at := s.now.Add(d)
 	i, _ := slices.BinarySearchFunc(s.queue, at, func(e event, at bootclock.Time) int {
 		if e.at <= at {
@@ -127,18 +127,18 @@
 	s.queue = slices.Insert(s.queue, i, event{at, do})
 }
 
-func (s *sim) chance(perSecond float64, step time.Duration) bool {
+func (s *simulation) chance(perSecond float64, step time.Duration) bool {
 	return s.rng.Float64() < perSecond*step.Seconds()
 }
 
-func (s *sim) between(lo, hi time.Duration) time.Duration {
+func (s *simulation) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(s.rng.Int64N(int64(hi-lo)))
 }
 
 const simStep = 20 * time.Millisecond
 
 // run plays for d and returns the first breach of ownership.
-func (s *sim) run(d time.Duration) error {
+func (s *simulation) run(d time.Duration) error {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simStep) {
 		for len(s.queue) > 0 && s.queue[0].at <= s.now {
 			do := s.queue[0].do
@@ -148,11 +148,11 @@
 				continue // without a new grant no key gets a second holder
 			}
 			s.granted = false
-			if err := s.check(); err != nil {
+			if err := s.checkExclusive(); err != nil {
 				return err
 			}
 		}
-		s.strike()
+		s.injectFaults()
 		for _, h := range s.hosts {
 			s.tickHost(h)
 		}
@@ -160,11 +160,11 @@
 	return nil
 }
 
-func (s *sim) tickHost(h *simHost) {
+func (s *simulation) tickHost(h *simHost) {
 	if s.now.Before(h.frozenUntil) {
 		return
 	}
-	if !s.now.Before(h.cutUntil) {
+	if !s.now.Before(h.logCutUntil) {
 		s.follow(h)
 	}
 	for _, a := range h.p.Tick(s.now, h.v.Load()) {
@@ -173,11 +173,11 @@
 }
 
 // follow brings the host's view up to date.
-func (s *sim) follow(h *simHost) {
+func (s *simulation) follow(h *simHost) {
 	all := map[string]*catalogue.Upstream{}
 	for _, u := range s.ups {
 		if u.listed {
-			id := catalogue.LifeID(u.id, int64(u.life))
+			id := catalogue.IncarnationID(u.id, int64(u.incarnation))
 			all[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: u.id, Slots: 3, Leaving: u.leaving}
 		}
 	}
@@ -185,19 +185,19 @@
 	if len(s.log) > 0 {
 		tables[simService] = s.log[len(s.log)-1]
 	}
-	h.p.StreamEnd(int64(len(s.log)))
+	h.p.AdvanceStreamEnd(int64(len(s.log)))
 	h.v.Publish(func(v *view.View) {
 		v.Upstreams = catalogue.NewSnapshot(all)
 		v.Tables = tables
 	})
 }
 
-func (s *sim) carryOut(h *simHost, a Action) {
+func (s *simulation) carryOut(h *simHost, a Action) {
 	life, p := h.life, h.p
 	// deliver hands a result back unless the host has restarted; a frozen
 	// host gets it when it wakes.
 	deliver := func(f func()) {
-		s.after(s.between(time.Millisecond, 30*time.Millisecond), func() {
+		s.after(s.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
 			wait := max(h.frozenUntil.Sub(s.now), 0)
 			s.after(wait, func() {
 				if h.life == life && h.p == p {
@@ -207,48 +207,48 @@
 		})
 	}
 	switch a := a.(type) {
-	case *Join:
+	case *AcquireLease:
 		s.join(h, a, deliver)
 	case *Retire:
 		s.retire(h, a, deliver)
-	case *Leave:
-		if s.seatHolder == h.name {
-			s.seatUntil = s.now
+	case *ReleaseLease:
+		if s.leaseHolder == h.name {
+			s.leaseUntil = s.now
 		}
 	case *Append:
 		s.append(h, a, deliver)
 	case *Grant:
-		if a.KeptOnly && !s.keepsOpen && h.kept[a.Addr] != s.upstream(a.Addr).life {
+		if a.ExistingConnOnly && !s.allowDials && h.kept[a.Addr] != s.upstream(a.Addr).incarnation {
 			deliver(func() { p.GrantDone(a, ownership.ErrNotSent, s.now) })
 			return
 		}
-		h.kept[a.Addr] = s.upstream(a.Addr).life
+		h.kept[a.Addr] = s.upstream(a.Addr).incarnation
 		s.order(h, a.Addr, func(arrived bootclock.Time) error { return s.grant(a, arrived) }, 0, true,
 			func(err error) { deliver(func() { p.GrantDone(a, err, s.now) }) })
 	case *Release:
-		s.order(h, a.Addr, func(bootclock.Time) error { return s.release(a) }, s.between(0, 1500*time.Millisecond), false,
+		s.order(h, a.Addr, func(bootclock.Time) error { return s.release(a) }, s.randomDuration(0, 1500*time.Millisecond), false,
 			func(err error) { deliver(func() { p.ReleaseDone(a, "token", err, s.now) }) })
 	}
 }
 
-func (s *sim) join(h *simHost, j *Join, deliver func(func())) {
-	if s.now.Before(h.cutUntil) {
-		deliver(func() { h.p.JoinDone(j, false, metastore.ErrRefused, s.now) })
+func (s *simulation) join(h *simHost, j *AcquireLease, deliver func(func())) {
+	if s.now.Before(h.logCutUntil) {
+		deliver(func() { h.p.AcquireLeaseDone(j, false, metastore.ErrRejected, s.now) })
 		return
 	}
-	if !s.now.Before(s.seatUntil) {
-		s.seatHolder = h.name
+	if !s.now.Before(s.leaseUntil) {
+		s.leaseHolder = h.name
 
 	}
-	held := s.seatHolder == h.name
+	held := s.leaseHolder == h.name
 	if held {
-		s.seatUntil = s.now.Add(j.TTL)
+		s.leaseUntil = s.now.Add(j.TTL)
 	}
-	deliver(func() { h.p.JoinDone(j, held, nil, s.now) })
+	deliver(func() { h.p.AcquireLeaseDone(j, held, nil, s.now) })
 }
 
 // retire asks another host. One that stands still does not answer.
-func (s *sim) retire(h *simHost, r *Retire, deliver func(func())) {
+func (s *simulation) retire(h *simHost, r *Retire, deliver func(func())) {
 	p := h.p
 	i := slices.IndexFunc(s.hosts, func(o *simHost) bool { return o.name == r.Host })
 	asked := s.hosts[i]
@@ -256,14 +256,14 @@
 		s.after(orderTimeout, func() { deliver(func() { p.RetireDone(r, "", false, s.now) }) })
 		return
 	}
-	retired := asked.p.Retired(r.Service, r.Term, s.now)
+	retired := asked.p.Retire(r.Service, r.Term, s.now)
 	deliver(func() { p.RetireDone(r, asked.name, retired, s.now) })
 }
 
-func (s *sim) append(h *simHost, a *Append, deliver func(func())) {
+func (s *simulation) append(h *simHost, a *Append, deliver func(func())) {
 	p := h.p
 	write := func() error {
-		if int64(len(s.log)) != a.At {
+		if int64(len(s.log)) != a.ExpectedOffset {
 			return metastore.ErrConflict
 		}
 		s.log = append(s.log, a.Table)
@@ -278,13 +278,13 @@
 		})
 	}
 	switch x := s.rng.Float64(); {
-	case s.now.Before(h.cutUntil):
-		done(metastore.ErrRefused)
+	case s.now.Before(h.logCutUntil):
+		done(metastore.ErrRejected)
 	case x < s.faults.appendLost:
 		_ = write()
 		done(metastore.ErrNoAnswer)
 	case x < s.faults.appendLost+s.faults.appendLate:
-		s.after(s.between(time.Second, 6*time.Second), func() { _ = write() })
+		s.after(s.randomDuration(time.Second, 6*time.Second), func() { _ = write() })
 		done(metastore.ErrNoAnswer)
 	default:
 		done(write())
@@ -300,8 +300,8 @@
 // order delivers an order after a short way, or does not, and hands its
 // result to answered. The upstream carries it out on arrival and answers
 // after work.
-func (s *sim) order(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayBeLate bool, answered func(error)) {
-	if s.now.Before(h.noWay[id]) || !s.upstream(id).up {
+func (s *simulation) order(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayBeLate bool, answered func(error)) {
+	if s.now.Before(h.unreachableUntil[id]) || !s.upstream(id).up {
 		err := ownership.ErrNotSent
 		if s.rng.IntN(3) == 0 {
 			err = ownership.ErrNoAnswer
@@ -310,14 +310,14 @@
 		return
 	}
 	x := s.rng.Float64()
-	s.after(s.between(time.Millisecond, 40*time.Millisecond), func() {
+	s.after(s.randomDuration(time.Millisecond, 40*time.Millisecond), func() {
 		arrived := s.now
 		switch {
 		case x < s.faults.orderLost, x < mutedShare && s.now.Before(s.upstream(id).muteUntil):
 			_ = do(arrived)
 			s.after(orderTimeout, func() { answered(ownership.ErrNoAnswer) })
 		case mayBeLate && x < s.faults.orderLost+s.faults.orderLate:
-			s.after(s.between(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
+			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
 			s.after(orderTimeout, func() { answered(ownership.ErrNoAnswer) })
 		default:
 			err := do(arrived)
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -17,7 +17,7 @@
 	appendLost  float64 // record written, answer lost
 	appendLate  float64 // record written 1 to 6 s later if its condition holds
 	storeCut    float64 // a second: a host is refused by the log for a while
-	reseat      float64 // a second: the seat is dealt anew
+	leaseChange float64 // a second: the seat is dealt anew
 	freeze      float64 // a second: a host stands still for a while
 	crash       float64 // a second: an upstream dies; another life starts
 	restart     float64 // a second: an upstream starts again under its ID
@@ -28,60 +28,60 @@
 // busyRegion is how many neighbouring keys take all the load.
 const busyRegion = 1024
 
-// strike draws this step's faults.
-func (s *sim) strike() {
+// injectFaults draws this step's faults.
+func (s *simulation) injectFaults() {
 	f := s.faults
-	if s.chance(f.reseat, simStep) {
-		s.seatHolder = s.hosts[s.rng.IntN(len(s.hosts))].name
+	if s.chance(f.leaseChange, simStep) {
+		s.leaseHolder = s.hosts[s.rng.IntN(len(s.hosts))].name
 
-		s.seatUntil = s.now.Add(s.opts.SeatTTL)
+		s.leaseUntil = s.now.Add(s.opts.LeaseTTL)
 	}
 	for _, h := range s.hosts {
 		if s.chance(f.freeze, simStep) {
-			h.frozenUntil = s.now.Add(s.between(time.Second, 8*time.Second))
+			h.frozenUntil = s.now.Add(s.randomDuration(time.Second, 8*time.Second))
 		}
 		if s.chance(f.storeCut, simStep) {
-			h.cutUntil = s.now.Add(s.between(time.Second, 9*time.Second))
+			h.logCutUntil = s.now.Add(s.randomDuration(time.Second, 9*time.Second))
 		}
 		if s.chance(f.hostRestart, simStep) {
 			s.restart(h)
 		}
 		for _, u := range s.ups {
 			if s.chance(f.orderCut, simStep) {
-				h.noWay[u.id] = s.now.Add(s.between(time.Second, 9*time.Second))
+				h.unreachableUntil[u.id] = s.now.Add(s.randomDuration(time.Second, 9*time.Second))
 			}
 		}
 	}
 	s.strikeUpstreams()
-	if !s.steady && s.rng.IntN(100) == 0 {
+	if !s.steadyLoad && s.rng.IntN(100) == 0 {
 		clear(s.byKey)
-		busy := s.rng.IntN(ownership.Keys - busyRegion)
+		busy := s.rng.IntN(ownership.KeySpaceSize - busyRegion)
 		for range 40 {
 			s.byKey[busy+s.rng.IntN(busyRegion)] = s.rng.Float64() * 10
 		}
 	}
 }
 
-func (s *sim) strikeUpstreams() {
+func (s *simulation) strikeUpstreams() {
 	for _, u := range slices.Clone(s.ups) {
 		if !u.up || !u.listed || u.leaving {
 			continue
 		}
 		if s.chance(s.faults.mute, simStep) {
-			u.muteUntil = s.now.Add(s.between(1500*time.Millisecond, 4*time.Second))
+			u.muteUntil = s.now.Add(s.randomDuration(1500*time.Millisecond, 4*time.Second))
 		}
 		next := fmt.Sprintf("u%d", len(s.ups))
 		switch {
 		case s.chance(s.faults.crash, simStep):
-			u.up, u.holds = false, nil
-			s.after(s.between(500*time.Millisecond, 3*time.Second), func() { u.listed = false })
+			u.up, u.grants = false, nil
+			s.after(s.randomDuration(500*time.Millisecond, 3*time.Second), func() { u.listed = false })
 			s.addUpstream(next)
 		case s.chance(s.faults.restart, simStep):
-			u.up, u.holds, u.seen = false, nil, nil
-			s.after(s.between(0, 2*time.Second), func() { u.up, u.life = true, u.life+1 })
+			u.up, u.grants, u.tokensSeen = false, nil, nil
+			s.after(s.randomDuration(0, 2*time.Second), func() { u.up, u.incarnation = true, u.incarnation+1 })
 		case s.chance(s.faults.leave, simStep):
 			u.leaving = true
-			s.after(s.between(4*time.Second, 12*time.Second), func() { u.listed, u.up, u.holds = false, false, nil })
+			s.after(s.randomDuration(4*time.Second, 12*time.Second), func() { u.listed, u.up, u.grants = false, false, nil })
 			s.addUpstream(next)
 		}
 	}
--- a/internal/planner/simupstream_test.go
+++ b/internal/planner/simupstream_test.go
@@ -9,7 +9,7 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-func (s *sim) upstream(id string) *simUpstream {
+func (s *simulation) upstream(id string) *simUpstream {
 	for _, u := range s.ups {
 		if u.id == id {
 			return u
@@ -20,37 +20,37 @@
 
 // grant is the upstream's side of a grant: refused if a higher token was
 // seen; held from the arrival on, by a clock that runs 2% slow.
-func (s *sim) grant(g *Grant, arrived bootclock.Time) error {
+func (s *simulation) grant(g *Grant, arrived bootclock.Time) error {
 	u := s.upstream(g.Addr)
 	if !u.up {
 		return ownership.ErrNoAnswer
 	}
 	r := g.Range
-	for _, h := range u.seen {
-		if h.from <= r.To && r.From <= h.to && h.fence > r.Fence {
+	for _, h := range u.tokensSeen {
+		if h.from <= r.To && r.From <= h.to && h.fence > r.FencingToken {
 			return ownership.ErrFenced
 		}
 	}
-	until := arrived.Add(time.Duration(float64(g.Hold) * 1.02 * s.overstay))
-	u.seen = cutOut(u.seen, r.From, r.To)
-	u.seen = append(u.seen, hold{r.From, r.To, r.Fence, 0})
-	u.holds = cutOut(u.holds, r.From, r.To)
-	u.holds = append(u.holds, hold{r.From, r.To, r.Fence, until})
+	until := arrived.Add(time.Duration(float64(g.TTL) * 1.02 * s.overstayFactor))
+	u.tokensSeen = cutOut(u.tokensSeen, r.From, r.To)
+	u.tokensSeen = append(u.tokensSeen, simGrant{r.From, r.To, r.FencingToken, 0})
+	u.grants = cutOut(u.grants, r.From, r.To)
+	u.grants = append(u.grants, simGrant{r.From, r.To, r.FencingToken, until})
 	s.granted = true
 	return nil
 }
 
-func (s *sim) release(r *Release) error {
+func (s *simulation) release(r *Release) error {
 	u := s.upstream(r.Addr)
 	if !u.up {
 		return ownership.ErrNoAnswer
 	}
-	u.holds = cutOut(u.holds, r.Range.From, r.Range.To)
+	u.grants = cutOut(u.grants, r.Range.From, r.Range.To)
 	return nil
 }
 
-func cutOut(hs []hold, from, to int) []hold {
-	var out []hold
+func cutOut(hs []simGrant, from, to int) []simGrant {
+	var out []simGrant
 	for _, h := range hs {
 		if h.to < from || h.from > to {
 			out = append(out, h)
@@ -70,10 +70,10 @@
 	return out
 }
 
-// check is the oracle: no key is held by two upstreams that are up.
-func (s *sim) check() error {
+// checkExclusive is the oracle: no key is held by two upstreams that are up.
+func (s *simulation) checkExclusive() error {
 	type held struct {
-		hold
+		simGrant
 		by string
 	}
 	var all []held
@@ -81,8 +81,8 @@
 		if !u.up {
 			continue
 		}
-		u.holds = slices.DeleteFunc(u.holds, func(h hold) bool { return h.until <= s.now })
-		for _, h := range u.holds {
+		u.grants = slices.DeleteFunc(u.grants, func(h simGrant) bool { return h.until <= s.now })
+		for _, h := range u.grants {
 			all = append(all, held{h, u.id})
 		}
 	}
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -22,21 +22,21 @@
 	table *ownership.Table
 	// started is set once this host's first record is in force; number is
 	// that term's and startFence the token it put on every range.
-	started    bool
-	number     int64
-	startFence int64
+	started           bool
+	number            int64
+	firstFencingToken int64
 	// base is the table that the term's first record was made from, foreign
 	// bounds what earlier planners may still send.
-	base    *ownership.Table
-	foreign foreign
+	base           *ownership.Table
+	previousGrants previousGrants
 	// baseSeenAt is when the term of base was first seen.
 	baseSeenAt bootclock.Time
 	// foreignAt is when a table of another planner's was last adopted.
 	foreignAt bootclock.Time
 
-	appending  *Append
-	resend     bool
-	nextAppend bootclock.Time
+	appending      *Append
+	appendRetryDue bool
+	nextAppend     bootclock.Time
 	// recordedAt is when the last record was begun.
 	recordedAt bootclock.Time
 
@@ -53,19 +53,19 @@
 	warmUp time.Duration
 	// sparing is set while those in their slow start get no keys.
 	sparing bool
-	// holders are by server.
-	holders map[string]*holder
-	leases  map[span]*lease
-	// pace holds the keys of lost owners back.
-	pace pace
+	// servers are by server.
+	servers      map[string]*serverState
+	activeGrants map[span]*activeGrant
+	// limiter holds the keys of lost owners back.
+	limiter placementLimiter
 	// moves are under way, in the order of their keys.
 	moves []*move
-	// nextFit is when load is looked at next, nextUrgent keys without owners.
-	nextFit, nextUrgent bootclock.Time
+	// nextRebalance is when load is looked at next, nextUrgent keys without owners.
+	nextRebalance, nextOwnerlessCheck bootclock.Time
 }
 
-// lease is one grant that is kept up.
-type lease struct {
+// activeGrant is one grant that is kept up.
+type activeGrant struct {
 	r        ownership.Range
 	next     bootclock.Time
 	inFlight bool
@@ -73,16 +73,16 @@
 
 func newTerm(p *Planner, name string) *term {
 	return &term{p: p, name: name, ups: map[string]*catalogue.Upstream{}, byServer: map[string]*catalogue.Upstream{},
-		holders: map[string]*holder{}, leases: map[span]*lease{}}
+		servers: map[string]*serverState{}, activeGrants: map[span]*activeGrant{}}
 }
 
-// holder returns the account of the life's server.
-func (t *term) holder(life string) *holder {
-	server := catalogue.ServerOf(life)
-	h := t.holders[server]
+// server returns the account of the life's server.
+func (t *term) server(life string) *serverState {
+	server := catalogue.ServerID(life)
+	h := t.servers[server]
 	if h == nil {
-		h = &holder{life: life}
-		t.holders[server] = h
+		h = &serverState{incarnation: life}
+		t.servers[server] = h
 	}
 	return h
 }
@@ -90,8 +90,8 @@
 // successor returns the newer life of the owner's server, if one is listed:
 // the owner has ended then.
 func (t *term) successor(owner string) *catalogue.Upstream {
-	u := t.byServer[catalogue.ServerOf(owner)]
-	if u != nil && catalogue.Succeeds(u.ID, owner) {
+	u := t.byServer[catalogue.ServerID(owner)]
+	if u != nil && catalogue.IsLaterIncarnation(u.ID, owner) {
 		return u
 	}
 	return nil
@@ -99,58 +99,58 @@
 
 // adopt takes the table that the log has now.
 func (t *term) adopt(latest *ownership.Table, now bootclock.Time) {
-	if latest == nil || (t.table != nil && latest.Fence <= t.table.Fence) {
+	if latest == nil || (t.table != nil && latest.MaxFencingToken <= t.table.MaxFencingToken) {
 		return
 	}
 	if t.started && latest.Term != t.number {
 		// Another planner has written: this host's term is over, though it
 		// may hold the seat again.
-		t.p.Note(Event{Kind: TermEnded, Service: t.name, Table: latest})
+		t.p.OnEvent(Event{Kind: TermEnded, Service: t.name, Table: latest})
 		ended := *t
-		t.p.past[t.name] = &ended
+		t.p.pastTerms[t.name] = &ended
 		*t = *newTerm(t.p, t.name)
 	}
 	t.table = latest
 	if latest.Planner != t.p.opts.Host {
 		t.foreignAt = now
 	}
-	if a := t.appending; a != nil && a.Table.Fence <= latest.Fence {
+	if a := t.appending; a != nil && a.Table.MaxFencingToken <= latest.MaxFencingToken {
 		t.appending = nil
-		t.resend = false
+		t.appendRetryDue = false
 	}
 	if !t.started && latest.Planner == t.p.opts.Host && t.number != 0 && latest.Term == t.number {
 		t.start(now)
 	}
 	t.dropFinishedMoves()
-	t.syncLeases(now)
+	t.syncGrants(now)
 }
 
 func (t *term) start(now bootclock.Time) {
 	t.started = true
-	t.startFence = t.table.Fence
-	t.foreign.before = t.predecessors(now)
-	if past := t.p.past[t.name]; past != nil && t.base != nil && past.number == t.base.Term {
+	t.firstFencingToken = t.table.MaxFencingToken
+	t.previousGrants.planners = t.previousPlanners(now)
+	if past := t.p.pastTerms[t.name]; past != nil && t.base != nil && past.number == t.base.Term {
 		// No other planner was in between: those before are bounded as they
 		// were, and this host's own grants are on the holders' accounts.
-		t.foreign = past.foreign
-		t.holders = past.holders
+		t.previousGrants = past.previousGrants
+		t.servers = past.servers
 	}
-	t.p.Note(Event{Kind: TermStarted, Service: t.name, Table: t.table})
+	t.p.OnEvent(Event{Kind: TermStarted, Service: t.name, Table: t.table})
 }
 
 // takeOver returns the record that starts this host's term.
 func (t *term) takeOver(now bootclock.Time) []Action {
 	if t.appending != nil {
-		return t.sendAgain(now)
+		return t.retryAppend(now)
 	}
 	if now.Before(t.nextAppend) {
 		return nil
 	}
-	if t.p.seat.provenAt.Before(t.foreignAt) {
+	if t.p.lease.renewedAt.Before(t.foreignAt) {
 		// Another host has planned since the seat was proved. A host that
 		// comes back from a cut may hold such a proof; a term started on it
 		// would supersede the planner's, and be superseded in turn.
-		t.p.seat.nextJoin = min(t.p.seat.nextJoin, now)
+		t.p.lease.nextRenewal = min(t.p.lease.nextRenewal, now)
 		return nil
 	}
 	base := t.table
@@ -163,20 +163,20 @@
 	t.number = next.Term
 	t.base = t.table
 	if t.base != nil {
-		t.baseSeenAt = t.p.histories[t.name].seenAt(t.base, now)
+		t.baseSeenAt = t.p.histories[t.name].termSeenAt(t.base, now)
 	}
-	t.foreign.sooner = t.p.histories[t.name].soonerAfter(t.base, &t.p.opts)
+	t.previousGrants.lostBounds = t.p.histories[t.name].lostBounds(t.base, &t.p.opts)
 	next.Cause = "new planner"
-	t.appending = &Append{Table: next, At: t.p.end, Cause: next.Cause}
+	t.appending = &Append{Table: next, ExpectedOffset: t.p.end, Cause: next.Cause}
 	return []Action{t.appending}
 }
 
-// sendAgain repeats an append whose outcome is not known.
-func (t *term) sendAgain(now bootclock.Time) []Action {
-	if !t.resend || now.Before(t.nextAppend) {
+// retryAppend repeats an append whose outcome is not known.
+func (t *term) retryAppend(now bootclock.Time) []Action {
+	if !t.appendRetryDue || now.Before(t.nextAppend) {
 		return nil
 	}
-	t.resend = false
+	t.appendRetryDue = false
 	return []Action{t.appending}
 }
 
@@ -184,11 +184,11 @@
 func (t *term) observe(v *view.View, now bootclock.Time) {
 	clear(t.ups)
 	clear(t.byServer)
-	for _, u := range v.Upstreams.Of(t.name) {
+	for _, u := range v.Upstreams.ForService(t.name) {
 		t.ups[u.ID] = u
-		t.byServer[catalogue.ServerOf(u.ID)] = u
-		if h := t.holder(u.ID); catalogue.Succeeds(u.ID, h.life) {
-			h.succeeded(u.ID, now)
+		t.byServer[catalogue.ServerID(u.ID)] = u
+		if h := t.server(u.ID); catalogue.IsLaterIncarnation(u.ID, h.incarnation) {
+			h.startIncarnation(u.ID, now)
 		}
 	}
 	t.sparing = t.enoughWarm()
@@ -204,7 +204,7 @@
 	warm, cold := 0, 0
 	for _, u := range t.ups {
 		switch {
-		case u.Retiring():
+		case u.Draining():
 		case t.p.Cold(u):
 			cold++
 		default:
@@ -214,31 +214,31 @@
 	return warm >= cold
 }
 
-// closed reports whether an upstream that is listed may own no keys now, however
+// ineligible reports whether an upstream that is listed may own no keys now, however
 // well it answers.
-func (t *term) closed(u *catalogue.Upstream) bool {
-	return u.Retiring() || (t.sparing && t.p.Cold(u))
+func (t *term) ineligible(u *catalogue.Upstream) bool {
+	return u.Draining() || (t.sparing && t.p.Cold(u))
 }
 
-// candidates returns the upstreams that may own keys.
-func (t *term) candidates(now bootclock.Time) []*catalogue.Upstream {
+// eligibleOwners returns the upstreams that may own keys.
+func (t *term) eligibleOwners(now bootclock.Time) []*catalogue.Upstream {
 	var out []*catalogue.Upstream
 	for _, u := range t.ups {
-		if !t.closed(u) && !t.shunned(u.ID, now) {
+		if !t.ineligible(u) && !t.excluded(u.ID, now) {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-func (t *term) shunned(id string, now bootclock.Time) bool {
-	h := t.holder(id)
-	return h.lost || now.Before(h.shunUntil)
+func (t *term) excluded(id string, now bootclock.Time) bool {
+	h := t.server(id)
+	return h.lost || now.Before(h.excludedUntil)
 }
 
-// syncLeases makes the leases cover the owned ranges of the table less the
+// syncGrants makes the leases cover the owned ranges of the table less the
 // spans that are being moved.
-func (t *term) syncLeases(now bootclock.Time) {
+func (t *term) syncGrants(now bootclock.Time) {
 	if !t.started {
 		return
 	}
@@ -253,14 +253,14 @@
 			wanted[s] = part
 		}
 	}
-	for s, l := range t.leases {
-		if w, ok := wanted[s]; !ok || w.Owner != l.r.Owner || w.Fence != l.r.Fence {
-			delete(t.leases, s)
+	for s, l := range t.activeGrants {
+		if w, ok := wanted[s]; !ok || w.Owner != l.r.Owner || w.FencingToken != l.r.FencingToken {
+			delete(t.activeGrants, s)
 		}
 	}
 	for s, r := range wanted {
-		if t.leases[s] == nil {
-			t.leases[s] = &lease{r: r, next: now}
+		if t.activeGrants[s] == nil {
+			t.activeGrants[s] = &activeGrant{r: r, next: now}
 		}
 	}
 }
@@ -288,21 +288,21 @@
 // grants returns the grants and renewals that are due.
 func (t *term) grants(now bootclock.Time) []Action {
 	var out []Action
-	for _, s := range sortedKeys(t.leases) {
-		l := t.leases[s]
+	for _, s := range sortedKeys(t.activeGrants) {
+		l := t.activeGrants[s]
 		u := t.ups[l.r.Owner]
-		if l.inFlight || now.Before(l.next) || u == nil || t.holder(l.r.Owner).lost || t.table.IsLost(l.r.Owner) {
+		if l.inFlight || now.Before(l.next) || u == nil || t.server(l.r.Owner).lost || t.table.IsLost(l.r.Owner) {
 			continue
 		}
-		h := t.holder(u.ID)
+		h := t.server(u.ID)
 		if h.inFlight == 0 && !h.sentAny {
 			h.answeredAt = now
 		}
 		h.inFlight++
 		h.sentAny = true
 		l.inFlight = true
-		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: l.r, Hold: t.p.opts.Hold, SentAt: now,
-			KeptOnly: now.Sub(t.p.seat.provenAt) > freshSeat, holder: h})
+		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: l.r, TTL: t.p.opts.GrantTTL, SentAt: now,
+			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > maxLeaseAge, server: h})
 	}
 	return out
 }
@@ -310,66 +310,66 @@
 // grantDone takes in the result of a grant, which may be one of an earlier term; its
 // holder's account has it already.
 func (t *term) grantDone(g *Grant, err error, now bootclock.Time) {
-	h := g.holder
+	h := g.server
 	s := span{g.Range.From, g.Range.To}
-	l := t.leases[s]
-	if l != nil && l.r.Fence == g.Range.Fence {
+	l := t.activeGrants[s]
+	if l != nil && l.r.FencingToken == g.Range.FencingToken {
 		l.inFlight = false
-		l.next = g.SentAt.Add(t.p.opts.Hold / renewals)
+		l.next = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
 	}
 	switch {
 	case err == nil:
 		return
 	case errors.Is(err, ownership.ErrFenced):
 		t.fenced(g.Range, now, err)
-	case errors.Is(err, ownership.ErrRefused):
-		t.noteTrouble(GrantRefused, g.Range.Owner, err, now)
+	case errors.Is(err, ownership.ErrRejected):
+		t.emitFailure(GrantRejected, g.Range.Owner, err, now)
 	}
 	if l != nil {
-		l.next = now.Add(retryGrant)
+		l.next = now.Add(grantRetryDelay)
 	}
-	if !h.lost && !h.outlived(g) && now.Sub(h.answeredAt) > time.Duration(lostAfter*float64(t.p.opts.Hold)) {
+	if !h.lost && !h.forPastIncarnation(g) && now.Sub(h.answeredAt) > time.Duration(lostAfter*float64(t.p.opts.GrantTTL)) {
 		h.lost = true
-		t.p.Note(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(h.answeredAt), Err: err})
+		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(h.answeredAt), Err: err})
 	}
 }
 
-// noteTrouble tells of an order that failed, once in noteEvery for each
+// emitFailure tells of an order that failed, once in noteEvery for each
 // upstream and kind: an owner of a hundred ranges fails a hundred orders at
 // once, and again with each retry.
-func (t *term) noteTrouble(k EventKind, upstream string, err error, now bootclock.Time) {
-	h := t.holder(upstream)
-	n := h.noted[k]
-	if n.at != 0 && now.Sub(n.at) < noteEvery {
-		n.untold++
-		h.noted[k] = n
+func (t *term) emitFailure(k EventKind, upstream string, err error, now bootclock.Time) {
+	h := t.server(upstream)
+	n := h.throttles[k]
+	if n.at != 0 && now.Sub(n.at) < failureEventInterval {
+		n.suppressed++
+		h.throttles[k] = n
 		return
 	}
-	t.p.Note(Event{Kind: k, Service: t.name, Upstream: upstream, Err: err, Untold: n.untold})
-	if h.noted == nil {
-		h.noted = map[EventKind]noted{}
+	t.p.OnEvent(Event{Kind: k, Service: t.name, Upstream: upstream, Err: err, Suppressed: n.suppressed})
+	if h.throttles == nil {
+		h.throttles = map[EventKind]eventThrottle{}
 	}
-	h.noted[k] = noted{at: now}
+	h.throttles[k] = eventThrottle{at: now}
 }
 
 // fenced takes note that an upstream has seen a higher token than that of a
 // grant in force: another planner is at work, whose record has not reached
 // this host. It must read the ownership stream again to learn of it.
 func (t *term) fenced(r ownership.Range, now bootclock.Time, err error) {
-	if t.table.Find(r.From).Fence != r.Fence {
+	if t.table.Find(r.From).FencingToken != r.FencingToken {
 		return // a grant from before a move of this host's own
 	}
 	if !t.superseded {
-		t.noteTrouble(GrantRefused, r.Owner, err, now)
+		t.emitFailure(GrantRejected, r.Owner, err, now)
 	}
 	t.superseded, t.supersededAt = true, now
-	t.p.endDoubted = true
+	t.p.endUncertain = true
 }
 
-// standingDown reports whether the term is superseded and the seat has not
+// isSuperseded reports whether the term is superseded and the seat has not
 // been proved since.
-func (t *term) standingDown() bool {
-	if t.superseded && t.supersededAt.Before(t.p.seat.provenAt) {
+func (t *term) isSuperseded() bool {
+	if t.superseded && t.supersededAt.Before(t.p.lease.renewedAt) {
 		t.superseded = false
 	}
 	return t.superseded
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Grant is the allocator's answer to a host that asks for leave to send.
-type Grant struct {
+// Permit is the allocator's answer to a host that asks for leave to send.
+type Permit struct {
 	// Requests is how many may be sent, within grantFor; 0 for none.
 	Requests int
 	// Wait is how long it is until the next leave can be given, if there is none
@@ -46,9 +46,9 @@
 // Take gives leave for up to want requests to an upstream that takes perSecond. A
 // new bucket holds one request only: another allocator may have emptied its own
 // just before.
-func (a *Allocator) Take(upstream string, perSecond float64, want int, now time.Time) Grant {
+func (a *Allocator) Take(upstream string, perSecond float64, want int, now time.Time) Permit {
 	if perSecond <= 0 {
-		return Grant{Wait: longest}
+		return Permit{Wait: longest}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -63,9 +63,9 @@
 	n := min(int(b.requests), want)
 	b.requests -= float64(n)
 	if n == 0 {
-		return Grant{Wait: time.Duration((1 - b.requests) / perSecond * float64(time.Second))}
+		return Permit{Wait: time.Duration((1 - b.requests) / perSecond * float64(time.Second))}
 	}
-	return Grant{Requests: n}
+	return Permit{Requests: n}
 }
 
 // prune forgets buckets that nobody uses any more.
--- a/internal/ratelimit/bounds.go
+++ b/internal/ratelimit/bounds.go
@@ -16,9 +16,9 @@
 // each keep to their own share exceed the bound together.
 const maxOvershoot = 1e-5
 
-// Rate returns the highest rate, in requests a second, at which independent hosts
+// UncoordinatedRate returns the highest rate, in requests a second, at which independent hosts
 // may send together to an upstream that takes perSecond.
-func (b Bounds) Rate(perSecond float64) float64 {
+func (b Bounds) UncoordinatedRate(perSecond float64) float64 {
 	window := b.Window.Seconds()
 	most := int(perSecond*window*b.Factor + b.Slack)
 	if poissonTail(perSecond*window, most) <= maxOvershoot {
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -35,9 +35,9 @@
 }
 
 func (s *fleetSim) newLimiter(host int) *Limiter {
-	l := NewLimiter(reported, func(_ context.Context, upstream string, perSecond float64, want int) (Grant, error) {
+	l := NewLimiter(reported, func(_ context.Context, upstream string, perSecond float64, want int) (Permit, error) {
 		if s.alone(host) {
-			return Grant{}, errUnreachable
+			return Permit{}, errUnreachable
 		}
 		return s.planner.Take(upstream, perSecond, want, time.Now()), nil
 	})
@@ -47,7 +47,7 @@
 // run has callers ask demand times a second, on hosts at random, for a time.
 func (s *fleetSim) run(t *testing.T, demand float64, d time.Duration) {
 	for _, l := range s.limiters {
-		l.SetHosts(len(s.limiters))
+		l.SetHostCount(len(s.limiters))
 	}
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(time.Duration(s.rnd.ExpFloat64() / demand * float64(time.Second)))
@@ -127,7 +127,7 @@
 // Without an answer of the planner's and a known number of hosts nothing is sent,
 // and the caller is told when to come back.
 func TestHostThatKnowsNothingSendsNothing(t *testing.T) {
-	l := NewLimiter(reported, func(context.Context, string, float64, int) (Grant, error) { return Grant{}, errUnreachable })
+	l := NewLimiter(reported, func(context.Context, string, float64, int) (Permit, error) { return Permit{}, errUnreachable })
 	for range 10 {
 		if ok, wait := l.Take(t.Context(), "u", 5); ok || wait <= 0 {
 			t.Fatalf("sent: %v, wait %v", ok, wait)
--- a/internal/ratelimit/gate.go
+++ b/internal/ratelimit/gate.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Share is how many requests a second one host may send to an upstream.
-type Share float64
+// HostRate is how many requests a second one host may send to an upstream.
+type HostRate float64
 
-// Gate lets one host's requests to one upstream through at its share. The first
+// IntervalLimiter lets one host's requests to one upstream through at its share. The first
 // may be sent at a random time within the first gap, so that independent hosts do
 // not begin together. Its zero value is of an upstream that never had a limit.
-type Gate struct {
+type IntervalLimiter struct {
 	// until is the end of the limit that next was drawn for.
 	until, next time.Time
 }
 
-// Open reports whether a request may be sent at now to an upstream whose limit
+// Allows reports whether a request may be sent at now to an upstream whose limit
 // holds until the given time.
-func (g *Gate) Open(share Share, until, now time.Time) bool {
+func (g *IntervalLimiter) Allows(share HostRate, until, now time.Time) bool {
 	if !now.Before(until) {
 		return true
 	}
@@ -32,8 +32,8 @@
 }
 
 // Take counts a request that is sent now, and reports whether it may be.
-func (g *Gate) Take(share Share, until, now time.Time) bool {
-	if !g.Open(share, until, now) {
+func (g *IntervalLimiter) Take(share HostRate, until, now time.Time) bool {
+	if !g.Allows(share, until, now) {
 		return false
 	}
 	if now.Before(until) {
@@ -46,6 +46,6 @@
 const longest = time.Hour
 
 // gap is the least time between two requests.
-func (s Share) gap() time.Duration {
+func (s HostRate) gap() time.Duration {
 	return time.Duration(min(float64(time.Second)/float64(s), float64(longest)))
 }
--- a/internal/ratelimit/gate_test.go
+++ b/internal/ratelimit/gate_test.go
@@ -23,8 +23,8 @@
 			served := 0
 			for range upstreams {
 				start := time.Now()
-				gates := make([]Gate, hosts)
-				share := Share(b.Rate(perSecond) / float64(hosts))
+				gates := make([]IntervalLimiter, hosts)
+				share := HostRate(b.UncoordinatedRate(perSecond) / float64(hosts))
 				var sent []time.Time
 				for now := start; now.Before(start.Add(lasts)); now = now.Add(step) {
 					for i := range gates {
@@ -58,11 +58,11 @@
 	now := time.Now()
 	cold := now.Add(time.Second)
 	for _, c := range []struct {
-		share Share
+		share HostRate
 		until time.Time
 		want  bool
-	}{{0, cold, false}, {0, now, true}, {Share(math.Inf(1)), cold, true}} {
-		var g Gate
+	}{{0, cold, false}, {0, now, true}, {HostRate(math.Inf(1)), cold, true}} {
+		var g IntervalLimiter
 		if got := g.Take(c.share, c.until, now); got != c.want {
 			t.Errorf("share %v, cold for %v: %v", c.share, c.until.Sub(now), got)
 		}
@@ -75,7 +75,7 @@
 		bounds    Bounds
 		perSecond float64
 	}{{Bounds{1.5, 8, time.Second}, 4.4}, {Bounds{1, 0, time.Second}, 4}, {Bounds{1, 0, time.Second}, 0.5}, {Bounds{2, 100, time.Second}, 10}} {
-		rate := c.bounds.Rate(c.perSecond)
+		rate := c.bounds.UncoordinatedRate(c.perSecond)
 		tail := poissonTail(rate, int(c.perSecond*c.bounds.Factor+c.bounds.Slack))
 		if rate > c.perSecond || tail > maxOvershoot || math.IsNaN(rate) {
 			t.Errorf("%+v at %v a second: rate %v, chance of too many %v", c.bounds, c.perSecond, rate, tail)
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -25,9 +25,9 @@
 	mostWait  = time.Second
 )
 
-// Ask asks the allocator for leave for up to want requests to an upstream that
+// PermitFunc asks the allocator for leave for up to want requests to an upstream that
 // takes perSecond.
-type Ask func(ctx context.Context, upstream string, perSecond float64, want int) (Grant, error)
+type PermitFunc func(ctx context.Context, upstream string, perSecond float64, want int) (Permit, error)
 
 // allowance is what a host may send to one upstream.
 type allowance struct {
@@ -36,14 +36,14 @@
 	grantEnds time.Time
 	// closedUntil is when the allocator is to be asked again.
 	closedUntil time.Time
-	gate        Gate
+	gate        IntervalLimiter
 }
 
 // Limiter keeps one host to its part of upstreams' limits. It is safe for
 // concurrent use.
 type Limiter struct {
 	bounds Bounds
-	ask    Ask
+	ask    PermitFunc
 
 	mu sync.Mutex
 	by map[string]*allowance
@@ -55,12 +55,12 @@
 
 // NewLimiter returns a limiter that asks for leave with ask. The bounds are for
 // hosts that get no answer.
-func NewLimiter(b Bounds, ask Ask) *Limiter {
+func NewLimiter(b Bounds, ask PermitFunc) *Limiter {
 	return &Limiter{bounds: b, ask: ask, by: map[string]*allowance{}}
 }
 
-// SetHosts tells how many hosts share the upstreams; 0 if that is not known.
-func (l *Limiter) SetHosts(n int) {
+// SetHostCount tells how many hosts share the upstreams; 0 if that is not known.
+func (l *Limiter) SetHostCount(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hosts = n
@@ -75,9 +75,9 @@
 	return a
 }
 
-// Closed returns for how long requests to the upstream would certainly be turned
+// RetryAfter returns for how long requests to the upstream would certainly be turned
 // down; 0 if one may be tried.
-func (l *Limiter) Closed(id string, now time.Time) time.Duration {
+func (l *Limiter) RetryAfter(id string, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a := l.by[id]; a != nil {
@@ -131,7 +131,7 @@
 }
 
 // receive takes in the allocator's answer.
-func (a *allowance) receive(g Grant, now time.Time) (ok bool, wait time.Duration) {
+func (a *allowance) receive(g Permit, now time.Time) (ok bool, wait time.Duration) {
 	if g.Requests == 0 {
 		return false, a.close(g.Wait, now)
 	}
@@ -152,7 +152,7 @@
 	if l.hosts == 0 {
 		return false, a.close(askAgain, now)
 	}
-	share := Share(l.bounds.Rate(perSecond) * aloneShare / float64(l.hosts))
+	share := HostRate(l.bounds.UncoordinatedRate(perSecond) * aloneShare / float64(l.hosts))
 	if a.gate.Take(share, now.Add(longest), now) {
 		return true, 0
 	}
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -14,19 +14,19 @@
 
 // Codes carried to callers in the refusal body.
 const (
-	BadRequest       Code = "BAD_REQUEST"
-	UnknownService   Code = "UNKNOWN_SERVICE"
-	NoOwner          Code = "NO_OWNER"
-	Handover         Code = "HANDOVER"
-	StaleView        Code = "STALE_VIEW"
-	OwnerUnreachable Code = "OWNER_UNREACHABLE"
-	Shed             Code = "SHED"
-	Fenced           Code = "FENCED"
-	OutcomeUnknown   Code = "OUTCOME_UNKNOWN"
-	CrossedAnswer    Code = "CROSSED_ANSWER"
-	NotReady         Code = "NOT_READY"
-	// EndsTargets refuses requests under which targets have ended.
-	EndsTargets Code = "ENDS_TARGETS"
+	BadRequest         Code = "BAD_REQUEST"
+	UnknownService     Code = "UNKNOWN_SERVICE"
+	NoOwner            Code = "NO_OWNER"
+	Handover           Code = "HANDOVER"
+	StaleView          Code = "STALE_VIEW"
+	OwnerUnreachable   Code = "OWNER_UNREACHABLE"
+	Shed               Code = "SHED"
+	Fenced             Code = "FENCED"
+	OutcomeUnknown     Code = "OUTCOME_UNKNOWN"
+	MismatchedResponse Code = "CROSSED_ANSWER"
+	NotReady           Code = "NOT_READY"
+	// CrashesTargets refuses requests under which targets have ended.
+	CrashesTargets Code = "ENDS_TARGETS"
 )
 
 // Outcome says what happened to the caller's work.
@@ -78,7 +78,7 @@
 		return http.StatusTooManyRequests
 	case OutcomeUnknown:
 		return http.StatusGatewayTimeout
-	case CrossedAnswer:
+	case MismatchedResponse:
 		return http.StatusBadGateway
 	}
 	return http.StatusServiceUnavailable
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -24,8 +24,8 @@
 	Records []metastore.Record
 	// Changes stand in place of records of the ownership stream for a host
 	// that has the tables they were made from.
-	Changes []Change
-	Next    int64
+	Changes    []Change
+	NextOffset int64
 }
 
 // kept is how many records of a stream are kept for hosts that are behind;
@@ -48,8 +48,8 @@
 	currentAt time.Time
 }
 
-// Copy is a copy of the streams. It is safe for concurrent use.
-type Copy struct {
+// Replica is a copy of the streams. It is safe for concurrent use.
+type Replica struct {
 	mu      sync.Mutex
 	by      map[metastore.Stream]*stream
 	changed chan struct{}
@@ -57,26 +57,26 @@
 	brokenAt time.Time
 }
 
-// NewCopy returns an empty copy. Nothing is known of the log service before.
-func NewCopy() *Copy {
-	c := &Copy{by: map[metastore.Stream]*stream{}, changed: make(chan struct{}), brokenAt: time.Now()}
+// NewReplica returns an empty copy. Nothing is known of the log service before.
+func NewReplica() *Replica {
+	c := &Replica{by: map[metastore.Stream]*stream{}, changed: make(chan struct{}), brokenAt: time.Now()}
 	for _, s := range Streams {
 		c.by[s] = &stream{next: -1, newest: map[string]metastore.Record{}}
 	}
 	return c
 }
 
-// Next returns the offset of the record of s to be read next; -1 if nothing
+// NextOffset returns the offset of the record of s to be read next; -1 if nothing
 // was read yet.
-func (c *Copy) Next(s metastore.Stream) int64 {
+func (c *Replica) NextOffset(s metastore.Stream) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.by[s].next
 }
 
-// Position is Next as it is told to the host that is followed: -1 if this one
+// FetchOffset is Next as it is told to the host that is followed: -1 if this one
 // wants everything whole.
-func (c *Copy) Position(s metastore.Stream) int64 {
+func (c *Replica) FetchOffset(s metastore.Stream) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.by[s].wanted {
@@ -88,12 +88,12 @@
 // Apply takes a batch in and returns the part of it that is new, or nil. A
 // batch that does not join on to what was read is dropped: it will be read
 // again from the right place.
-func (c *Copy) Apply(b Batch) *Batch {
+func (c *Replica) Apply(b Batch) *Batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	st := c.by[b.Stream]
 	if b.Reset {
-		if st.known && b.Next < st.next {
+		if st.known && b.NextOffset < st.next {
 			return nil
 		}
 		st.reset(b)
@@ -112,12 +112,12 @@
 		st.recent = nil // only the newest is of use
 	}
 	c.wake()
-	return &Batch{Stream: b.Stream, Records: fresh, Next: st.next}
+	return &Batch{Stream: b.Stream, Records: fresh, NextOffset: st.next}
 }
 
 func (st *stream) reset(b Batch) {
 	st.known, st.wanted = true, false
-	st.next = b.Next
+	st.next = b.NextOffset
 	st.recent = nil
 	clear(st.newest)
 	for _, r := range b.Records {
@@ -140,13 +140,13 @@
 	}
 }
 
-func (c *Copy) wake() {
+func (c *Replica) wake() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Current notes that the copy of s was the log's at the time.
-func (c *Copy) Current(s metastore.Stream, at time.Time) {
+// MarkCurrent notes that the copy of s was the log's at the time.
+func (c *Replica) MarkCurrent(s metastore.Stream, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if st := c.by[s]; at.After(st.currentAt) {
@@ -157,7 +157,7 @@
 // Age returns how long ago the copy was last known to be the log's, of the
 // older of the streams that others write. The ownership stream is written by
 // the planner itself.
-func (c *Copy) Age(now time.Time) time.Duration {
+func (c *Replica) Age(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	oldest := time.Duration(0)
@@ -168,29 +168,29 @@
 }
 
 // CurrentAt returns when the copy of s was last known to be the log's.
-func (c *Copy) CurrentAt(s metastore.Stream) time.Time {
+func (c *Replica) CurrentAt(s metastore.Stream) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.by[s].currentAt
 }
 
-// Broken notes that the log service failed this host at the time.
-func (c *Copy) Broken(at time.Time) {
+// RecordLogFailure notes that the log service failed this host at the time.
+func (c *Replica) RecordLogFailure(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.brokenAt = at
 }
 
-// Steady returns for how long the log service has not failed this host.
-func (c *Copy) Steady(now time.Time) time.Duration {
+// LogReachableFor returns for how long the log service has not failed this host.
+func (c *Replica) LogReachableFor(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Sub(c.brokenAt)
 }
 
-// Since returns what a host at the given positions lacks. It waits up to
+// Fetch returns what a host at the given positions lacks. It waits up to
 // wait for something.
-func (c *Copy) Since(ctx context.Context, positions map[metastore.Stream]int64, wait time.Duration) []Batch {
+func (c *Replica) Fetch(ctx context.Context, positions map[metastore.Stream]int64, wait time.Duration) []Batch {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
@@ -208,7 +208,7 @@
 	}
 }
 
-func (c *Copy) lacking(positions map[metastore.Stream]int64) ([]Batch, <-chan struct{}) {
+func (c *Replica) lacking(positions map[metastore.Stream]int64) ([]Batch, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Batch
@@ -227,7 +227,7 @@
 // use, and each holds a whole table, so that what changed in it is returned
 // where its host's table is known.
 func (st *stream) from(s metastore.Stream, at int64) Batch {
-	b := Batch{Stream: s, Next: st.next}
+	b := Batch{Stream: s, NextOffset: st.next}
 	if s == metastore.StreamOwnership {
 		if b.Changes = st.changes(at); b.Changes != nil {
 			return b
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,7 +25,7 @@
 }
 
 // content returns what a copy believes, by key.
-func content(c *Copy) map[string]string {
+func content(c *Replica) map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]string{}
@@ -44,8 +44,8 @@
 	p := gopter.NewProperties(params)
 	p.Property("same content after catching up", prop.ForAll(func(seed uint64) (string, error) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		hub, follower := NewCopy(), NewCopy()
-		hub.Apply(Batch{Stream: ups, Reset: true, Next: 0})
+		hub, follower := NewReplica(), NewReplica()
+		hub.Apply(Batch{Stream: ups, Reset: true, NextOffset: 0})
 		truth := map[string]string{}
 		var log []metastore.Record
 		for range 200 {
@@ -62,25 +62,25 @@
 				if value != "" {
 					truth[key] = value
 				}
-				hub.Apply(Batch{Stream: ups, Records: []metastore.Record{r}, Next: r.Offset + 1})
+				hub.Apply(Batch{Stream: ups, Records: []metastore.Record{r}, NextOffset: r.Offset + 1})
 			case 3: // a piece of the log comes again, or too early
 				if len(log) > 0 {
 					from := rng.IntN(len(log))
-					follower.Apply(Batch{Stream: ups, Records: log[from:], Next: int64(len(log))})
+					follower.Apply(Batch{Stream: ups, Records: log[from:], NextOffset: int64(len(log))})
 				}
 			case 4: // the planner lost the history and read the newest
 				var recs []metastore.Record
 				for k, v := range truth {
 					recs = append(recs, record(0, k, v))
 				}
-				hub.Apply(Batch{Stream: ups, Reset: true, Records: recs, Next: int64(len(log))})
+				hub.Apply(Batch{Stream: ups, Reset: true, Records: recs, NextOffset: int64(len(log))})
 			default:
-				for _, b := range hub.Since(context.Background(), map[metastore.Stream]int64{ups: follower.Next(ups)}, time.Nanosecond) {
+				for _, b := range hub.Fetch(context.Background(), map[metastore.Stream]int64{ups: follower.NextOffset(ups)}, time.Nanosecond) {
 					follower.Apply(b)
 				}
 			}
 		}
-		for _, b := range hub.Since(context.Background(), map[metastore.Stream]int64{ups: follower.Next(ups)}, time.Nanosecond) {
+		for _, b := range hub.Fetch(context.Background(), map[metastore.Stream]int64{ups: follower.NextOffset(ups)}, time.Nanosecond) {
 			follower.Apply(b)
 		}
 		if got := content(follower); fmt.Sprint(got) != fmt.Sprint(truth) {
@@ -93,14 +93,14 @@
 
 // A host that waits is answered as soon as something is new.
 func TestSinceWakesUp(t *testing.T) {
-	c := NewCopy()
-	c.Apply(Batch{Stream: ups, Reset: true, Next: 5})
+	c := NewReplica()
+	c.Apply(Batch{Stream: ups, Reset: true, NextOffset: 5})
 	go func() {
 		time.Sleep(20 * time.Millisecond)
-		c.Apply(Batch{Stream: ups, Records: []metastore.Record{record(5, "u1", "x")}, Next: 6})
+		c.Apply(Batch{Stream: ups, Records: []metastore.Record{record(5, "u1", "x")}, NextOffset: 6})
 	}()
 	start := time.Now()
-	got := c.Since(context.Background(), map[metastore.Stream]int64{ups: 5}, 5*time.Second)
+	got := c.Fetch(context.Background(), map[metastore.Stream]int64{ups: 5}, 5*time.Second)
 	if len(got) != 1 || len(got[0].Records) != 1 || time.Since(start) > time.Second {
 		t.Fatalf("got %+v after %v", got, time.Since(start))
 	}
@@ -109,12 +109,12 @@
 // A host that is further behind than the records kept gets the newest of
 // each key.
 func TestFarBehindGetsTheNewest(t *testing.T) {
-	c := NewCopy()
-	c.Apply(Batch{Stream: ups, Reset: true, Next: 0})
+	c := NewReplica()
+	c.Apply(Batch{Stream: ups, Reset: true, NextOffset: 0})
 	for i := range int64(kept + 10) {
-		c.Apply(Batch{Stream: ups, Records: []metastore.Record{record(i, "u1", fmt.Sprint(i))}, Next: i + 1})
+		c.Apply(Batch{Stream: ups, Records: []metastore.Record{record(i, "u1", fmt.Sprint(i))}, NextOffset: i + 1})
 	}
-	got := c.Since(context.Background(), map[metastore.Stream]int64{ups: 3}, time.Nanosecond)
+	got := c.Fetch(context.Background(), map[metastore.Stream]int64{ups: 3}, time.Nanosecond)
 	if len(got) != 1 || !got[0].Reset || len(got[0].Records) != 1 {
 		t.Fatalf("got %+v", got)
 	}
@@ -123,16 +123,16 @@
 // A copy that was never confirmed is as old as can be, so that nobody relies
 // on it.
 func TestAge(t *testing.T) {
-	c := NewCopy()
+	c := NewReplica()
 	now := time.Now()
 	if c.Age(now) < time.Hour {
 		t.Error("an unconfirmed copy counts as young")
 	}
-	c.Current(metastore.StreamDesired, now)
+	c.MarkCurrent(metastore.StreamDesired, now)
 	if c.Age(now) < time.Hour {
 		t.Error("a copy with an unconfirmed stream counts as young")
 	}
-	c.Current(ups, now.Add(-time.Second))
+	c.MarkCurrent(ups, now.Add(-time.Second))
 	if got := c.Age(now); got != time.Second {
 		t.Errorf("age %v, want that of the older stream", got)
 	}
@@ -140,18 +140,18 @@
 
 // A host that is several ownership records behind is sent the newest only.
 func TestOwnershipIsSentOnce(t *testing.T) {
-	c, follower := NewCopy(), NewCopy()
+	c, follower := NewReplica(), NewReplica()
 	own := metastore.StreamOwnership
-	c.Apply(Batch{Stream: own, Reset: true, Next: 0})
+	c.Apply(Batch{Stream: own, Reset: true, NextOffset: 0})
 	for i := range int64(5) {
-		c.Apply(Batch{Stream: own, Records: []metastore.Record{record(i, "svc", fmt.Sprint("table ", i))}, Next: i + 1})
+		c.Apply(Batch{Stream: own, Records: []metastore.Record{record(i, "svc", fmt.Sprint("table ", i))}, NextOffset: i + 1})
 	}
-	got := c.Since(context.Background(), map[metastore.Stream]int64{own: 1}, time.Nanosecond)
+	got := c.Fetch(context.Background(), map[metastore.Stream]int64{own: 1}, time.Nanosecond)
 	if len(got) != 1 || len(got[0].Records) != 1 || string(got[0].Records[0].Value) != "table 4" {
 		t.Fatalf("sent %+v", got)
 	}
 	follower.Apply(got[0])
-	if follower.Next(own) != 5 {
-		t.Errorf("the follower is at %d, want 5", follower.Next(own))
+	if follower.NextOffset(own) != 5 {
+		t.Errorf("the follower is at %d, want 5", follower.NextOffset(own))
 	}
 }
--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -39,7 +39,7 @@
 
 // KeepTable notes the table that the ownership record at offset holds. Hosts
 // that follow this one are then sent changes.
-func (c *Copy) KeepTable(offset int64, t *ownership.Table) {
+func (c *Replica) KeepTable(offset int64, t *ownership.Table) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.by[metastore.StreamOwnership].keepTable(offset, t)
@@ -62,10 +62,10 @@
 	v.made = map[int64][]byte{}
 }
 
-// Advance takes in tables that changes made, with the offsets of their
+// ApplyTables takes in tables that changes made, with the offsets of their
 // records, up to the record before next. It reports false if the copy has got
 // further in the meantime.
-func (c *Copy) Advance(next int64, made map[int64]*ownership.Table) bool {
+func (c *Replica) ApplyTables(next int64, made map[int64]*ownership.Table) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	st := c.by[metastore.StreamOwnership]
@@ -82,10 +82,10 @@
 	return true
 }
 
-// WantWhole notes that a change did not apply to the tables that this host
+// RequestFullTables notes that a change did not apply to the tables that this host
 // has: a change was lost, or its own reading of the log came in between. It
 // asks for whole tables until it gets them.
-func (c *Copy) WantWhole() {
+func (c *Replica) RequestFullTables() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.by[metastore.StreamOwnership].wanted = true
@@ -127,7 +127,7 @@
 	if data, ok := v.made[base.offset]; ok {
 		return data
 	}
-	data, err := ownership.ChangeOf(base.table, newest.table).Encode()
+	data, err := ownership.Diff(base.table, newest.table).Encode()
 	if err != nil {
 		return nil // the whole table is sent instead
 	}
--- a/internal/relay/tables_test.go
+++ b/internal/relay/tables_test.go
@@ -14,7 +14,7 @@
 // tableHost is a host's copy of the ownership stream with the table in force,
 // as the control loop keeps it.
 type tableHost struct {
-	copy  *Copy
+	copy  *Replica
 	table *ownership.Table
 	// whole counts the bytes of whole tables taken in, changed those of
 	// changes.
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		h.whole += len(r.Value)
-		if h.table == nil || got.Fence > h.table.Fence {
+		if h.table == nil || got.MaxFencingToken > h.table.MaxFencingToken {
 			h.table = got
 		}
 		h.copy.KeepTable(r.Offset, got)
@@ -49,16 +49,16 @@
 	t.Helper()
 	for _, c := range b.Changes {
 		h.changed += len(c.Data)
-		parsed, err := ownership.DecodeChange(c.Data)
+		parsed, err := ownership.DecodeDelta(c.Data)
 		if err != nil {
 			t.Fatal(err)
 		}
 		next, err := parsed.Apply(h.table)
 		if err != nil {
-			h.copy.WantWhole()
+			h.copy.RequestFullTables()
 			return
 		}
-		if h.copy.Advance(b.Next, map[int64]*ownership.Table{c.Offset: next}) {
+		if h.copy.ApplyTables(b.NextOffset, map[int64]*ownership.Table{c.Offset: next}) {
 			h.table = next
 		}
 	}
@@ -66,8 +66,8 @@
 
 // ask is one call of h to the host that it follows.
 func (h *tableHost) ask(from *tableHost) []Batch {
-	at := map[metastore.Stream]int64{metastore.StreamOwnership: h.copy.Position(metastore.StreamOwnership)}
-	return from.copy.Since(context.Background(), at, time.Nanosecond)
+	at := map[metastore.Stream]int64{metastore.StreamOwnership: h.copy.FetchOffset(metastore.StreamOwnership)}
+	return from.copy.Fetch(context.Background(), at, time.Nanosecond)
 }
 
 // A planner records a table several times a second; a relay follows it, and a
@@ -78,7 +78,7 @@
 func TestTablesArriveThroughChanges(t *testing.T) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		planner, relay, host := &tableHost{copy: NewCopy()}, &tableHost{copy: NewCopy()}, &tableHost{copy: NewCopy()}
+		planner, relay, host := &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}
 		planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
 		table := ownership.NewTable("s")
 		var late []Batch
@@ -97,13 +97,13 @@
 			}
 		}
 		for offset := range int64(120) {
-			from := rng.IntN(ownership.Keys - 500)
+			from := rng.IntN(ownership.KeySpaceSize - 500)
 			table = table.Apply([]ownership.Move{{From: from, To: from + rng.IntN(500), NewOwner: fmt.Sprint("u", rng.IntN(30))}})
 			data, err := table.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
-			record := Batch{Stream: metastore.StreamOwnership, Next: offset + 1,
+			record := Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1,
 				Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}}
 			planner.table = table
 			planner.copy.KeepTable(offset, table)
@@ -138,24 +138,24 @@
 // Sent whole, at 10 KB each, they would take more than the 26 KB a second that
 // a host may spend on control; sent as changes they take a few hundred bytes.
 func TestSteadyFollowersAreSentChangesOnly(t *testing.T) {
-	planner, host := &tableHost{copy: NewCopy()}, &tableHost{copy: NewCopy()}
+	planner, host := &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}
 	table := ownership.NewTable("s")
 	var moves []ownership.Move
 	for i := range 900 {
-		moves = append(moves, ownership.Move{From: i * 72, To: i*72 + 71, NewOwner: fmt.Sprintf("i-%010x", i*7919), Handover: fmt.Sprintf("%016x", i*104729)})
+		moves = append(moves, ownership.Move{From: i * 72, To: i*72 + 71, NewOwner: fmt.Sprintf("i-%010x", i*7919), HandoverToken: fmt.Sprintf("%016x", i*104729)})
 	}
 	table = table.Apply(moves)
 	planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
 	const records = 20
 	first := 0
 	for offset := range int64(records) {
-		table = table.Apply([]ownership.Move{{From: int(offset) * 1000, To: int(offset)*1000 + 30, NewOwner: "i-00000000ff", Handover: "0123456789abcdef"}})
+		table = table.Apply([]ownership.Move{{From: int(offset) * 1000, To: int(offset)*1000 + 30, NewOwner: "i-00000000ff", HandoverToken: "0123456789abcdef"}})
 		data, err := table.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		planner.copy.KeepTable(offset, table)
-		planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, Next: offset + 1, Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}})
+		planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1, Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}})
 		for _, b := range host.ask(planner) {
 			host.take(t, b)
 		}
--- a/internal/router/fatal.go
+++ b/internal/router/fatal.go
@@ -15,19 +15,19 @@
 )
 
 // content identifies what a request asks, whichever request it is.
-func content(req *target.Request) crashes.Content {
-	return crashes.Ask{Method: req.Method, Host: req.Service, URI: req.Key, Key: -1, Body: req.Body}.Content()
+func content(req *target.Request) crashes.Fingerprint {
+	return crashes.Request{Method: req.Method, Host: req.Service, URI: req.Key, Key: -1, Body: req.Body}.Fingerprint()
 }
 
 // fatal returns for how much longer requests like req are refused; zero if they
 // are not. A request that had ended three targets went on to end the next owner
 // of its shard, or the next life of the same: 18 in 10 s with one caller.
 func (rt *Router) fatal(req *target.Request, now time.Time) time.Duration {
-	if !rt.crashes.Any() {
+	if !rt.crashes.HasCrashes() {
 		return 0
 	}
 	c := content(req)
-	if left := rt.crashes.Refused(c, now); left > 0 && !rt.crashes.Try(c, now) {
+	if left := rt.crashes.RefusedFor(c, now); left > 0 && !rt.crashes.AllowTrial(c, now) {
 		return left
 	}
 	return 0
@@ -41,16 +41,16 @@
 // servers, not their lives; so the time tells one end from the next.
 func (rt *Router) noteEnd(resp *target.Response, err error, req *target.Request, route routing.Route, now time.Time) {
 	switch {
-	case errors.Is(err, target.ErrEnded):
+	case errors.Is(err, target.ErrCrashed):
 		life := fmt.Sprint(route.Upstream.Name, "@", int64(now.Sub(rt.started)/oneEnd))
-		rt.crashes.Saw(crashes.End{Content: content(req), Server: life, At: now})
-	case err == nil && ran(resp) && rt.crashes.Any():
-		rt.crashes.Survived(content(req))
+		rt.crashes.RecordCrash(crashes.Crash{Fingerprint: content(req), Server: life, At: now})
+	case err == nil && ran(resp) && rt.crashes.HasCrashes():
+		rt.crashes.RecordSuccess(content(req))
 	default:
 		return
 	}
 	// What this host saw is not shared: no other host reads it.
-	rt.crashes.Written(rt.crashes.Pending())
+	rt.crashes.MarkWritten(rt.crashes.Pending())
 	rt.crashes.Expire(now, false)
 }
 
@@ -60,7 +60,7 @@
 }
 
 // refusing logs that a content is refused from now on.
-func (rt *Router) refusing(c crashes.Content) {
-	rt.log.Warn("requests like this end their targets; they are refused", zap.Int("event", events.ContentEndsTargets),
-		zap.String("content", string(c)), zap.Strings("peers", rt.crashes.Servers(c)))
+func (rt *Router) refusing(c crashes.Fingerprint) {
+	rt.log.Warn("requests like this end their targets; they are refused", zap.Int("event", events.FingerprintCrashesTargets),
+		zap.String("content", string(c)), zap.Strings("peers", rt.crashes.CrashedServers(c)))
 }
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -25,6 +25,6 @@
 
 // reported logs a rest that a target asks for, and forgets those that are over.
 func (rt *Router) reported(c feedback.Change) {
-	rt.log.Info("target asked for a rest", zap.Int("event", events.TargetReported), zap.String("peer", c.Upstream), zap.Duration("rest", c.Rest))
+	rt.log.Info("target asked for a rest", zap.Int("event", events.TargetReported), zap.String("peer", c.Upstream), zap.Duration("rest", c.Backoff))
 	rt.reports.Prune(func(string) bool { return true }, time.Now())
 }
--- a/internal/router/rest_test.go
+++ b/internal/router/rest_test.go
@@ -33,7 +33,7 @@
 	assigned := placement.Assign(&svc, []string{"t1"}, 1)
 	table := &routing.Table{ViewAt: time.Now(), Services: map[string]*routing.Service{"sheets": {Spec: &svc, Homes: make([]uint8, svc.ShardCount()),
 		ByDC: []*placement.Assignment{assigned}}}}
-	rt := New(Options{Host: "h", Timeout: time.Second, ViewLease: time.Hour, RetryAfter: 100 * time.Millisecond},
+	rt := New(Options{Host: "h", Timeout: time.Second, MaxViewAge: time.Hour, RetryAfter: 100 * time.Millisecond},
 		func() *routing.Table { return table }, target.NewClient(), zap.NewNop())
 	mux := http.NewServeMux()
 	mux.Handle("/{service}/{key...}", rt)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -41,9 +41,9 @@
 	Host string
 	// Timeout is the default and largest deadline given to a request.
 	Timeout time.Duration
-	// ViewLease is how old the routing view may be for non-idempotent
+	// MaxViewAge is how old the routing view may be for non-idempotent
 	// work; past it such work is refused as not run.
-	ViewLease time.Duration
+	MaxViewAge time.Duration
 	// RetryAfter is told to callers refused for a passing cause.
 	RetryAfter time.Duration
 	// LatencyObjective is the latency past which a request counts as
@@ -57,13 +57,13 @@
 	table   func() *routing.Table
 	targets *target.Client
 	log     *zap.Logger
-	// Refused is told about each fencing refusal so the control loop can
+	// OnFenced is told about each fencing refusal so the control loop can
 	// catch up; it must not block.
-	Refused func(upstream string)
+	OnFenced func(upstream string)
 	// Burns counts requests for the service-level burn report.
 	Burns *burn.Recorder
 	// crashes are the targets that ended under requests, as this host saw.
-	crashes *crashes.Ledger
+	crashes *crashes.Tracker
 	// reports are what targets report of themselves in their answers.
 	reports *feedback.Tracker
 	started time.Time
@@ -71,16 +71,16 @@
 
 // New returns a router reading tables from table.
 func New(opts Options, table func() *routing.Table, targets *target.Client, log *zap.Logger) *Router {
-	rt := &Router{started: time.Now(), opts: opts, table: table, targets: targets, log: log, Refused: func(string) {},
+	rt := &Router{started: time.Now(), opts: opts, table: table, targets: targets, log: log, OnFenced: func(string) {},
 		reports: feedback.NewTracker(), Burns: burn.NewRecorder(opts.LatencyObjective)}
-	rt.reports.Changed = rt.reported
-	rt.crashes = crashes.NewLedger(rt.refusing)
-	rt.crashes.TryIf(func() bool { return true }) // no other host shares what it sees
+	rt.reports.OnChange = rt.reported
+	rt.crashes = crashes.NewTracker(rt.refusing)
+	rt.crashes.AllowTrialsIf(func() bool { return true }) // no other host shares what it sees
 	return rt
 }
 
 // Crashes returns the targets' ends that this host has seen.
-func (rt *Router) Crashes() *crashes.Ledger { return rt.crashes }
+func (rt *Router) Crashes() *crashes.Tracker { return rt.crashes }
 
 // unknownLabel stands for every service name not in the manifest in
 // metrics and burn counts.
@@ -130,7 +130,7 @@
 	if t == nil {
 		return nil, refusal.New(refusal.NotReady, StepView, "", refusal.NotRun, rt.opts.RetryAfter, "no manifest in force yet")
 	}
-	if !idempotent(req.Method) && now.Sub(t.ViewAt) > rt.opts.ViewLease {
+	if !idempotent(req.Method) && now.Sub(t.ViewAt) > rt.opts.MaxViewAge {
 		return nil, refusal.New(refusal.StaleView, StepView, "", refusal.NotRun, rt.opts.RetryAfter,
 			"placement view too old for non-idempotent work")
 	}
@@ -139,11 +139,11 @@
 		return nil, ref
 	}
 	req.Shard, req.FencingToken = route.Shard, route.FencingToken
-	if rest := rt.reports.Rest(route.Upstream.Name, now); rest > 0 {
+	if rest := rt.reports.Backoff(route.Upstream.Name, now); rest > 0 {
 		return nil, refusal.New(refusal.Shed, StepForward, route.Upstream.Name, refusal.NotRun, rest, "the target asked for a rest")
 	}
 	if left := rt.fatal(req, now); left > 0 {
-		return nil, refusal.New(refusal.EndsTargets, StepForward, "", refusal.NotRun, left, "targets ended while they ran this request")
+		return nil, refusal.New(refusal.CrashesTargets, StepForward, "", refusal.NotRun, left, "targets ended while they ran this request")
 	}
 	resp, err := rt.targets.Forward(r.Context(), route.Upstream, req)
 	rt.noteEnd(resp, err, req, route, time.Now())
@@ -204,17 +204,17 @@
 	if resp.Header.Get(target.HeaderNotRun) == "1" {
 		switch resp.Status {
 		case http.StatusConflict:
-			rt.Refused(peer)
+			rt.OnFenced(peer)
 			return nil, refusal.New(refusal.Fenced, StepForward, peer, refusal.NotRun, rt.opts.RetryAfter, string(resp.Body))
 		default:
-			back := max(rt.opts.RetryAfter, rt.reports.Rest(peer, time.Now()))
+			back := max(rt.opts.RetryAfter, rt.reports.Backoff(peer, time.Now()))
 			return nil, refusal.New(refusal.Shed, StepForward, peer, refusal.NotRun, back, string(resp.Body))
 		}
 	}
 	if resp.Status < 300 && resp.Header.Get(target.HeaderRequestID) != req.RequestID {
-		rt.log.Warn("crossed answer", zap.Int("event", events.CrossedAnswer), zap.String("peer", peer),
+		rt.log.Warn("crossed answer", zap.Int("event", events.MismatchedResponse), zap.String("peer", peer),
 			zap.String("want", req.RequestID), zap.String("got", resp.Header.Get(target.HeaderRequestID)))
-		return nil, refusal.New(refusal.CrossedAnswer, StepAnswer, peer, refusal.Unknown, rt.opts.RetryAfter, "answer belongs to another request")
+		return nil, refusal.New(refusal.MismatchedResponse, StepAnswer, peer, refusal.Unknown, rt.opts.RetryAfter, "answer belongs to another request")
 	}
 	return resp, nil
 }
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -8,9 +8,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// Entry holds the settings of an entry host on the platform. The platform
+// EntryHost holds the settings of an entry host on the platform. The platform
 // fills in the template deploy/entry.ini.
-type Entry struct {
+type EntryHost struct {
 	// [host]
 	Host          string // name: this host's name
 	DataCentre    string // data_centre: the data centre it runs in
@@ -25,25 +25,25 @@
 	CPUShare, LinkMbps float64
 
 	// [log]
-	LogAddr string        // addr: host:port of the log service
-	SeatMin time.Duration // seat_min: the shortest time to live the service takes for a group's member
+	LogAddr     string        // addr: host:port of the log service
+	MinLeaseTTL time.Duration // seat_min: the shortest time to live the service takes for a group's member
 
 	// [bounds], each from the platform
-	HoldMax      time.Duration // hold_max: the longest grant an upstream takes
-	Grace        time.Duration // grace: from the stop signal to the kill
-	RepeatRatio  float64       // repeat_ratio: repeats allowed for each request, over all hosts
-	RepeatSlack  float64       // repeat_slack: repeats allowed beside those, over all hosts
-	RepeatWindow time.Duration // repeat_window: the span over which both count
+	MaxGrantTTL       time.Duration // hold_max: the longest grant an upstream takes
+	ShutdownGrace     time.Duration // grace: from the stop signal to the kill
+	RetryBudgetRatio  float64       // repeat_ratio: repeats allowed for each request, over all hosts
+	RetryBudgetSlack  float64       // repeat_slack: repeats allowed beside those, over all hosts
+	RetryBudgetWindow time.Duration // repeat_window: the span over which both count
 	// slow_start_factor and slow_start_slack: in any second a cold upstream may
 	// get the requests that it bears times the factor, plus the slack.
 	SlowStartFactor, SlowStartSlack float64
-	Evacuate                        time.Duration // evacuate: from the order to evacuate a data centre to the last request there
+	EvacuationTimeout               time.Duration // evacuate: from the order to evacuate a data centre to the last request there
 
-	Drain time.Duration // drain: from an answer that says its upstream leaves to the last request there
+	DrainTimeout time.Duration // drain: from an answer that says its upstream leaves to the last request there
 
 	// [ownership]
-	Hold    time.Duration // hold: how long a grant lasts
-	ViewAge time.Duration // view_age: how long grants are renewed without word from the log service
+	GrantTTL   time.Duration // hold: how long a grant lasts
+	MaxViewAge time.Duration // view_age: how long grants are renewed without word from the log service
 }
 
 var entrySchema = map[string]map[string]string{
@@ -56,8 +56,8 @@
 	"ownership": {"hold": "3s", "view_age": "6s"},
 }
 
-// LoadEntry reads and checks an entry host's settings file.
-func LoadEntry(path string) (*Entry, error) {
+// LoadEntryHost reads and checks an entry host's settings file.
+func LoadEntryHost(path string) (*EntryHost, error) {
 	f, err := ini.Load(path)
 	if err != nil {
 		return nil, eris.Wrapf(err, "settings %s", path)
@@ -66,8 +66,8 @@
 	return e, eris.Wrapf(err, "settings %s", path)
 }
 
-// ParseEntry reads and checks settings from INI text.
-func ParseEntry(data []byte) (*Entry, error) {
+// ParseEntryHost reads and checks settings from INI text.
+func ParseEntryHost(data []byte) (*EntryHost, error) {
 	f, err := ini.Load(data)
 	if err != nil {
 		return nil, eris.Wrap(err, "settings")
@@ -75,36 +75,36 @@
 	return entryFromFile(f)
 }
 
-func entryFromFile(f *ini.File) (*Entry, error) {
+func entryFromFile(f *ini.File) (*EntryHost, error) {
 	if err := checkKnown(f, entrySchema); err != nil {
 		return nil, err
 	}
 	r := &reader{f: f, schema: entrySchema}
-	e := &Entry{
-		Host:            r.str("host", "name"),
-		DataCentre:      r.str("host", "data_centre"),
-		Listen:          r.hostPort("host", "listen"),
-		ReadyListen:     r.hostPort("host", "ready_listen"),
-		PeerListen:      r.hostPort("host", "peer_listen"),
-		MetricsListen:   r.hostPort("host", "metrics_listen"),
-		LogLevel:        r.str("host", "log_level"),
-		MemoryMB:        r.count("host", "memory_mb"),
-		FirstStart:      r.boolean("host", "first_start"),
-		CPUShare:        r.fraction("host", "cpu_share"),
-		LinkMbps:        r.fraction("host", "link_mbps"),
-		LogAddr:         r.hostPort("log", "addr"),
-		SeatMin:         r.duration("log", "seat_min"),
-		HoldMax:         r.duration("bounds", "hold_max"),
-		Grace:           r.duration("bounds", "grace"),
-		RepeatRatio:     r.fraction("bounds", "repeat_ratio"),
-		RepeatSlack:     r.fraction("bounds", "repeat_slack"),
-		RepeatWindow:    r.duration("bounds", "repeat_window"),
-		SlowStartFactor: r.fraction("bounds", "slow_start_factor"),
-		SlowStartSlack:  r.fraction("bounds", "slow_start_slack"),
-		Evacuate:        r.duration("bounds", "evacuate"),
-		Drain:           r.duration("bounds", "drain"),
-		Hold:            r.duration("ownership", "hold"),
-		ViewAge:         r.duration("ownership", "view_age"),
+	e := &EntryHost{
+		Host:              r.str("host", "name"),
+		DataCentre:        r.str("host", "data_centre"),
+		Listen:            r.hostPort("host", "listen"),
+		ReadyListen:       r.hostPort("host", "ready_listen"),
+		PeerListen:        r.hostPort("host", "peer_listen"),
+		MetricsListen:     r.hostPort("host", "metrics_listen"),
+		LogLevel:          r.str("host", "log_level"),
+		MemoryMB:          r.count("host", "memory_mb"),
+		FirstStart:        r.boolean("host", "first_start"),
+		CPUShare:          r.fraction("host", "cpu_share"),
+		LinkMbps:          r.fraction("host", "link_mbps"),
+		LogAddr:           r.hostPort("log", "addr"),
+		MinLeaseTTL:       r.duration("log", "seat_min"),
+		MaxGrantTTL:       r.duration("bounds", "hold_max"),
+		ShutdownGrace:     r.duration("bounds", "grace"),
+		RetryBudgetRatio:  r.fraction("bounds", "repeat_ratio"),
+		RetryBudgetSlack:  r.fraction("bounds", "repeat_slack"),
+		RetryBudgetWindow: r.duration("bounds", "repeat_window"),
+		SlowStartFactor:   r.fraction("bounds", "slow_start_factor"),
+		SlowStartSlack:    r.fraction("bounds", "slow_start_slack"),
+		EvacuationTimeout: r.duration("bounds", "evacuate"),
+		DrainTimeout:      r.duration("bounds", "drain"),
+		GrantTTL:          r.duration("ownership", "hold"),
+		MaxViewAge:        r.duration("ownership", "view_age"),
 	}
 	if r.err != nil {
 		return nil, r.err
@@ -112,8 +112,8 @@
 	if !logLevels[e.LogLevel] {
 		return nil, eris.Errorf("[host] log_level = %q: want debug, info, warn or error", e.LogLevel)
 	}
-	if e.Hold > e.HoldMax {
-		return nil, eris.Errorf("[ownership] hold %s is over [bounds] hold_max %s", e.Hold, e.HoldMax)
+	if e.GrantTTL > e.MaxGrantTTL {
+		return nil, eris.Errorf("[ownership] hold %s is over [bounds] hold_max %s", e.GrantTTL, e.MaxGrantTTL)
 	}
 	return e, nil
 }
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -9,11 +9,11 @@
 	f.Add([]byte("[ownership]\nhold = 20s\n[bounds]\nhold_max = 10s\n"))
 	f.Add([]byte("[host\nname"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		e, err := ParseEntry(data)
+		e, err := ParseEntryHost(data)
 		if err != nil {
 			return
 		}
-		if e.Host == "" || e.LogAddr == "" || e.Hold <= 0 || e.Hold > e.HoldMax || e.RepeatRatio < 0 {
+		if e.Host == "" || e.LogAddr == "" || e.GrantTTL <= 0 || e.GrantTTL > e.MaxGrantTTL || e.RetryBudgetRatio < 0 {
 			t.Errorf("accepted %+v", e)
 		}
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,9 +26,9 @@
 	// [routing]
 	RequestTimeout time.Duration // request_timeout: largest deadline per request
 	AttemptTimeout time.Duration // attempt_timeout: first attempt of an idempotent request before a retry on a new connection
-	ViewLease      time.Duration // view_lease: oldest view for non-idempotent work
+	MaxViewAge     time.Duration // view_lease: oldest view for non-idempotent work
 	RetryAfter     time.Duration // retry_after: told to callers refused for a passing cause
-	GrantLease     time.Duration // grant_lease: lease of a grant at a target
+	GrantTTL       time.Duration // grant_lease: lease of a grant at a target
 	ProbeInterval  time.Duration // probe_interval
 	ProbeFailures  int           // probe_failures: failed probes in a row that mark an upstream down
 	SnapshotEvery  int           // snapshot_every: placement records between snapshots
@@ -42,9 +42,9 @@
 	HostListInterval time.Duration // poll_interval
 
 	// [membership]
-	HeartbeatInterval time.Duration // heartbeat_interval: how often this host appends a heartbeat
-	HostLease         time.Duration // host_lease: how long a silent host still counts as alive
-	Renewers          int           // renewers: live hosts that grant and probe each upstream
+	HeartbeatInterval   time.Duration // heartbeat_interval: how often this host appends a heartbeat
+	HeartbeatTimeout    time.Duration // host_lease: how long a silent host still counts as alive
+	RenewersPerUpstream int           // renewers: live hosts that grant and probe each upstream
 
 	// [objectives]
 	LatencyObjective time.Duration // latency: a request answered later counts as slow
@@ -62,8 +62,8 @@
 	"objectives": {"latency": "16ms"},
 }
 
-// Load reads and checks the settings file at path.
-func Load(path string) (*Daemon, error) {
+// LoadDaemon reads and checks the settings file at path.
+func LoadDaemon(path string) (*Daemon, error) {
 	f, err := ini.Load(path)
 	if err != nil {
 		return nil, eris.Wrapf(err, "settings %s", path)
@@ -72,8 +72,8 @@
 	return d, eris.Wrapf(err, "settings %s", path)
 }
 
-// Parse reads and checks settings from INI text.
-func Parse(data []byte) (*Daemon, error) {
+// ParseDaemon reads and checks settings from INI text.
+func ParseDaemon(data []byte) (*Daemon, error) {
 	f, err := ini.Load(data)
 	if err != nil {
 		return nil, eris.Wrap(err, "settings")
@@ -196,20 +196,20 @@
 		LogAddr:          r.baseURL("log", "addr"),
 		PollInterval:     r.duration("log", "poll_interval"),
 		RequestTimeout:   r.duration("routing", "request_timeout"),
-		ViewLease:        r.duration("routing", "view_lease"),
+		MaxViewAge:       r.duration("routing", "view_lease"),
 		RetryAfter:       r.duration("routing", "retry_after"),
-		GrantLease:       r.duration("routing", "grant_lease"),
+		GrantTTL:         r.duration("routing", "grant_lease"),
 		ProbeInterval:    r.duration("routing", "probe_interval"),
 		ProbeFailures:    r.count("routing", "probe_failures"),
 		SnapshotEvery:    r.count("routing", "snapshot_every"),
 		SnapshotInterval: r.duration("routing", "snapshot_interval"),
 		ShutdownGrace:    r.duration("routing", "shutdown_grace"),
 
-		HostListAddr:      r.optionalURL("hosts", "addr"),
-		HostListInterval:  r.duration("hosts", "poll_interval"),
-		HeartbeatInterval: r.duration("membership", "heartbeat_interval"),
-		HostLease:         r.duration("membership", "host_lease"),
-		Renewers:          r.count("membership", "renewers"),
+		HostListAddr:        r.optionalURL("hosts", "addr"),
+		HostListInterval:    r.duration("hosts", "poll_interval"),
+		HeartbeatInterval:   r.duration("membership", "heartbeat_interval"),
+		HeartbeatTimeout:    r.duration("membership", "host_lease"),
+		RenewersPerUpstream: r.count("membership", "renewers"),
 
 		LatencyObjective: r.duration("objectives", "latency"),
 	}
@@ -219,8 +219,8 @@
 	if !logLevels[d.LogLevel] {
 		return nil, eris.Errorf("[host] log_level = %q: want debug, info, warn or error", d.LogLevel)
 	}
-	if d.ViewLease < d.GrantLease {
-		return nil, eris.Errorf("[routing] view_lease %s is shorter than grant_lease %s", d.ViewLease, d.GrantLease)
+	if d.MaxViewAge < d.GrantTTL {
+		return nil, eris.Errorf("[routing] view_lease %s is shorter than grant_lease %s", d.MaxViewAge, d.GrantTTL)
 	}
 	return d, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestExampleLoads(t *testing.T) {
-	d, err := Load("../../examples/papayatided.ini")
+	d, err := LoadDaemon("../../examples/papayatided.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.DataCentre != "bangna" || d.GrantLease != time.Second || d.ProbeFailures != 3 {
+	if d.DataCentre != "bangna" || d.GrantTTL != time.Second || d.ProbeFailures != 3 {
 		t.Fatalf("unexpected settings %+v", d)
 	}
 }
@@ -33,7 +33,7 @@
 		"probe_failures":         strings.Replace(good, "probe_failures  = 3", "probe_failures = 0", 1),
 	}
 	for want, bad := range cases {
-		_, err := Parse([]byte(bad))
+		_, err := ParseDaemon([]byte(bad))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want error naming %q, got %v", want, err)
 		}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -149,7 +149,7 @@
 	if method == http.MethodPost {
 		body = bodyOf("body of " + o.id)
 	}
-	o.exchange(ctx, hc, method, vhost, plainPath, body, r.IntN(ownership.Keys))
+	o.exchange(ctx, hc, method, vhost, plainPath, body, r.IntN(ownership.KeySpaceSize))
 	o.ended = time.Now()
 	return o
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -22,7 +22,7 @@
 	at    string
 }
 
-func (w *World) runs() map[string]ran {
+func (w *Environment) runs() map[string]ran {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]ran{}
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -25,7 +25,7 @@
 
 // slowStart is that of upstreams that come back, and coldMost what a cold one may
 // get in a second by the hosts' settings.
-var slowStart = desired.SlowStart{Lasts: 3 * time.Second, PerSecond: 4}
+var slowStart = desired.SlowStart{Duration: 3 * time.Second, PerSecond: 4}
 
 const coldMost = 4*1.5 + 8
 
@@ -60,7 +60,7 @@
 
 // takeBack ends the evacuation. Upstreams that had nothing to do for long enough
 // have become cold, which their entries tell a little later.
-func (w *World) takeBack(cold bool) {
+func (w *Environment) takeBack(cold bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.log.Put(metastore.StreamDesired, standin.EvacuationKey(far), nil)
@@ -92,7 +92,7 @@
 		if l.coldFrom.IsZero() {
 			continue
 		}
-		if n := l.MostInASecond(l.coldFrom, l.coldFrom.Add(w.slow.Lasts)); float64(n) > coldMost {
+		if n := l.PeakInSecond(l.coldFrom, l.coldFrom.Add(w.slow.Duration)); float64(n) > coldMost {
 			bad = append(bad, fmt.Sprintf("%s: FAILBACK: %d requests in a second at %s, cold; at most %v", l.coldFrom.Format(stamp), n, l.ID, coldMost))
 		}
 	}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -19,7 +19,7 @@
 
 // injector draws faults from a seed and lets them overlap.
 type injector struct {
-	world *World
+	world *Environment
 	hosts []*Host
 	rng   *rand.Rand
 	// forgeSeed is that of forgeEntries.
@@ -121,7 +121,7 @@
 func (in *injector) stopHost(context.Context) {
 	h := in.host()
 	in.during("stop "+h.Name, h, h, 0, h.Stop, func() {
-		if !h.AwaitEnd(graceTime) {
+		if !h.AwaitExit(graceTime) {
 			h.Kill()
 		}
 		in.restart(h)
@@ -130,7 +130,7 @@
 
 // restart starts a host again once its process is gone.
 func (in *injector) restart(h *Host) {
-	if !h.AwaitEnd(endPatience) {
+	if !h.AwaitExit(endPatience) {
 		in.breach(fmt.Sprintf("%s: a killed process does not end", h.Name))
 		return
 	}
@@ -239,7 +239,7 @@
 	back := in.between(200*time.Millisecond, 1800*time.Millisecond)
 	switch in.rng.IntN(3) {
 	case 0:
-		in.during("log service forgets", nil, log, 0, log.Forget, func() {})
+		in.during("log service forgets", nil, log, 0, log.Compact, func() {})
 	default:
 		in.during("log service down", nil, log, in.between(300*time.Millisecond, 6*time.Second), func() { log.SetDown(true) }, func() {
 			in.world.relist(back)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -74,7 +74,7 @@
 func freeAddrs(n int) ([]string, error) {
 	var out []string
 	for range n {
-		a, err := ports.Free()
+		a, err := ports.FreeAddr()
 		if err != nil {
 			return nil, err
 		}
@@ -176,8 +176,8 @@
 func (h *Host) Pause()  { h.signal(syscall.SIGSTOP) }
 func (h *Host) Resume() { h.signal(syscall.SIGCONT) }
 
-// AwaitEnd waits until the process has ended, for at most d.
-func (h *Host) AwaitEnd(d time.Duration) bool {
+// AwaitExit waits until the process has ended, for at most d.
+func (h *Host) AwaitExit(d time.Duration) bool {
 	h.mu.Lock()
 	gone, running := h.gone, h.cmd != nil
 	h.mu.Unlock()
@@ -203,7 +203,7 @@
 func (h *Host) shutDown() {
 	h.Resume()
 	h.Kill()
-	h.AwaitEnd(endPatience)
+	h.AwaitExit(endPatience)
 	h.Front.Close()
 	h.Log.Close()
 }
--- a/internal/soak/reports.go
+++ b/internal/soak/reports.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/papayatide/papayatide/internal/standin/ranged"
+	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
 const (
@@ -25,7 +25,7 @@
 // report is a time for which an upstream's life reported the same.
 type report struct {
 	life *life
-	says ranged.Says
+	says rangeowner.Report
 	from time.Time
 }
 
@@ -42,9 +42,9 @@
 		d := time.Duration(rng.Int64N(int64(reportMost)))
 		switch rng.IntN(3) {
 		case 0:
-			in.say(p, ranged.Says{Limit: 0.5 + 8*rng.Float64()}, d)
+			in.say(p, rangeowner.Report{RateLimit: 0.5 + 8*rng.Float64()}, d)
 		case 1:
-			in.say(p, ranged.Says{Rest: restFor}, d)
+			in.say(p, rangeowner.Report{Backoff: restFor}, d)
 		case 2:
 			in.leave(p, rng.IntN(2) == 0)
 		}
@@ -52,11 +52,11 @@
 }
 
 // say has the place's upstream report for a time, or until its life ends.
-func (in *injector) say(p *place, says ranged.Says, d time.Duration) {
+func (in *injector) say(p *place, says rangeowner.Report, d time.Duration) {
 	var l *life
 	in.during(fmt.Sprintf("upstream %s reports %+v", p.proxy.Addr(), says), nil, reportsOf{p}, d,
 		func() { l = in.begin(p, says) },
-		func() { l.Say(ranged.Says{}) })
+		func() { l.SetReport(rangeowner.Report{}) })
 }
 
 // leave has the place's upstream report that it leaves, and end some time later. Its
@@ -64,7 +64,7 @@
 func (in *injector) leave(p *place, listed bool) {
 	in.during("upstream "+p.proxy.Addr()+" reports that it leaves", nil, p, leavingFor,
 		func() {
-			l := in.begin(p, ranged.Says{Leaving: true})
+			l := in.begin(p, rangeowner.Report{Leaving: true})
 			if listed {
 				in.world.list(l, true)
 			}
@@ -76,11 +76,11 @@
 }
 
 // begin has the place's present life report something and notes it.
-func (in *injector) begin(p *place, says ranged.Says) *life {
+func (in *injector) begin(p *place, says rangeowner.Report) *life {
 	in.world.mu.Lock()
 	l := p.life
 	in.world.mu.Unlock()
-	l.Say(says)
+	l.SetReport(says)
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.reports = append(in.reports, report{l, says, time.Now()})
@@ -97,17 +97,17 @@
 	for _, r := range in.reports {
 		all := r.life.Arrivals(r.from, time.Now())
 		for i, a := range all {
-			if a.Says != r.says {
+			if a.Report != r.says {
 				all = all[:i]
 				break
 			}
 		}
 		switch {
-		case r.says.Limit > 0:
+		case r.says.RateLimit > 0:
 			bad = append(bad, in.checkLimit(r, all, by)...)
 		case r.says.Leaving:
 			bad = append(bad, in.checkLeaving(r, all, by)...)
-		case r.says.Rest > 0:
+		case r.says.Backoff > 0:
 			bad = append(bad, in.checkRest(r, all, by)...)
 		}
 	}
@@ -115,7 +115,7 @@
 }
 
 // passedOn returns when each host first passed on an answer with the report.
-func passedOn(all []ranged.Arrival, by map[string]*outcome) map[*Host]time.Time {
+func passedOn(all []rangeowner.Arrival, by map[string]*outcome) map[*Host]time.Time {
 	first := map[*Host]time.Time{}
 	for _, a := range all {
 		o := by[a.ID]
@@ -129,27 +129,27 @@
 	return first
 }
 
-func (in *injector) checkLimit(r report, all []ranged.Arrival, by map[string]*outcome) (bad []string) {
+func (in *injector) checkLimit(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
 	first := passedOn(all, by)
-	var counted []ranged.Arrival
+	var counted []rangeowner.Arrival
 	for _, a := range all {
 		o := by[a.ID]
 		if o == nil {
 			continue
 		}
 		at, ok := first[o.host]
-		if ok && a.At.Sub(at) > ranged.BoundAfter && in.untouched(o.host, r.life.place, at, a.At) {
+		if ok && a.At.Sub(at) > rangeowner.ReportGrace && in.untouched(o.host, r.life.place, at, a.At) {
 			counted = append(counted, a)
 		}
 	}
-	if n, most := ranged.Most(counted, ranged.LimitWindow), ranged.MostWithin(r.says.Limit); n > most {
+	if n, most := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(r.says.RateLimit); n > most {
 		bad = append(bad, fmt.Sprintf("%s: LIMIT: %d requests within %v reached %s, which takes %.2f a second; at most %d",
-			r.from.Format(stamp), n, ranged.LimitWindow, r.life.ID, r.says.Limit, most))
+			r.from.Format(stamp), n, rangeowner.RateLimitWindow, r.life.ID, r.says.RateLimit, most))
 	}
 	return bad
 }
 
-func (in *injector) checkLeaving(r report, all []ranged.Arrival, by map[string]*outcome) (bad []string) {
+func (in *injector) checkLeaving(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
 	first := passedOn(all, by)
 	for _, a := range all {
 		o := by[a.ID]
@@ -157,7 +157,7 @@
 			continue
 		}
 		at, ok := first[o.host]
-		if ok && o.began.Sub(at) > ranged.DrainBound && in.unstopped(o.host, at, a.At) {
+		if ok && o.began.Sub(at) > rangeowner.DrainGrace && in.unstopped(o.host, at, a.At) {
 			bad = append(bad, fmt.Sprintf("%s: DRAIN: %s reached %s through %s %v after that had passed on that it leaves",
 				a.At.Format(stamp), a.ID, r.life.ID, o.host.Name, a.At.Sub(at)))
 		}
@@ -165,15 +165,15 @@
 	return bad
 }
 
-func (in *injector) checkRest(r report, all []ranged.Arrival, by map[string]*outcome) (bad []string) {
-	byHost := map[*Host][]ranged.Arrival{}
+func (in *injector) checkRest(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
+	byHost := map[*Host][]rangeowner.Arrival{}
 	for _, a := range all {
 		if o := by[a.ID]; o != nil {
 			byHost[o.host] = append(byHost[o.host], a)
 		}
 	}
 	for h, its := range byHost {
-		n, asked := ranged.OverRest(its, restFor, func(asked, at time.Time) bool { return in.untouched(h, r.life.place, asked, at) })
+		n, asked := rangeowner.BackoffViolation(its, restFor, func(asked, at time.Time) bool { return in.untouched(h, r.life.place, asked, at) })
 		if n > 0 {
 			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a rest of %v", asked.Format(stamp), n, h.Name, r.life.ID, restFor))
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -25,8 +25,8 @@
 	Seed uint64
 	// Faults is how long faults are injected.
 	Faults time.Duration
-	// Fatal has callers ask for requests that end the upstreams that run them.
-	Fatal bool
+	// CrashRequests has callers ask for requests that end the upstreams that run them.
+	CrashRequests bool
 	// Evacuate has the far data centre evacuated and taken back, cold, now and
 	// then, and upstreams that come back start slowly.
 	Evacuate bool
@@ -38,8 +38,8 @@
 
 // Report is what a run saw.
 type Report struct {
-	// Breaches are promises that were not kept.
-	Breaches []string
+	// Violations are promises that were not kept.
+	Violations []string
 	// Faults are what was injected, in order.
 	Faults []string
 	// Requests and Served count the callers' requests and those answered
@@ -101,7 +101,7 @@
 }
 
 // play lets callers, faults and the calm after them run, and checks.
-func play(ctx context.Context, opts Options, w *World, hosts []*Host) *Report {
+func play(ctx context.Context, opts Options, w *Environment, hosts []*Host) *Report {
 	cctx, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
 	c := &callers{hosts: hosts}
@@ -113,7 +113,7 @@
 	in := &injector{world: w, hosts: hosts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), forgeSeed: opts.Seed,
 		downs: rand.New(rand.NewPCG(opts.Seed, 3)), busy: map[any]bool{}}
 	fctx, cancel := context.WithTimeout(ctx, opts.Faults)
-	if opts.Fatal {
+	if opts.CrashRequests {
 		// They are faults too: what they end is down while they are asked for.
 		w.setFatal(in.endUnder)
 		in.wg.Go(func() { c.askForFatal(fctx, opts.Seed) })
@@ -127,13 +127,13 @@
 	in.run(fctx)
 	cancel()
 	if opts.Evacuate {
-		sleep(ctx, slowStart.Lasts+beatEvery) // the last ones to come back are cold until then
+		sleep(ctx, slowStart.Duration+beatEvery) // the last ones to come back are cold until then
 	}
 	r := &Report{}
 	took, key := awaitServed(hosts, recoverWithin)
 	r.Recovered = took
 	if key >= 0 {
-		r.Breaches = append(r.Breaches, fmt.Sprintf("RECOVER: key %d is not served %v after the last fault", key, took))
+		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: key %d is not served %v after the last fault", key, took))
 	}
 	calmFrom := time.Now()
 	sleep(ctx, calmSpan)
@@ -144,7 +144,7 @@
 }
 
 // sum checks what was seen and writes it into the report.
-func (r *Report) sum(c *callers, w *World, in *injector, calmFrom time.Time) {
+func (r *Report) sum(c *callers, w *Environment, in *injector, calmFrom time.Time) {
 	calm, calmServed := 0, 0
 	for _, o := range c.outcomes {
 		r.Requests++
@@ -160,18 +160,18 @@
 		}
 	}
 	if float64(calmServed) < calmShare*float64(calm) {
-		r.Breaches = append(r.Breaches, fmt.Sprintf("RECOVER: %d of %d requests served once all was calm", calmServed, calm))
+		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: %d of %d requests served once all was calm", calmServed, calm))
 	}
-	r.Breaches = append(r.Breaches, check(c.outcomes, w.runs(), in)...)
-	r.Breaches = append(r.Breaches, in.checkFatal(c.outcomes)...)
-	r.Breaches = append(r.Breaches, in.checkCold()...)
-	r.Breaches = append(r.Breaches, in.checkReports(c.outcomes)...)
-	r.Breaches = append(r.Breaches, in.checkEvacuated(c.outcomes)...)
+	r.Violations = append(r.Violations, check(c.outcomes, w.runs(), in)...)
+	r.Violations = append(r.Violations, in.checkFatal(c.outcomes)...)
+	r.Violations = append(r.Violations, in.checkCold()...)
+	r.Violations = append(r.Violations, in.checkReports(c.outcomes)...)
+	r.Violations = append(r.Violations, in.checkEvacuated(c.outcomes)...)
 	w.mu.Lock()
-	r.Breaches = append(r.Breaches, w.breaches...)
+	r.Violations = append(r.Violations, w.breaches...)
 	w.mu.Unlock()
 	for _, h := range in.hosts {
-		r.Breaches = append(r.Breaches, h.Failures()...)
+		r.Violations = append(r.Violations, h.Failures()...)
 	}
 	for _, f := range in.faults {
 		r.Faults = append(r.Faults, fmt.Sprintf("%s to %s %s", f.from.Format(stamp), f.to.Format(stamp), f.what))
@@ -189,7 +189,7 @@
 	defer hc.CloseIdleConnections()
 	for i := 0; i < probes*len(hosts); {
 		o := &outcome{id: fmt.Sprint("probe-", time.Now().UnixNano()), host: hosts[i%len(hosts)]}
-		key := i / len(hosts) * (ownership.Keys / probes)
+		key := i / len(hosts) * (ownership.KeySpaceSize / probes)
 		o.exchange(context.Background(), hc, http.MethodGet, readHost, plainPath, nil, key)
 		if o.err == nil && o.status == http.StatusOK {
 			i++
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -103,16 +103,16 @@
 			t.Fatal(err)
 		}
 	}
-	r, err := Run(context.Background(), Options{Binary: binary, Dir: dir, Seed: this.seed, Fatal: this.fatal, Evacuate: this.evacuate, Reports: this.reports, Faults: *span, Hosts: 4, Keyed: 4, Plain: 2, Callers: 12})
+	r, err := Run(context.Background(), Options{Binary: binary, Dir: dir, Seed: this.seed, CrashRequests: this.fatal, Evacuate: this.evacuate, Reports: this.reports, Faults: *span, Hosts: 4, Keyed: 4, Plain: 2, Callers: 12})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%d requests, %d served, %d faults, all served again after %v", r.Requests, r.Served, len(r.Faults), r.Recovered.Round(time.Millisecond))
-	if len(r.Breaches) == 0 {
+	if len(r.Violations) == 0 {
 		if *keep != "" {
 			_ = os.RemoveAll(dir)
 		}
 		return
 	}
-	t.Errorf("%d breaches:\n%s\nfaults:\n%s", len(r.Breaches), strings.Join(r.Breaches[:min(len(r.Breaches), 20)], "\n"), strings.Join(r.Faults, "\n"))
+	t.Errorf("%d breaches:\n%s\nfaults:\n%s", len(r.Violations), strings.Join(r.Violations[:min(len(r.Violations), 20)], "\n"), strings.Join(r.Faults, "\n"))
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -15,7 +15,7 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 	"github.com/papayatide/papayatide/internal/standin/memstore"
 	"github.com/papayatide/papayatide/internal/standin/ports"
-	"github.com/papayatide/papayatide/internal/standin/ranged"
+	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 	"github.com/papayatide/papayatide/platform"
 	"github.com/papayatide/papayatide/platform/standin"
 )
@@ -52,7 +52,7 @@
 
 // life is one upstream from its start to its end.
 type life struct {
-	*ranged.Upstream
+	*rangeowner.Upstream
 	place *place
 	// start tells lives with one ID apart.
 	start int64
@@ -62,8 +62,8 @@
 	coldFrom time.Time
 }
 
-// World is the platform and the upstreams.
-type World struct {
+// Environment is the platform and the upstreams.
+type Environment struct {
 	log     *memstore.Log
 	logSrv  *http.Server
 	logAddr string
@@ -82,8 +82,8 @@
 	breaches []string
 }
 
-func newWorld(keyed, plain int, slow desired.SlowStart) (*World, error) {
-	w := &World{log: memstore.New(), slow: slow}
+func newWorld(keyed, plain int, slow desired.SlowStart) (*Environment, error) {
+	w := &Environment{log: memstore.New(), slow: slow}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "log service")
@@ -103,8 +103,8 @@
 	return w, w.publish()
 }
 
-func (w *World) addPlace(service string) error {
-	addr, err := ports.Free()
+func (w *Environment) addPlace(service string) error {
+	addr, err := ports.FreeAddr()
 	if err != nil {
 		return err
 	}
@@ -120,14 +120,14 @@
 }
 
 // setFatal has f asked of every request that begins to run.
-func (w *World) setFatal(f func(*life, *http.Request) bool) {
+func (w *Environment) setFatal(f func(*life, *http.Request) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fatal = f
 }
 
 // endedBy reports whether a request has ended the upstream that runs it.
-func (w *World) endedBy(l *life, r *http.Request) bool {
+func (w *Environment) endedBy(l *life, r *http.Request) bool {
 	w.mu.Lock()
 	f := w.fatal
 	w.mu.Unlock()
@@ -135,7 +135,7 @@
 }
 
 // publish writes the next desired state.
-func (w *World) publish() error {
+func (w *Environment) publish() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
@@ -149,7 +149,7 @@
 }
 
 // revive starts the place's next life, if it has none.
-func (w *World) revive(p *place) error {
+func (w *Environment) revive(p *place) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if p.life != nil && p.life.up {
@@ -157,13 +157,13 @@
 	}
 	p.lives++
 	id := fmt.Sprintf("i-%s-%d", p.proxy.Addr(), p.lives/2)
-	u := ranged.New(id, platform.Headers, work)
+	u := rangeowner.New(id, platform.Headers, work)
 	l := &life{Upstream: u, place: p, start: int64(p.lives), up: true}
 	if p.lives > 1 {
 		l.coldFrom = time.Now()
 	}
-	u.Fatal = func(r *http.Request) bool { return w.endedBy(l, r) }
-	l.srv = &http.Server{Handler: standin.Orders(id, &audited{w, l}, u)}
+	u.CrashOn = func(r *http.Request) bool { return w.endedBy(l, r) }
+	l.srv = &http.Server{Handler: standin.GrantHandler(id, &audited{w, l}, u)}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return eris.Wrap(err, "upstream")
@@ -177,13 +177,13 @@
 }
 
 // list writes the upstream's entry.
-func (w *World) list(l *life, leaving bool) {
-	w.log.Put(metastore.StreamUpstreams, l.ID, standin.UpstreamRecord(&catalogue.Upstream{ID: catalogue.LifeID(l.ID, l.start), Service: l.place.service,
-		Addr: l.place.proxy.Addr(), DataCentre: l.place.dataCentre, Slots: 6, Leaving: leaving, SlowUntil: l.coldFrom.Add(w.slow.Lasts)}))
+func (w *Environment) list(l *life, leaving bool) {
+	w.log.Put(metastore.StreamUpstreams, l.ID, standin.UpstreamRecord(&catalogue.Upstream{ID: catalogue.IncarnationID(l.ID, l.start), Service: l.place.service,
+		Addr: l.place.proxy.Addr(), DataCentre: l.place.dataCentre, Slots: 6, Leaving: leaving, SlowUntil: l.coldFrom.Add(w.slow.Duration)}))
 }
 
 // kill ends the place's life at once; its entry lapses later.
-func (w *World) kill(p *place) *life {
+func (w *Environment) kill(p *place) *life {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l := p.life
@@ -193,7 +193,7 @@
 }
 
 // unlist lets an entry lapse, unless it is a later life's by now.
-func (w *World) unlist(l *life) {
+func (w *Environment) unlist(l *life) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now := l.place.life; now == l || now.ID != l.ID {
@@ -203,7 +203,7 @@
 
 // forge writes an entry that no upstream wrote in place of the place's own,
 // which comes back after a while.
-func (w *World) forge(p *place, entry []byte, back time.Duration) {
+func (w *Environment) forge(p *place, entry []byte, back time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l := p.life
@@ -219,7 +219,7 @@
 
 // relist lets every entry lapse and come back a little later, as after an
 // outage of the log service.
-func (w *World) relist(after time.Duration) {
+func (w *Environment) relist(after time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.places {
@@ -236,7 +236,7 @@
 }
 
 // noteResumed tells that a host was thawed just now.
-func (w *World) noteResumed() {
+func (w *Environment) noteResumed() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.resumed = time.Now()
@@ -244,7 +244,7 @@
 
 // audited checks each grant against what the other upstreams hold.
 type audited struct {
-	w *World
+	w *Environment
 	l *life
 }
 
@@ -262,10 +262,10 @@
 			continue
 		}
 		if time.Since(a.w.resumed) < thaw {
-			return ownership.ErrRefused
+			return ownership.ErrRejected
 		}
 		a.w.breaches = append(a.w.breaches, fmt.Sprintf("%s: OWNER: keys %d to %d granted to %s (token %d) while %s holds some of them",
-			time.Now().Format(stamp), r.From, r.To, a.l.ID, r.Fence, other.ID))
+			time.Now().Format(stamp), r.From, r.To, a.l.ID, r.FencingToken, other.ID))
 	}
 	return a.l.Upstream.Grant(r, time.Duration(clockSkew*float64(d)))
 }
@@ -279,7 +279,7 @@
 
 const stamp = "15:04:05.000"
 
-func (w *World) shutDown() {
+func (w *Environment) shutDown() {
 	for _, p := range w.places {
 		w.kill(p)
 		p.proxy.Close()
--- a/internal/standin/loopback/fleet.go
+++ b/internal/standin/loopback/fleet.go
@@ -44,9 +44,9 @@
 // DefaultSettings are entry-host settings fast enough for tests.
 func DefaultSettings() settings.Daemon {
 	return settings.Daemon{LogLevel: "info", PollInterval: 20 * time.Millisecond, RequestTimeout: 2 * time.Second, AttemptTimeout: 200 * time.Millisecond,
-		ViewLease: time.Second, RetryAfter: time.Second, GrantLease: 300 * time.Millisecond,
+		MaxViewAge: time.Second, RetryAfter: time.Second, GrantTTL: 300 * time.Millisecond,
 		ProbeInterval: 50 * time.Millisecond, ProbeFailures: 2, SnapshotEvery: 64, SnapshotInterval: time.Minute, ShutdownGrace: 2 * time.Second,
-		HostListInterval: 100 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, HostLease: time.Second, Renewers: 2,
+		HostListInterval: 100 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, HeartbeatTimeout: time.Second, RenewersPerUpstream: 2,
 		LatencyObjective: 16 * time.Millisecond}
 }
 
@@ -119,7 +119,7 @@
 		spec.Logger = zap.NewNop()
 	}
 	f := &Fleet{Log: logsvc.NewServer(spec.Retention), Targets: map[string]*Target{}, spec: spec}
-	addr, err := ports.Free()
+	addr, err := ports.FreeAddr()
 	if err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 	hostListAddr := settings.HostListOff
 	if spec.HostListLag > 0 {
 		f.HostList = hostlist.NewServer(spec.HostListLag)
-		if addr, err = ports.Free(); err != nil {
+		if addr, err = ports.FreeAddr(); err != nil {
 			return nil, err
 		}
 		if f.hostSrv, err = serve(addr, f.HostList.Handler(), nil); err != nil {
@@ -143,7 +143,7 @@
 	for si := range m.Services {
 		for ui := range m.Services[si].Upstreams {
 			u := &m.Services[si].Upstreams[ui]
-			if u.Addr, err = ports.Free(); err != nil {
+			if u.Addr, err = ports.FreeAddr(); err != nil {
 				return nil, err
 			}
 			t := &Target{Upstream: *u, opts: spec.Target}
@@ -206,10 +206,10 @@
 	cfg := f.spec.Settings
 	cfg.Host, cfg.DataCentre, cfg.LogAddr = name, dc, f.LogURL
 	var err error
-	if cfg.Listen, err = ports.Free(); err != nil {
+	if cfg.Listen, err = ports.FreeAddr(); err != nil {
 		return nil, err
 	}
-	if cfg.AdminListen, err = ports.Free(); err != nil {
+	if cfg.AdminListen, err = ports.FreeAddr(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/standin/loopback/fleet_test.go
+++ b/internal/standin/loopback/fleet_test.go
@@ -11,7 +11,7 @@
 // address. A server that was not serving yet when it was closed would keep the
 // address until its goroutine runs, and the restart would find it in use.
 func TestAddressIsFreeOnceAServerIsClosed(t *testing.T) {
-	addr, err := ports.Free()
+	addr, err := ports.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
