--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -82,8 +82,8 @@
 	return l.down
 }
 
-// Forget drops the history of all streams; the newest of each key stays.
-func (l *Log) Forget() {
+// Compact drops the history of all streams; the newest of each key stays.
+func (l *Log) Compact() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, st := range l.streams {
@@ -102,8 +102,8 @@
 // joinPrice is what a join counts beside other calls.
 const joinPrice = 0.1
 
-// Priced returns how many calls were made, as the service counts them.
-func (l *Log) Priced() float64 {
+// WeightedCalls returns how many calls were made, as the service counts them.
+func (l *Log) WeightedCalls() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := 0.0
@@ -121,7 +121,7 @@
 func (l *Log) enter(name string) error {
 	l.calls[name]++
 	if l.down {
-		return metastore.ErrRefused
+		return metastore.ErrRejected
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 	for {
 		if err != nil || l.down {
 			l.mu.Unlock()
-			return metastore.Batch{}, metastore.ErrRefused
+			return metastore.Batch{}, metastore.ErrRejected
 		}
 		st := l.of(s)
 		end := st.first + int64(len(st.records))
@@ -202,12 +202,12 @@
 	return nil
 }
 
-// Join implements metastore.Store.
-func (l *Log) Join(_ context.Context, member string, ttl time.Duration, _ int64) (metastore.Seat, error) {
+// JoinElection implements metastore.Store.
+func (l *Log) JoinElection(_ context.Context, member string, ttl time.Duration, _ int64) (metastore.Lease, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.enter("join"); err != nil {
-		return metastore.Seat{}, err
+		return metastore.Lease{}, err
 	}
 	if l.holder == "" || time.Now().After(l.holderTill) {
 		l.holder = member
@@ -216,11 +216,11 @@
 	if l.holder == member {
 		l.holderTill = time.Now().Add(ttl)
 	}
-	return metastore.Seat{Generation: l.generation, Held: l.holder == member}, nil
+	return metastore.Lease{Generation: l.generation, Held: l.holder == member}, nil
 }
 
-// Leave implements metastore.Store.
-func (l *Log) Leave(_ context.Context, member string) error {
+// LeaveElection implements metastore.Store.
+func (l *Log) LeaveElection(_ context.Context, member string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.enter("leave"); err != nil {
@@ -232,8 +232,8 @@
 	return nil
 }
 
-// Holder returns the member that holds the seat.
-func (l *Log) Holder() string {
+// LeaseHolder returns the member that holds the seat.
+func (l *Log) LeaseHolder() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder
--- a/internal/standin/ports/ports.go
+++ b/internal/standin/ports/ports.go
@@ -32,9 +32,9 @@
 	guards []net.Listener // kept open for the life of the process
 )
 
-// Free returns a loopback address on which nobody listens, and which is not
+// FreeAddr returns a loopback address on which nobody listens, and which is not
 // handed out again.
-func Free() (string, error) {
+func FreeAddr() (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
 	for {
--- a/internal/standin/ports/ports_test.go
+++ b/internal/standin/ports/ports_test.go
@@ -10,7 +10,7 @@
 // process may be handed a port of this one's block then: its restart would
 // find the address in use.
 func TestBlockIsHeldWhilePortsAreClosed(t *testing.T) {
-	addr, err := Free()
+	addr, err := FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,7 +21,7 @@
 	}
 	seen := map[string]bool{addr: true}
 	for range 2 * block {
-		addr, err := Free()
+		addr, err := FreeAddr()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 // A process that is being started holds a copy of a listener for a moment
 // after it was closed; who is to listen there next waits for it.
 func TestListenWaitsForACopyToGo(t *testing.T) {
-	addr, err := Free()
+	addr, err := FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/ranged/ranged.go
+++ b/internal/standin/rangeowner/ranged.go
@@ -1,6 +1,6 @@
-// Package ranged is a stand-in for an upstream that holds ranges of keys for
+// Package rangeowner is a stand-in for an upstream that holds ranges of keys for
 // limited times and refuses requests for keys that it does not hold.
-package ranged
+package rangeowner
 
 import (
 	"net"
@@ -28,7 +28,7 @@
 	srv     *http.Server
 	// Fatal, if set, is asked as each request begins to run; true means that
 	// it has ended the upstream.
-	Fatal func(*http.Request) bool
+	CrashOn func(*http.Request) bool
 
 	mu    sync.Mutex
 	holds []hold
@@ -36,22 +36,22 @@
 	runs  map[string]int
 	// arrived are the requests that were not misdirected, in order.
 	arrived []Arrival
-	says    Says
+	says    Report
 }
 
-// Says is what the upstream says of itself in its answers.
-type Says struct {
-	// Limit is the requests a second that it takes from all hosts together; 0
+// Report is what the upstream says of itself in its answers.
+type Report struct {
+	// RateLimit is the requests a second that it takes from all hosts together; 0
 	// names none.
-	Limit float64
+	RateLimit float64
 	// Leaving says that it is about to end.
 	Leaving bool
 	// Rest, if set, has it turn every request away and ask for so much rest.
-	Rest time.Duration
+	Backoff time.Duration
 }
 
-// Say sets what the upstream says from now on.
-func (u *Upstream) Say(s Says) {
+// SetReport sets what the upstream says from now on.
+func (u *Upstream) SetReport(s Report) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.says = s
@@ -59,9 +59,9 @@
 
 // Arrival is a request's coming, and what its answer said.
 type Arrival struct {
-	ID   string
-	At   time.Time
-	Says Says
+	ID     string
+	At     time.Time
+	Report Report
 }
 
 // New returns an upstream whose requests take work. It serves them as an
@@ -118,15 +118,15 @@
 	return out
 }
 
-// MostInASecond returns the largest number of requests that came within a
+// PeakInSecond returns the largest number of requests that came within a
 // second, from one time to another.
-func (u *Upstream) MostInASecond(from, to time.Time) int {
-	return Most(u.Arrivals(from, to), time.Second)
+func (u *Upstream) PeakInSecond(from, to time.Time) int {
+	return PeakInWindow(u.Arrivals(from, to), time.Second)
 }
 
-// Most returns the largest number of arrivals, which are in order, within a
+// PeakInWindow returns the largest number of arrivals, which are in order, within a
 // window.
-func Most(all []Arrival, window time.Duration) int {
+func PeakInWindow(all []Arrival, window time.Duration) int {
 	most, first := 0, 0
 	for i, a := range all {
 		for a.At.Sub(all[first].At) >= window {
@@ -147,7 +147,7 @@
 
 func (u *Upstream) fenced(r ownership.Range) bool {
 	for _, h := range u.seen {
-		if h.from <= r.To && r.From <= h.to && h.fence > r.Fence {
+		if h.from <= r.To && r.From <= h.to && h.fence > r.FencingToken {
 			return true
 		}
 	}
@@ -161,8 +161,8 @@
 	if u.fenced(r) {
 		return ownership.ErrFenced
 	}
-	u.seen = append(without(u.seen, r), hold{r.From, r.To, r.Fence, time.Time{}})
-	u.holds = append(without(u.holds, r), hold{r.From, r.To, r.Fence, time.Now().Add(d)})
+	u.seen = append(without(u.seen, r), hold{r.From, r.To, r.FencingToken, time.Time{}})
+	u.holds = append(without(u.holds, r), hold{r.From, r.To, r.FencingToken, time.Now().Add(d)})
 	return nil
 }
 
@@ -226,17 +226,17 @@
 	}
 	u.mu.Lock()
 	says := u.says
-	if says.Rest == 0 {
+	if says.Backoff == 0 {
 		u.runs[id]++
 	}
 	u.arrived = append(u.arrived, Arrival{id, time.Now(), says})
 	u.mu.Unlock()
 	u.write(w.Header(), says)
-	if says.Rest > 0 {
+	if says.Backoff > 0 {
 		u.refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	if u.Fatal != nil && u.Fatal(r) {
+	if u.CrashOn != nil && u.CrashOn(r) {
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(u.work)
@@ -245,15 +245,15 @@
 }
 
 // write puts what the upstream says into an answer's headers.
-func (u *Upstream) write(h http.Header, s Says) {
-	if s.Limit > 0 {
-		h.Set(u.headers.RateLimit, strconv.FormatFloat(s.Limit, 'f', -1, 64))
+func (u *Upstream) write(h http.Header, s Report) {
+	if s.RateLimit > 0 {
+		h.Set(u.headers.RateLimit, strconv.FormatFloat(s.RateLimit, 'f', -1, 64))
 	}
 	if s.Leaving {
 		h.Set(u.headers.Leaving, "1")
 	}
-	if s.Rest > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(s.Rest.Seconds(), 'f', -1, 64))
+	if s.Backoff > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(s.Backoff.Seconds(), 'f', -1, 64))
 	}
 }
 
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -33,7 +33,7 @@
 	CrossAnswers bool
 	// Fatal, if set, is asked as the named target begins to run work on a key;
 	// true means that it has ended the target.
-	Fatal func(name, key string) bool
+	CrashOn func(name, key string) bool
 }
 
 // Answer is the JSON body a target returns for work.
@@ -121,9 +121,9 @@
 	return context.WithValue(ctx, connAcceptedKey{}, time.Now().UnixNano())
 }
 
-// Silence makes every connection open now go silent for good: requests on
+// BlackholeConns makes every connection open now go silent for good: requests on
 // them get no answer and nothing runs, while new connections work.
-func (s *Server) Silence() { s.silentBefore.Store(time.Now().UnixNano()) }
+func (s *Server) BlackholeConns() { s.silentBefore.Store(time.Now().UnixNano()) }
 
 // silent reports whether r came on a connection that was silenced.
 func (s *Server) silent(r *http.Request) bool {
@@ -172,7 +172,7 @@
 		http.Error(w, "grant older than the one held", http.StatusConflict)
 		return
 	}
-	lease := time.Duration(g.LeaseMs) * time.Millisecond
+	lease := time.Duration(g.TTLMs) * time.Millisecond
 	if g.Renew {
 		if cur == nil || cur.grant.Epoch != g.Epoch || cur.grant.Since != g.Since {
 			http.Error(w, "renewal of a grant not held", http.StatusConflict)
@@ -245,7 +245,7 @@
 		return
 	}
 	defer s.inflight.Add(-1)
-	if s.opts.Fatal != nil && s.opts.Fatal(s.opts.Name, key) {
+	if s.opts.CrashOn != nil && s.opts.CrashOn(s.opts.Name, key) {
 		panic(http.ErrAbortHandler)
 	}
 	if !s.work(r) {
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -33,7 +33,7 @@
 
 // ErrEnded is wrapped besides ErrNoAnswer where the target itself has ended:
 // nobody listens at its address any more.
-var ErrEnded = errors.New("target: ended")
+var ErrCrashed = errors.New("target: ended")
 
 // Request is one caller request bound for a target.
 type Request struct {
@@ -116,7 +116,7 @@
 		return resp, err
 	}
 	timedOut := !now.Before(first)
-	if err = c.sayEnded(ctx, u, err); !timedOut && (errors.Is(err, ErrEnded) || !errors.Is(err, ErrNoAnswer)) {
+	if err = c.sayEnded(ctx, u, err); !timedOut && (errors.Is(err, ErrCrashed) || !errors.Is(err, ErrNoAnswer)) {
 		return nil, err
 	}
 	resp, err = c.attempt(ctx, c.fresh, u, req, req.Deadline)
@@ -142,7 +142,7 @@
 	if !errors.Is(dialErr, syscall.ECONNREFUSED) {
 		return err
 	}
-	return errors.Join(ErrEnded, err)
+	return errors.Join(ErrCrashed, err)
 }
 
 func (c *Client) attempt(ctx context.Context, hc *http.Client, u *manifest.Upstream, req *Request, deadline time.Time) (*Response, error) {
--- a/internal/target/protocol.go
+++ b/internal/target/protocol.go
@@ -32,8 +32,8 @@
 	Since int64 `json:"since"`
 	// Shards are the shards owned, ascending.
 	Shards []int `json:"shards"`
-	// LeaseMs is how long, from receipt, the grant holds unless renewed.
-	LeaseMs int64 `json:"lease_ms"`
+	// TTLMs is how long, from receipt, the grant holds unless renewed.
+	TTLMs int64 `json:"lease_ms"`
 	// Renew asks only to extend the lease of the grant held at the same
 	// Epoch and Since; Shards is then empty. A target holding anything
 	// else answers 409 and gets the full grant next time.
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -56,8 +56,8 @@
 	NotRun
 	// Answered means the upstream's whole answer is at hand.
 	Answered
-	// Unknown means the request was sent and may have run.
-	Unknown
+	// OutcomeUnknown means the request was sent and may have run.
+	OutcomeUnknown
 )
 
 func (o Outcome) String() string {
@@ -73,11 +73,11 @@
 	Body   []byte
 	// NewConn says that a connection was opened for the request.
 	NewConn bool
-	// Connect is how long opening it took.
-	Connect time.Duration
-	// TurnedAway is set if the upstream took the connection and ended it before
+	// ConnectTime is how long opening it took.
+	ConnectTime time.Duration
+	// ConnRejected is set if the upstream took the connection and ended it before
 	// anything was sent: it has too many.
-	TurnedAway bool
+	ConnRejected bool
 	// Report is what the answer says of the upstream.
 	Report feedback.Report
 	// Err says why there is no answer.
@@ -140,12 +140,12 @@
 	if fresh {
 		var err error
 		if cn, err = c.dial(ctx, t.Addr); err != nil {
-			return &Result{Outcome: NotSent, NewConn: true, TurnedAway: errors.Is(err, syscall.ECONNRESET),
+			return &Result{Outcome: NotSent, NewConn: true, ConnRejected: errors.Is(err, syscall.ECONNRESET),
 				Err: eris.Wrapf(err, "upstream %s: connect", t.ID)}
 		}
 		if err := cn.settle(); err != nil {
 			cn.abort()
-			return &Result{Outcome: NotSent, NewConn: true, TurnedAway: true, Connect: time.Since(began),
+			return &Result{Outcome: NotSent, NewConn: true, ConnRejected: true, ConnectTime: time.Since(began),
 				Err: eris.Wrapf(err, "upstream %s: new connection", t.ID)}
 		}
 	}
@@ -153,7 +153,7 @@
 	stop := context.AfterFunc(ctx, cn.abort)
 	res, reusable := c.exchange(ctx, cn, t, req)
 	if res.NewConn = fresh; fresh {
-		res.Connect = connect
+		res.ConnectTime = connect
 	}
 	if !stop() || !reusable {
 		cn.abort()
@@ -166,9 +166,9 @@
 	return res
 }
 
-// Refuses reports whether nobody listens at t any more: the process that did
+// PortClosed reports whether nobody listens at t any more: the process that did
 // has ended. A connection that opens is kept for the next request.
-func (c *Client) Refuses(ctx context.Context, t Target) bool {
+func (c *Client) PortClosed(ctx context.Context, t Target) bool {
 	cn, err := c.dial(ctx, t.Addr)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
@@ -205,7 +205,7 @@
 	}
 	cn.lastID = req.ID
 	if err != nil {
-		return &Result{Outcome: Unknown, Err: eris.Wrapf(err, "upstream %s: answer", t.ID)}, false
+		return &Result{Outcome: OutcomeUnknown, Err: eris.Wrapf(err, "upstream %s: answer", t.ID)}, false
 	}
 	res := &Result{Outcome: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body}
 	if resp.Header.Get(c.headers.NotRun) != "" || res.Misdirected() {
@@ -232,7 +232,7 @@
 		h["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	h.Set(c.headers.TimeoutMs, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	h.Set(c.headers.ExpectedUpstream, catalogue.ServerOf(t.ID))
+	h.Set(c.headers.ExpectedUpstream, catalogue.ServerID(t.ID))
 	hreq := &http.Request{Method: req.Method, URL: &url.URL{Scheme: "http", Host: req.Host, Opaque: req.URI},
 		Host: req.Host, Header: h, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
 	switch {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -107,8 +107,8 @@
 	if c.br.Buffered() > 0 {
 		return false
 	}
-	state := peek.At(c.Conn)
-	return state == peek.Quiet || state == peek.Unknown
+	state := peek.Conn(c.Conn)
+	return state == peek.Idle || state == peek.Unknown
 }
 
 // settleTime is how long after it is open a new connection is watched before the
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -17,8 +17,8 @@
 	Upstreams *catalogue.Snapshot
 	// Tables are the ownership tables by service.
 	Tables map[string]*ownership.Table
-	// At is when the newest part was read.
-	At time.Time
+	// UpdatedAt is when the newest part was read.
+	UpdatedAt time.Time
 	// next is closed when a newer view is published.
 	next chan struct{}
 }
@@ -34,30 +34,30 @@
 		return nil, 0
 	}
 	r := t.Find(key)
-	return v.Upstreams.ByID[r.Owner], r.Fence
+	return v.Upstreams.ByID[r.Owner], r.FencingToken
 }
 
-// Holder publishes views. Publish is called by one goroutine only.
-type Holder struct {
+// Publisher publishes views. Publish is called by one goroutine only.
+type Publisher struct {
 	p atomic.Pointer[View]
 }
 
-// NewHolder returns a holder of an empty view.
-func NewHolder() *Holder {
-	h := &Holder{}
+// NewPublisher returns a holder of an empty view.
+func NewPublisher() *Publisher {
+	h := &Publisher{}
 	h.p.Store(&View{Upstreams: catalogue.NewSnapshot(nil), Tables: map[string]*ownership.Table{}, next: make(chan struct{})})
 	return h
 }
 
 // Load returns the present view.
-func (h *Holder) Load() *View { return h.p.Load() }
+func (h *Publisher) Load() *View { return h.p.Load() }
 
 // Publish replaces the view by what change makes of a copy of it.
-func (h *Holder) Publish(change func(*View)) {
+func (h *Publisher) Publish(change func(*View)) {
 	old := h.p.Load()
 	v := *old
 	v.next = make(chan struct{})
-	v.At = time.Now()
+	v.UpdatedAt = time.Now()
 	change(&v)
 	h.p.Store(&v)
 	close(old.next)
--- a/internal/worktime/worktime.go
+++ b/internal/worktime/worktime.go
@@ -48,14 +48,14 @@
 	s.latency.Add(seconds, memory, now)
 }
 
-// Of returns the seconds that an upstream works on a request, typical being
+// Estimate returns the seconds that an upstream works on a request, typical being
 // the usual time of its service.
 //
 // What callers see is longer where requests queue. With L the mean latency
 // and N the mean number of requests at the upstream, which by Little's law
 // is the latency summed over a second, the work takes L if N is within its
 // slots, and L·slots/N otherwise.
-func (e *Estimator) Of(u *catalogue.Upstream, typical float64, now time.Time) float64 {
+func (e *Estimator) Estimate(u *catalogue.Upstream, typical float64, now time.Time) float64 {
 	own, n := e.own(u, now)
 	t := (own*n + typical*prior) / (n + prior)
 	return min(max(t, typical/fastest), typical/slowest)
@@ -73,12 +73,12 @@
 	if n < 1 {
 		return 0, 0
 	}
-	atOnce := total / decay.Span(memory, now.Sub(e.started))
+	atOnce := total / decay.EffectiveWindow(memory, now.Sub(e.started))
 	return total / n * min(1, float64(u.Slots)/atOnce), n
 }
 
-// Typical returns the median work time of the upstreams of a service.
-func (e *Estimator) Typical(ups []*catalogue.Upstream, now time.Time) float64 {
+// Median returns the median work time of the upstreams of a service.
+func (e *Estimator) Median(ups []*catalogue.Upstream, now time.Time) float64 {
 	var all []float64
 	for _, u := range ups {
 		if t, n := e.own(u, now); n >= prior {
