--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -24,44 +24,44 @@
 // the present part has only begun: without it a burst would leave the count
 // up to one part before it leaves the window, and could come again.
 const (
-	steps = 10
-	slots = steps + 1
+	windowSteps = 10
+	ringSlots   = windowSteps + 1
 )
 
 // caution is the part of the budget that is spent: the windows of two hosts
 // do not begin at the same moment, and an upstream counts what arrives,
 // which may be bunched.
-const caution = 0.8
+const safetyFactor = 0.8
 
 // restart is the part that is spent in the first window of a process's life.
 // The process before it may have spent all of its own just before it ended,
 // and both fall into one window: twelve hosts killed together were seen to
 // make 1.02 times the repeats allowed.
-const restart = 0.35
+const firstWindowFactor = 0.35
 
 // reserve is the part of a budget that is kept for the most urgent requests of
 // a service. Where all its upstreams refused 55 of 100 requests, the budget ran
 // out on lookups while bids worth twice as much went without a repeat; worth of
 // five days of trouble, three seeds each, 0.7797 without and 0.7822 with it.
-const reserve = 0.5
+const urgentReserveShare = 0.5
 
-type counts struct {
+type stepCounts struct {
 	step     int64
 	requests int
-	repeats  int
+	retries  int
 }
 
 // Budget counts requests and repeats by service.
 type Budget struct {
 	mu     sync.Mutex
 	limits Limits
-	by     map[string]*[slots]counts
+	rings  map[string]*[ringSlots]stepCounts
 	start  time.Time
 }
 
 // New returns the budget of a process that starts now.
 func New(l Limits, now time.Time) *Budget {
-	return &Budget{limits: l, by: map[string]*[slots]counts{}, start: now}
+	return &Budget{limits: l, rings: map[string]*[ringSlots]stepCounts{}, start: now}
 }
 
 // SetLimits replaces the limits.
@@ -75,7 +75,7 @@
 func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slot(service, now).requests++
+	b.currentCounts(service, now).requests++
 }
 
 // AllowRetry takes one repeat from service's budget and reports whether there
@@ -83,11 +83,11 @@
 func (b *Budget) AllowRetry(service string, urgent bool, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	left, allowed := b.left(service, now)
-	if left < 1 || (!urgent && left <= reserve*allowed) {
+	left, allowed := b.remaining(service, now)
+	if left < 1 || (!urgent && left <= urgentReserveShare*allowed) {
 		return false
 	}
-	b.slot(service, now).repeats++
+	b.currentCounts(service, now).retries++
 	return true
 }
 
@@ -96,45 +96,45 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]float64{}
-	for service := range b.by {
-		out[service], _ = b.left(service, now)
+	for service := range b.rings {
+		out[service], _ = b.remaining(service, now)
 	}
 	return out
 }
 
-func (b *Budget) left(service string, now time.Time) (left, whole float64) {
-	cur := b.slot(service, now)
+func (b *Budget) remaining(service string, now time.Time) (remaining, whole float64) {
+	cur := b.currentCounts(service, now)
 	requests, repeats := 0, 0
-	for _, c := range b.by[service] {
-		if cur.step-c.step < slots {
+	for _, c := range b.rings[service] {
+		if cur.step-c.step < ringSlots {
 			requests += c.requests
-			repeats += c.repeats
+			repeats += c.retries
 		}
 	}
-	allowed := (float64(requests)*b.limits.Ratio + b.limits.Slack) * b.share(now)
+	allowed := (float64(requests)*b.limits.Ratio + b.limits.Slack) * b.usableShare(now)
 	return allowed - float64(repeats), allowed
 }
 
-func (b *Budget) share(now time.Time) float64 {
+func (b *Budget) usableShare(now time.Time) float64 {
 	if now.Sub(b.start) < b.limits.Window {
-		return caution * restart
+		return safetyFactor * firstWindowFactor
 	}
-	return caution
+	return safetyFactor
 }
 
-func (b *Budget) slot(service string, now time.Time) *counts {
-	ring := b.by[service]
+func (b *Budget) currentCounts(service string, now time.Time) *stepCounts {
+	ring := b.rings[service]
 	if ring == nil {
-		ring = &[slots]counts{}
-		b.by[service] = ring
+		ring = &[ringSlots]stepCounts{}
+		b.rings[service] = ring
 	}
 	// Steps are counted from the start by the steady clock. By the time of
 	// day, a clock set back by seconds would empty the window, and the whole
 	// budget be spent again within it.
-	step := int64(now.Sub(b.start) / (b.limits.Window / steps))
-	c := &ring[step%slots]
+	step := int64(now.Sub(b.start) / (b.limits.Window / windowSteps))
+	c := &ring[step%ringSlots]
 	if c.step != step {
-		*c = counts{step: step}
+		*c = stepCounts{step: step}
 	}
 	return c
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -7,9 +7,9 @@
 
 var limits = Limits{Ratio: 0.2, Slack: 4, Window: 10 * time.Second}
 
-// spend asks for as many repeats as it can get, with perSecond requests a
+// retryAsOftenAsAllowed asks for as many repeats as it can get, with perSecond requests a
 // second from start to end, and returns when each was granted.
-func spend(b *Budget, start, end time.Time, perSecond int) []time.Time {
+func retryAsOftenAsAllowed(b *Budget, start, end time.Time, perSecond int) []time.Time {
 	var out []time.Time
 	for at := start; at.Before(end); at = at.Add(time.Second / time.Duration(perSecond)) {
 		b.RecordRequest("s", at)
@@ -20,8 +20,8 @@
 	return out
 }
 
-// most returns the largest number of times within any window.
-func most(times []time.Time, window time.Duration) int {
+// maxWithinWindow returns the largest number of times within any window.
+func maxWithinWindow(times []time.Time, window time.Duration) int {
 	best := 0
 	for i := range times {
 		n := 0
@@ -37,12 +37,12 @@
 
 // Callers that would have everything repeated get what the ratio allows in
 // every window, and no more.
-func TestRepeatsStayWithinEveryWindow(t *testing.T) {
+func TestRetriesStayWithinEveryWindow(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := New(limits, start.Add(-time.Minute))
-	got := spend(b, start, start.Add(40*time.Second), 30)
+	got := retryAsOftenAsAllowed(b, start, start.Add(40*time.Second), 30)
 	allowed := int(30*10*limits.Ratio + limits.Slack)
-	if n := most(got, limits.Window); n > allowed {
+	if n := maxWithinWindow(got, limits.Window); n > allowed {
 		t.Errorf("%d repeats in a window, %d are allowed", n, allowed)
 	}
 	if len(got) < 150 {
@@ -57,22 +57,22 @@
 	start := time.Unix(1000, 0)
 	killed := start.Add(20 * time.Second)
 	first := New(limits, start.Add(-time.Minute))
-	got := spend(first, start, killed, 30)
+	got := retryAsOftenAsAllowed(first, start, killed, 30)
 	back := killed.Add(1500 * time.Millisecond)
 	second := New(limits, back)
-	got = append(got, spend(second, back, back.Add(20*time.Second), 30)...)
+	got = append(got, retryAsOftenAsAllowed(second, back, back.Add(20*time.Second), 30)...)
 	// While the hosts are down callers' requests are counted all the same.
 	allowed := int(30*10*limits.Ratio + limits.Slack)
-	if n := most(got, limits.Window); n > allowed {
+	if n := maxWithinWindow(got, limits.Window); n > allowed {
 		t.Errorf("%d repeats in a window, %d are allowed", n, allowed)
 	}
 }
 
 // Services have budgets of their own.
-func TestServicesDoNotShare(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := New(limits, now.Add(-time.Minute))
-	spend(b, now, now.Add(time.Second), 30)
+	retryAsOftenAsAllowed(b, now, now.Add(time.Second), 30)
 	if !b.AllowRetry("other", true, now.Add(time.Second)) {
 		t.Error("another service's budget is spent")
 	}
--- a/internal/catalogue/life_test.go
+++ b/internal/catalogue/incarnation_test.go
@@ -9,7 +9,7 @@
 )
 
 // A life's ID tells its server and its start, whatever the server is called.
-func TestLifeIDTellsServerAndStart(t *testing.T) {
+func TestIncarnationIDEncodesServerAndStart(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	server := gen.OneGenOf(gen.AlphaString(), gen.AnyString(), gen.OneConstOf("a@b", "a@7", "@", ""))
 	p.Property("server and start are found again", prop.ForAll(func(server string, start int64) bool {
@@ -19,7 +19,7 @@
 	p.TestingRun(t)
 }
 
-func TestLaterLifeSucceedsAnEarlierOne(t *testing.T) {
+func TestIsLaterIncarnation(t *testing.T) {
 	for _, c := range []struct {
 		life, old string
 		want      bool
--- a/internal/keyload/loadmap_test.go
+++ b/internal/keyload/estimator_test.go
@@ -11,8 +11,8 @@
 
 var owners = []*catalogue.Upstream{{ID: "slow", Slots: 3}, {ID: "usual", Slots: 3}, {ID: "quick", Slots: 3}}
 
-// feed adds requests for a key at a rate for a time, in reports of 300 ms.
-func feed(m *Estimator, key int, id string, latency time.Duration, perSecond float64, from time.Time, d time.Duration) {
+// addRequests adds requests for a key at a rate for a time, in reports of 300 ms.
+func addRequests(m *Estimator, key int, id string, latency time.Duration, perSecond float64, from time.Time, d time.Duration) {
 	const report = 300 * time.Millisecond
 	carry := 0.0
 	for at := time.Duration(0); at < d; at += report {
@@ -27,17 +27,17 @@
 
 // A key that becomes hot shows at its full rate within a second, and is
 // forgotten as soon when it cools down.
-func TestHotKeyShowsWithinASecond(t *testing.T) {
+func TestHotKeyIsDetectedWithinASecond(t *testing.T) {
 	m := New()
 	start := time.Unix(1000, 0)
-	feed(m, 1, "usual", 100*time.Millisecond, 1, start, 20*time.Second)
+	addRequests(m, 1, "usual", 100*time.Millisecond, 1, start, 20*time.Second)
 	hot := start.Add(20 * time.Second)
-	feed(m, 1, "usual", 100*time.Millisecond, 40, hot, time.Second)
+	addRequests(m, 1, "usual", 100*time.Millisecond, 40, hot, time.Second)
 	l, _ := m.Load("s", owners, hot.Add(time.Second))
 	if r := l.ByKey[1]; r < 12 {
 		t.Errorf("a key asked for 40 times a second counts as %.1f after a second", r)
 	}
-	feed(m, 1, "usual", 100*time.Millisecond, 40, hot.Add(time.Second), 5*time.Second)
+	addRequests(m, 1, "usual", 100*time.Millisecond, 40, hot.Add(time.Second), 5*time.Second)
 	l, _ = m.Load("s", owners, hot.Add(6*time.Second))
 	if r := l.ByKey[1]; r < 32 || r > 48 {
 		t.Errorf("after six seconds it counts as %.1f", r)
@@ -50,14 +50,14 @@
 
 // Speeds are told from answer times, also where requests queue: an owner
 // that answers late only because it is overloaded is not taken for slow.
-func TestCapacityIsNotMistakenUnderQueueing(t *testing.T) {
+func TestCapacityEstimateAllowsForQueueing(t *testing.T) {
 	m := New()
 	start := time.Unix(1000, 0)
 	// slow takes 400 ms at little load; quick takes 100 ms. usual takes 200
 	// ms but is offered all it can do, 15 a second, and answers after 800.
-	feed(m, 1, "slow", 400*time.Millisecond, 3, start, 20*time.Second)
-	feed(m, 2, "usual", 800*time.Millisecond, 15, start, 20*time.Second)
-	feed(m, 3, "quick", 100*time.Millisecond, 3, start, 20*time.Second)
+	addRequests(m, 1, "slow", 400*time.Millisecond, 3, start, 20*time.Second)
+	addRequests(m, 2, "usual", 800*time.Millisecond, 15, start, 20*time.Second)
+	addRequests(m, 3, "quick", 100*time.Millisecond, 3, start, 20*time.Second)
 	l, _ := m.Load("s", owners, start.Add(20*time.Second))
 	for id, want := range map[string]float64{"slow": 3 / 0.4, "usual": 3 / 0.2, "quick": 3 / 0.1} {
 		if got := l.Capacity[id]; math.Abs(got-want) > 0.35*want {
@@ -67,7 +67,7 @@
 }
 
 // Chance alone does not make a key look hot.
-func TestChanceIsNotTakenForAChange(t *testing.T) {
+func TestRandomVariationIsNotTakenForAChange(t *testing.T) {
 	m := New()
 	rng := rand.New(rand.NewPCG(1, 1))
 	start := time.Unix(1000, 0)
--- a/internal/keyload/share_test.go
+++ b/internal/keyload/share_test.go
@@ -12,11 +12,11 @@
 // they can do, and then for all of it. At first the slow one, whose answers
 // come late whatever it is asked, gets less than its part; when both are busy
 // each gets its part, or requests would queue at the fast one.
-func TestFastOwnersArePreferredWhileThereIsRoom(t *testing.T) {
+func TestFastOwnersArePreferredBelowFullUtilization(t *testing.T) {
 	ups := []*catalogue.Upstream{{ID: "fast", Slots: 6}, {ID: "slow", Slots: 6}}
 	capacity := map[string]float64{"fast": 23, "slow": 10}
 	part := func(asked float64) float64 {
-		s := shares(ownership.Load{ByKey: []float64{asked}, Capacity: capacity}, ups)
+		s := loadShares(ownership.Load{ByKey: []float64{asked}, Capacity: capacity}, ups)
 		return s["slow"] / (s["slow"] + s["fast"])
 	}
 	if got, even := part(11), 10.0/33; got > even*0.6 {
--- a/internal/ownership/within.go
+++ b/internal/ownership/capacity.go
@@ -2,7 +2,7 @@
 
 // limitedUse is the part of its lowered capacity that an owner is to be used at. It
 // must be asked often enough to show when it can do more.
-const limitedUse = 0.8
+const limitedUtilization = 0.8
 
 // LimitCapacity lowers owners' capacities to the given ones. Each of these owners gets what
 // fills limitedUse of that, or its former share where that is less; the others
@@ -29,7 +29,7 @@
 			others += x
 			continue
 		}
-		out[id] = min(limitedUse*m, demand*x/whole)
+		out[id] = min(limitedUtilization*m, demand*x/whole)
 		left -= out[id]
 	}
 	for id, x := range share {
--- a/internal/ownership/within_test.go
+++ b/internal/ownership/capacity_test.go
@@ -7,7 +7,7 @@
 
 // An owner with a limit must get about what the limit allows, whatever the others'
 // capacity: with less it is hardly asked and cannot report the limit's end.
-func TestWithinFillsLimitedOwners(t *testing.T) {
+func TestLimitCapacityFillsLimitedOwners(t *testing.T) {
 	byKey := make([]float64, KeySpaceSize)
 	for k := range byKey {
 		byKey[k] = 60.0 / KeySpaceSize
--- a/internal/ownership/change.go
+++ b/internal/ownership/delta.go
@@ -57,13 +57,13 @@
 }
 
 // Encode returns the change as it is sent, compressed like a table.
-func (c *Delta) Encode() ([]byte, error) { return pack(c) }
+func (c *Delta) Encode() ([]byte, error) { return encodeGzipJSON(c) }
 
 // DecodeDelta reads a change. Whether it makes sense shows when it is
 // applied.
 func DecodeDelta(data []byte) (*Delta, error) {
 	var c Delta
-	if err := unpack(data, &c); err != nil {
+	if err := decodeGzipJSON(data, &c); err != nil {
 		return nil, err
 	}
 	return &c, nil
@@ -71,7 +71,7 @@
 
 // Digest returns a number that differs for tables that differ in anything.
 func (t *Table) Digest() uint64 {
-	b := make([]byte, 0, digestRoom*(len(t.Ranges)+1))
+	b := make([]byte, 0, digestBytesPerRange*(len(t.Ranges)+1))
 	b = appendStrings(b, t.Service, t.Planner, t.PlannerAddr, t.Cause)
 	b = appendInts(b, t.Term, t.MaxFencingToken, int64(len(t.PreviousPlanners)), int64(len(t.Lost)), int64(len(t.Ranges)))
 	for _, p := range t.PreviousPlanners {
@@ -86,7 +86,7 @@
 }
 
 // digestRoom is about how many bytes a range takes in the digest's input.
-const digestRoom = 64
+const digestBytesPerRange = 64
 
 func appendInts(b []byte, ns ...int64) []byte {
 	for _, n := range ns {
--- a/internal/ownership/change_test.go
+++ b/internal/ownership/delta_test.go
@@ -36,7 +36,7 @@
 // it is sent, it ends with exactly the planner's table or is told that the
 // change is none of the table that it has. A wrong table would send every key
 // of a lost change to an upstream that does not own it.
-func TestChangesGiveTheTableOrFail(t *testing.T) {
+func TestDeltaGivesTheExactTableOrFails(t *testing.T) {
 	params := gopter.DefaultTestParameters()
 	params.MinSuccessfulTests = 100
 	p := gopter.NewProperties(params)
@@ -86,19 +86,19 @@
 	typ := reflect.TypeFor[Table]()
 	for i := range typ.NumField() {
 		changed := *base
-		alter(t, reflect.ValueOf(&changed).Elem().Field(i))
+		setDifferentValue(t, reflect.ValueOf(&changed).Elem().Field(i))
 		check("Table."+typ.Field(i).Name, &changed)
 	}
 	typ = reflect.TypeFor[Range]()
 	for i := range typ.NumField() {
-		changed := base.copyWith(base.Planner, base.PlannerAddr)
-		alter(t, reflect.ValueOf(&changed.Ranges[0]).Elem().Field(i))
+		changed := base.cloneWithPlanner(base.Planner, base.PlannerAddr)
+		setDifferentValue(t, reflect.ValueOf(&changed.Ranges[0]).Elem().Field(i))
 		check("Range."+typ.Field(i).Name, changed)
 	}
 }
 
-// alter gives a field another value.
-func alter(t *testing.T, f reflect.Value) {
+// setDifferentValue gives a field another value.
+func setDifferentValue(t *testing.T, f reflect.Value) {
 	t.Helper()
 	switch f.Kind() {
 	case reflect.String:
--- a/internal/ownership/rebalance_test.go
+++ b/internal/ownership/rebalance_test.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// use returns each owner's load relative to its share of the capacity.
-func use(t *Table, load Load) map[string]float64 {
+// relativeLoads returns each owner's load relative to its share of the capacity.
+func relativeLoads(t *Table, load Load) map[string]float64 {
 	total, capacity := 0.0, 0.0
 	for _, l := range load.ByKey {
 		total += l
@@ -39,7 +39,7 @@
 	return out
 }
 
-func settled(t *Table, load Load) *Table {
+func rebalanceUntilStable(t *Table, load Load) *Table {
 	for range 10 {
 		moves := Rebalance(t, load, testLimits)
 		if len(moves) == 0 {
@@ -53,14 +53,14 @@
 // Callers ask for a few thousand neighbouring keys before anything is known
 // of the load. Dealt out in stripes, no owner gets more than a few times its
 // share; divided into equal ranges one would get nearly all.
-func TestFirstDivisionSpreadsABusyRegion(t *testing.T) {
+func TestInitialAssignmentSpreadsABusyRegion(t *testing.T) {
 	capacity := equalCapacity("a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
 	tab := NewTable("s").Apply(Rebalance(NewTable("s"), Load{Capacity: capacity}, testLimits))
 	byKey := make([]float64, KeySpaceSize)
 	for k := 30000; k < 34096; k++ {
 		byKey[k] = 1
 	}
-	for id, u := range use(tab, Load{ByKey: byKey, Capacity: capacity}) {
+	for id, u := range relativeLoads(tab, Load{ByKey: byKey, Capacity: capacity}) {
 		if u > 2.1 {
 			t.Errorf("%s gets %.1f times its share of a busy region", id, u)
 		}
@@ -80,14 +80,14 @@
 	}
 	load := Load{ByKey: byKey, Capacity: capacity}
 	// The load assumed on idle keys makes the two reckonings differ a little.
-	if u := use(settled(tab, load), load)["a"]; u > testLimits.HighWatermark*1.05 {
+	if u := relativeLoads(rebalanceUntilStable(tab, load), load)["a"]; u > testLimits.HighWatermark*1.05 {
 		t.Errorf("a is left with %.2f times its share", u)
 	}
 }
 
 // One key takes more than a weak owner can do. It goes to the strongest one,
 // and that one's other keys go elsewhere.
-func TestHottestKeyGoesToTheStrongestOwner(t *testing.T) {
+func TestHottestKeyMovesToTheOwnerWithMostCapacity(t *testing.T) {
 	capacity := map[string]float64{"weak": 7, "mid": 14, "strong": 21, "other": 14}
 	tab := NewTable("s").Apply([]Move{{0, 16383, "weak", ""}, {16384, 32767, "mid", ""}, {32768, 49151, "strong", ""}, {49152, KeySpaceSize - 1, "other", ""}})
 	byKey := make([]float64, KeySpaceSize)
@@ -96,7 +96,7 @@
 	}
 	byKey[100] = 15
 	load := Load{ByKey: byKey, Capacity: capacity}
-	tab = settled(tab, load)
+	tab = rebalanceUntilStable(tab, load)
 	if got := tab.Find(100).Owner; got != "strong" {
 		t.Errorf("the hottest key is at %s", got)
 	}
@@ -117,7 +117,7 @@
 // on three more owners beside idle ones. Callers of the one key are refused
 // whatever is done; those of the region must not be for its sake: the region
 // is spread all the same, and as evenly as without that key.
-func TestKeyBeyondAllCapacityDoesNotKeepOthersFromBeingRelieved(t *testing.T) {
+func TestKeyAboveAllCapacityDoesNotBlockRebalancing(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s", "t"}
 	capacity := equalCapacity(ids...)
 	tab := NewTable("s")
@@ -131,10 +131,10 @@
 	}
 	region := Load{ByKey: slices.Clone(byKey), Capacity: capacity}
 	byKey[hot] = 300
-	tab = settled(tab, Load{ByKey: byKey, Capacity: capacity})
+	tab = rebalanceUntilStable(tab, Load{ByKey: byKey, Capacity: capacity})
 	owner := tab.Find(hot).Owner
 	delete(region.Capacity, owner)
-	for id, u := range use(tab, region) {
+	for id, u := range relativeLoads(tab, region) {
 		if id != owner && u > testLimits.HighWatermark*1.1 {
 			t.Errorf("%s is left with %.1f times its share of the busy region", id, u)
 		}
@@ -219,7 +219,7 @@
 // Callers of a large service ask each of 400 owners for a request in seven
 // seconds. By chance some have three where others have none; moving their keys
 // would stop and cool them for nothing, and cut the table up.
-func TestChanceAtIdleOwnersMovesNothing(t *testing.T) {
+func TestRandomLoadOnIdleOwnersMovesNothing(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	capacity := map[string]float64{}
 	for i := range 400 {
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -61,7 +61,7 @@
 
 // WithLost returns the table with other lost owners, under a new token.
 func (t *Table) WithLost(lost []string) *Table {
-	next := t.copyWith(t.Planner, t.PlannerAddr)
+	next := t.cloneWithPlanner(t.Planner, t.PlannerAddr)
 	next.MaxFencingToken++
 	next.Lost = lost
 	return next
@@ -81,7 +81,7 @@
 // Decode reads a table and checks that its ranges cover all keys once.
 func Decode(data []byte) (*Table, error) {
 	var t Table
-	if err := unpack(data, &t); err != nil {
+	if err := decodeGzipJSON(data, &t); err != nil {
 		return nil, err
 	}
 	next := 0
@@ -106,10 +106,10 @@
 
 // Encode returns the record to store. A table of 160 ranges takes about 2 KB
 // instead of 11.
-func (t *Table) Encode() ([]byte, error) { return pack(t) }
+func (t *Table) Encode() ([]byte, error) { return encodeGzipJSON(t) }
 
-// pack returns v as compressed JSON, since IDs recur in it.
-func pack(v any) ([]byte, error) {
+// encodeGzipJSON returns v as compressed JSON, since IDs recur in it.
+func encodeGzipJSON(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	zw := gzip.NewWriter(&buf)
 	if err := json.NewEncoder(zw).Encode(v); err != nil {
@@ -121,8 +121,8 @@
 	return buf.Bytes(), nil
 }
 
-// unpack reads what pack made into v.
-func unpack(data []byte, v any) error {
+// decodeGzipJSON reads what pack made into v.
+func decodeGzipJSON(data []byte, v any) error {
 	zr, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return eris.Wrap(err, "ownership table: decode")
@@ -152,19 +152,19 @@
 // owner under a higher fencing token, so that renewals which the previous
 // planner still sends are refused by each upstream that saw the new one.
 func (t *Table) TakeOver(planner, addr string) *Table {
-	next := t.copyWith(planner, addr)
+	next := t.cloneWithPlanner(planner, addr)
 	next.Term++
-	next.PreviousPlanners = t.planners()
+	next.PreviousPlanners = t.grantingPlanners()
 	next.MaxFencingToken++
 	for i := range next.Ranges {
 		next.Ranges[i].FencingToken = next.MaxFencingToken
 	}
-	next.merge()
+	next.mergeAdjacent()
 	return next
 }
 
-// planners returns those that may send grants: t's own and those before it.
-func (t *Table) planners() []PlannerHost {
+// grantingPlanners returns those that may send grants: t's own and those before it.
+func (t *Table) grantingPlanners() []PlannerHost {
 	if t.Planner == "" {
 		return nil
 	}
@@ -175,7 +175,7 @@
 // Apply returns the table after the moves, all under one new fencing token. No
 // two moves may have a key in common.
 func (t *Table) Apply(moves []Move) *Table {
-	next := t.copyWith(t.Planner, t.PlannerAddr)
+	next := t.cloneWithPlanner(t.Planner, t.PlannerAddr)
 	next.MaxFencingToken++
 	var moved []Range
 	for _, m := range moves {
@@ -183,7 +183,7 @@
 	}
 	slices.SortStableFunc(moved, func(x, y Range) int { return cmp.Compare(x.From, y.From) })
 	next.Ranges = overlay(t.Ranges, moved)
-	next.merge()
+	next.mergeAdjacent()
 	return next
 }
 
@@ -210,7 +210,7 @@
 	return n
 }
 
-func (t *Table) copyWith(planner, addr string) *Table {
+func (t *Table) cloneWithPlanner(planner, addr string) *Table {
 	next := *t
 	next.Planner, next.PlannerAddr = planner, addr
 	next.Ranges = append([]Range(nil), t.Ranges...)
@@ -245,8 +245,8 @@
 	return out
 }
 
-// merge joins neighbours that one grant can cover.
-func (t *Table) merge() {
+// mergeAdjacent joins neighbours that one grant can cover.
+func (t *Table) mergeAdjacent() {
 	out := t.Ranges[:0]
 	for _, r := range t.Ranges {
 		if n := len(out); n > 0 {
