--- a/internal/ownership/capacity.go
+++ b/internal/ownership/capacity.go
@@ -1,49 +1,51 @@
 package ownership
 
-// limitedUse is the part of its lowered capacity that an owner is to be used at. It
-// must be asked often enough to show when it can do more.
+// limitedUtilization is the fraction of its limit up to which a limited owner
+// is loaded. The owner must receive enough requests to show when it can serve
+// more.
 const limitedUtilization = 0.8
 
-// LimitCapacity lowers owners' capacities to the given ones. Each of these owners gets what
-// fills limitedUse of that, or its former share where that is less; the others
-// divide the rest as before.
-func (l *Load) LimitCapacity(most map[string]float64) {
+// LimitCapacity lowers the capacity of the owners in limits to their limit. Each
+// of them gets the load that fills limitedUtilization of its limit, or its
+// former share if that is less; the others divide the rest in proportion to
+// their former shares. It changes nothing while no load is known.
+func (l *Load) LimitCapacity(limits map[string]float64) {
 	share := l.Share
 	if share == nil {
 		share = l.Capacity
 	}
-	demand, whole := 0.0, 0.0
+	demand, totalShare := 0.0, 0.0
 	for _, x := range l.ByKey {
 		demand += x
 	}
 	for _, x := range share {
-		whole += x
+		totalShare += x
 	}
-	if demand == 0 || whole == 0 {
-		return // nothing is known of the load yet
+	if demand == 0 || totalShare == 0 {
+		return // no load is known yet
 	}
-	out, left, others := make(map[string]float64, len(share)), demand, 0.0
+	newShare, remaining, unlimitedShare := make(map[string]float64, len(share)), demand, 0.0
 	for id, x := range share {
-		m, limited := most[id]
-		if !limited || m >= l.Capacity[id] {
-			others += x
+		limit, limited := limits[id]
+		if !limited || limit >= l.Capacity[id] {
+			unlimitedShare += x
 			continue
 		}
-		out[id] = min(limitedUtilization*m, demand*x/whole)
-		left -= out[id]
+		newShare[id] = min(limitedUtilization*limit, demand*x/totalShare)
+		remaining -= newShare[id]
 	}
 	for id, x := range share {
-		if _, limited := out[id]; !limited {
-			out[id] = left * x / others
+		if _, limited := newShare[id]; !limited {
+			newShare[id] = remaining * x / unlimitedShare
 		}
 	}
-	l.Share = out
-	lowered := make(map[string]float64, len(l.Capacity))
+	l.Share = newShare
+	newCapacity := make(map[string]float64, len(l.Capacity))
 	for id, x := range l.Capacity {
-		lowered[id] = x
-		if m, limited := most[id]; limited {
-			lowered[id] = min(x, m)
+		newCapacity[id] = x
+		if limit, limited := limits[id]; limited {
+			newCapacity[id] = min(x, limit)
 		}
 	}
-	l.Capacity = lowered
+	l.Capacity = newCapacity
 }
--- a/internal/ownership/capacity_test.go
+++ b/internal/ownership/capacity_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-// An owner with a limit must get about what the limit allows, whatever the others'
-// capacity: with less it is hardly asked and cannot report the limit's end.
+// An owner with a rate limit must get about the load that the limit allows,
+// whatever the capacity of the others. With too few requests it could not report
+// that the limit has been raised.
 func TestLimitCapacityFillsLimitedOwners(t *testing.T) {
 	byKey := make([]float64, KeySpaceSize)
 	for k := range byKey {
 		byKey[k] = 60.0 / KeySpaceSize
 	}
 	for _, c := range []struct {
-		name string
-		most map[string]float64
-		want map[string]float64
+		name   string
+		limits map[string]float64
+		want   map[string]float64
 	}{
 		{"none", nil, map[string]float64{"a": 20, "b": 20, "c": 20}},
 		{"one", map[string]float64{"a": 5}, map[string]float64{"a": 4, "b": 28, "c": 28}},
@@ -24,16 +25,16 @@
 		{"all", map[string]float64{"a": 5, "b": 10, "c": 10}, map[string]float64{"a": 4, "b": 8, "c": 8}},
 	} {
 		l := Load{ByKey: byKey, Capacity: map[string]float64{"a": 100, "b": 100, "c": 100}}
-		l.LimitCapacity(c.most)
+		l.LimitCapacity(c.limits)
 		if l.Share == nil {
-			t.Fatalf("%s: no shares", c.name)
+			t.Fatalf("%s: Share is nil", c.name)
 		}
 		for id, want := range c.want {
 			if got := l.Share[id]; math.Abs(got-want) > 1e-6 {
 				t.Errorf("%s: share of %s is %v, want %v", c.name, id, got, want)
 			}
-			if most, ok := c.most[id]; ok && l.Capacity[id] != min(most, 100) {
-				t.Errorf("%s: capacity of %s is %v", c.name, id, l.Capacity[id])
+			if limit, ok := c.limits[id]; ok && l.Capacity[id] != min(limit, 100) {
+				t.Errorf("%s: capacity of %s is %v, want the lower of its limit and 100", c.name, id, l.Capacity[id])
 			}
 		}
 	}
--- a/internal/ownership/delta.go
+++ b/internal/ownership/delta.go
@@ -9,67 +9,66 @@
 )
 
 // Delta turns one table of a service into a later one. A table of hundreds
-// of owners takes tens of kilobytes and changes by a few ranges several times
-// a second; hosts that have the earlier one are sent only those.
+// of owners takes tens of kilobytes, while a few of its ranges change several
+// times a second; hosts that have the earlier table are sent only those ranges.
 type Delta struct {
-	// BaseDigest is the digest of the table that the change applies to, Result that
-	// of the table it makes. A host that missed a change, or was sent one
-	// twice, finds another digest and asks for the whole table; without them
-	// it would go on with a wrong owner for every key of the lost change.
+	// BaseDigest is the digest of the table that the delta applies to,
+	// ResultDigest that of the resulting table. A host that missed a delta or
+	// received one twice finds another digest and requests the whole table;
+	// otherwise it would keep a wrong owner for every key of a lost delta.
 	BaseDigest   uint64 `json:"base"`
 	ResultDigest uint64 `json:"result"`
 	// Next is the later table, with only those ranges that the earlier one
-	// has not.
+	// does not have.
 	Next Table `json:"next"`
 }
 
-// ErrBase means that a change does not apply to the table at hand.
-var ErrBaseMismatch = errors.New("change of another ownership table")
+// ErrBaseMismatch means that a delta was not made from the given table.
+var ErrBaseMismatch = errors.New("ownership delta does not apply to this table")
 
-// Diff returns what turns old into next.
+// Diff returns the delta that turns old into next.
 func Diff(old, next *Table) *Delta {
-	c := &Delta{BaseDigest: old.Digest(), ResultDigest: next.Digest(), Next: *next}
-	c.Next.Ranges = nil
-	had := make(map[Range]bool, len(old.Ranges))
+	d := &Delta{BaseDigest: old.Digest(), ResultDigest: next.Digest(), Next: *next}
+	d.Next.Ranges = nil
+	inOld := make(map[Range]bool, len(old.Ranges))
 	for _, r := range old.Ranges {
-		had[r] = true
+		inOld[r] = true
 	}
 	for _, r := range next.Ranges {
-		if !had[r] {
-			c.Next.Ranges = append(c.Next.Ranges, r)
+		if !inOld[r] {
+			d.Next.Ranges = append(d.Next.Ranges, r)
 		}
 	}
-	return c
+	return d
 }
 
-// Apply returns the table that the change makes of old, which may be nil. It
-// fails with ErrBase if the change was not made from old.
-func (c *Delta) Apply(old *Table) (*Table, error) {
-	if old == nil || old.Digest() != c.BaseDigest {
-		return nil, eris.Wrapf(ErrBaseMismatch, "ownership table %s: base", c.Next.Service)
+// Apply returns the table that the delta makes of old. It fails with
+// ErrBaseMismatch if old is nil or the delta was not made from it.
+func (d *Delta) Apply(old *Table) (*Table, error) {
+	if old == nil || old.Digest() != d.BaseDigest {
+		return nil, eris.Wrapf(ErrBaseMismatch, "ownership table %s: base digest differs", d.Next.Service)
 	}
-	next := c.Next
-	next.Ranges = overlay(old.Ranges, c.Next.Ranges)
-	if next.Digest() != c.ResultDigest {
-		return nil, eris.Wrapf(ErrBaseMismatch, "ownership table %s: result", c.Next.Service)
+	next := d.Next
+	next.Ranges = overlay(old.Ranges, d.Next.Ranges)
+	if next.Digest() != d.ResultDigest {
+		return nil, eris.Wrapf(ErrBaseMismatch, "ownership table %s: result digest differs", d.Next.Service)
 	}
 	return &next, nil
 }
 
-// Encode returns the change as it is sent, compressed like a table.
-func (c *Delta) Encode() ([]byte, error) { return encodeGzipJSON(c) }
+// Encode returns the delta as it is sent, in the same encoding as a table.
+func (d *Delta) Encode() ([]byte, error) { return encodeGzipJSON(d) }
 
-// DecodeDelta reads a change. Whether it makes sense shows when it is
-// applied.
+// DecodeDelta reads an encoded delta. Its contents are checked only by Apply.
 func DecodeDelta(data []byte) (*Delta, error) {
-	var c Delta
-	if err := decodeGzipJSON(data, &c); err != nil {
+	var d Delta
+	if err := decodeGzipJSON(data, &d); err != nil {
 		return nil, err
 	}
-	return &c, nil
+	return &d, nil
 }
 
-// Digest returns a number that differs for tables that differ in anything.
+// Digest returns a hash of all fields of the table.
 func (t *Table) Digest() uint64 {
 	b := make([]byte, 0, digestBytesPerRange*(len(t.Ranges)+1))
 	b = appendStrings(b, t.Service, t.Planner, t.PlannerAddr, t.Cause)
@@ -85,7 +84,8 @@
 	return xxhash.Sum64(b)
 }
 
-// digestRoom is about how many bytes a range takes in the digest's input.
+// digestBytesPerRange is the approximate size of a range in the digest's
+// input, to allocate the buffer.
 const digestBytesPerRange = 64
 
 func appendInts(b []byte, ns ...int64) []byte {
@@ -95,8 +95,8 @@
 	return b
 }
 
-// appendStrings appends each string behind its length, so that no two lists
-// give the same bytes.
+// appendStrings appends each string after its length, so that different lists
+// of strings never give the same bytes.
 func appendStrings(b []byte, ss ...string) []byte {
 	for _, s := range ss {
 		b = binary.AppendUvarint(b, uint64(len(s)))
--- a/internal/ownership/delta_test.go
+++ b/internal/ownership/delta_test.go
@@ -12,8 +12,8 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// randomSuccessor returns the table after some moves, losses or a change of
-// planner.
+// randomSuccessor returns the table after random moves, a change of the lost
+// owners or a change of planner.
 func randomSuccessor(t *Table, rng *rand.Rand) *Table {
 	switch rng.IntN(8) {
 	case 0:
@@ -31,40 +31,39 @@
 	return t.Apply(moves)
 }
 
-// A host is sent what changed instead of whole tables. Changes get lost, come
-// twice, late or out of order, and span several records and planners: whatever
-// it is sent, it ends with exactly the planner's table or is told that the
-// change is none of the table that it has. A wrong table would send every key
-// of a lost change to an upstream that does not own it.
+// Hosts receive deltas instead of whole tables. Deltas may be lost, duplicated,
+// late or out of order, and may span several records and planners. Apply must
+// give exactly the planner's table or fail with ErrBaseMismatch: with a wrong
+// table a host would send requests to upstreams that do not own their keys.
 func TestDeltaGivesTheExactTableOrFails(t *testing.T) {
 	params := gopter.DefaultTestParameters()
 	params.MinSuccessfulTests = 100
 	p := gopter.NewProperties(params)
-	p.Property("same table or ErrBase", prop.ForAll(func(seed uint64) (string, error) {
+	p.Property("same table or ErrBaseMismatch", prop.ForAll(func(seed uint64) (string, error) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		history := []*Table{NewTable("s")}
 		for range 30 {
 			history = append(history, randomSuccessor(history[len(history)-1], rng))
 		}
-		have := 0
+		current := 0
 		for range 60 {
 			from, to := rng.IntN(len(history)), rng.IntN(len(history))
 			data, err := Diff(history[from], history[to]).Encode()
 			if err != nil {
 				return "", err
 			}
-			c, err := DecodeDelta(data)
+			d, err := DecodeDelta(data)
 			if err != nil {
 				return "", err
 			}
-			got, err := c.Apply(history[have])
+			got, err := d.Apply(history[current])
 			switch {
-			case from == have && (err != nil || !reflect.DeepEqual(got, history[to])):
-				return fmt.Sprintf("change from %d to %d: %v", from, to, err), nil
-			case from != have && !errors.Is(err, ErrBaseMismatch):
-				return fmt.Sprintf("change of %d taken by %d", from, have), nil
-			case from == have:
-				have = to
+			case from == current && (err != nil || !reflect.DeepEqual(got, history[to])):
+				return fmt.Sprintf("delta from table %d to %d: %v", from, to, err), nil
+			case from != current && !errors.Is(err, ErrBaseMismatch):
+				return fmt.Sprintf("delta from table %d was applied to table %d", from, current), nil
+			case from == current:
+				current = to
 			}
 		}
 		return "", nil
@@ -72,14 +71,14 @@
 	p.TestingRun(t)
 }
 
-// Every field of a table counts for its digest: one that does not could differ
-// on a host for good without anybody noticing.
+// Every field of a table must affect its digest: a field that does not could
+// differ on a host permanently and unnoticed.
 func TestDigestCoversEveryField(t *testing.T) {
 	base := NewTable("s").TakeOver("h", "a:1").Apply([]Move{{From: 10, To: 20, NewOwner: "u"}})
 	seen := map[uint64]string{base.Digest(): "unchanged"}
 	check := func(name string, changed *Table) {
 		if other, ok := seen[changed.Digest()]; ok {
-			t.Errorf("%s has the digest of %s", name, other)
+			t.Errorf("%s has the same digest as %s", name, other)
 		}
 		seen[changed.Digest()] = name
 	}
@@ -97,7 +96,7 @@
 	}
 }
 
-// setDifferentValue gives a field another value.
+// setDifferentValue sets a field to a value other than its present one.
 func setDifferentValue(t *testing.T, f reflect.Value) {
 	t.Helper()
 	switch f.Kind() {
@@ -108,13 +107,12 @@
 	case reflect.Slice:
 		f.Set(reflect.Append(reflect.MakeSlice(f.Type(), 0, 1), reflect.Zero(f.Type().Elem())))
 	default:
-		t.Fatalf("no other value known for a %v", f.Kind())
+		t.Fatalf("setDifferentValue does not support a field of kind %v", f.Kind())
 	}
 }
 
-// BenchmarkChange measures what a host pays for a change of three ranges of a
-// table of 900, as a whole table and as a change. Before changes were sent,
-// Decode of the whole table was all there was.
+// BenchmarkChange measures a host's cost of receiving a change of three ranges in
+// a table of 900, as a whole table and as a delta.
 func BenchmarkChange(b *testing.B) {
 	var moves []Move
 	for i := range 900 {
@@ -126,7 +124,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	part, err := Diff(old, next).Encode()
+	delta, err := Diff(old, next).Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -140,14 +138,14 @@
 	})
 	b.Run("change", func(b *testing.B) {
 		for b.Loop() {
-			c, err := DecodeDelta(part)
+			d, err := DecodeDelta(delta)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if _, err := c.Apply(old); err != nil {
+			if _, err := d.Apply(old); err != nil {
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(len(part)), "bytes")
+		b.ReportMetric(float64(len(delta)), "bytes")
 	})
 }
--- a/internal/ownership/doc.go
+++ b/internal/ownership/doc.go
@@ -2,6 +2,6 @@
 //
 // A Table divides a service's keys into contiguous ranges, each with one
 // owner and a fencing token. It is stored whole as one record in the log
-// and changed only by compare-and-append. Rebalance and the hold ledger
-// are pure decisions; package planner carries them out.
+// and changed only by compare-and-append. Rebalance is a pure function that
+// plans moves; package planner carries them out.
 package ownership
--- a/internal/ownership/errors.go
+++ b/internal/ownership/errors.go
@@ -2,15 +2,17 @@
 
 import "errors"
 
+// Results of a grant or release call to an upstream.
 var (
-	// ErrFenced means an upstream has seen a higher fencing token than the
-	// one it was shown.
-	ErrFenced = errors.New("a higher fencing token was seen")
-	// ErrRejected means an upstream answered that it did not take an order.
-	ErrRejected = errors.New("upstream refused the order")
-	// ErrNotSent means no byte of an order left this host.
-	ErrNotSent = errors.New("order was not sent")
-	// ErrNoAnswer means an order got no answer; it may be carried out
-	// later.
-	ErrNoAnswer = errors.New("upstream did not answer the order")
+	// ErrFenced means the upstream has seen a higher fencing token than that
+	// of the call.
+	ErrFenced = errors.New("upstream has seen a higher fencing token")
+	// ErrRejected means the upstream responded that it did not carry out the
+	// call.
+	ErrRejected = errors.New("upstream rejected the call")
+	// ErrNotSent means no byte of the call left this host.
+	ErrNotSent = errors.New("call was not sent")
+	// ErrNoAnswer means the call got no response; the upstream may still
+	// carry it out.
+	ErrNoAnswer = errors.New("upstream did not respond to the call")
 )
--- a/internal/ownership/rebalance.go
+++ b/internal/ownership/rebalance.go
@@ -8,33 +8,33 @@
 	"strings"
 )
 
-// Load is what the callers ask of a service, by key.
+// Load is the demand for a service by key, and the capacity of its owners.
 type Load struct {
-	// ByKey is the work asked for on each key, in any unit; nil if nothing
+	// ByKey is the work requested on each key, in any unit; nil if nothing
 	// is known yet.
 	ByKey []float64
-	// Capacity is how much of it each candidate owner can do, in the same
-	// unit. Upstreams that are not listed get nothing and lose what they
-	// own.
+	// Capacity is how much of that work each candidate owner can do, in the
+	// same unit. Upstreams that are not listed get no keys and lose those
+	// they own.
 	Capacity map[string]float64
-	// Share is the part of the whole load that each candidate owner should
+	// Share is the part of the total load that each candidate owner should
 	// get, in any unit; in proportion to Capacity if nil.
 	Share map[string]float64
-	// Refill are owners whose keys were taken from them for a while. Where little is
-	// asked of one, keys are moved to it from any owner above its share, whether or
-	// not that reaches the trigger.
+	// Refill holds owners that have temporarily lost keys. While one has
+	// little load, keys move to it from an owner above its fair load even if
+	// that owner is below HighWatermark.
 	Refill map[string]bool
-	// SlowToMove owners are those whose keys would be without an owner for long on
-	// their way to another one.
+	// SlowToMove holds owners whose keys would be without an owner for long
+	// during a move to another owner.
 	SlowToMove map[string]bool
 }
 
-// Limits shape a rebalance.
+// Limits bound a rebalance.
 type Limits struct {
-	// HighWatermark is how far above its fair share an owner's load must be
-	// before keys move; under it the difference may be chance.
+	// HighWatermark is the load of an owner, relative to its fair load, from
+	// which on keys move away from it; a smaller excess may be random.
 	HighWatermark float64
-	// LowWatermark is the load, relative to the fair share, down to which an
+	// LowWatermark is the load, relative to the fair load, down to which an
 	// overloaded owner is relieved.
 	LowWatermark float64
 	// MaxMoves bounds the moves made to relieve owners.
@@ -42,190 +42,191 @@
 }
 
 const (
-	// backgroundLoadShare is the load assumed on all keys together beside what was
-	// measured, as a share of the whole, so that keys nobody has asked for
-	// yet are divided too.
+	// backgroundLoadShare is the load assumed on all keys evenly in addition
+	// to the measured load, as a fraction of it, so that keys without
+	// requests so far are divided too.
 	backgroundLoadShare = 0.05
-	// maxStripeKeys is the widest run of keys placed at once while nothing is
-	// known of the load. Busy keys lie close together; runs this narrow,
-	// dealt out in turn, spread a busy region of 4,000 keys over ten
-	// owners before the first request. At 160 runs the table stays a few
-	// kilobytes.
+	// maxStripeKeys is the longest run of keys assigned at once while the
+	// load is unknown. Busy keys are close together: runs this short, assigned
+	// in turn, spread a busy region of 4,000 keys over ten owners before the
+	// first request, and 160 of them keep the table at a few kilobytes.
 	maxStripeKeys = 410
-	// minRemainderShare is the share of the whole load below which a rest is not left
-	// behind as a range of its own.
+	// minRemainderShare is the fraction of the total load below which the
+	// remainder of a run is not left as a range of its own.
 	minRemainderShare = 0.0005
-	// maxOvershoot is how much more than wanted a cut may move, as a factor; a
-	// single busy key can make the exact amount impossible.
+	// maxOvershoot bounds the load of a moved run relative to the wanted
+	// load; a single busy key can make the exact amount impossible.
 	maxOvershoot = 1.3
-	// minMoveShare is the least part of its owner's fair share for which a
-	// run of keys is moved: less would not be felt, while each move stops
-	// its keys for the time of the work under way on them.
+	// minMoveShare is the least load for which a run of keys is moved, as a
+	// fraction of its owner's fair load. A smaller move has no noticeable
+	// effect, yet stops its keys until their requests in flight have ended.
 	minMoveShare = 0.01
-	// hotKeyUtilization is the part of its owner's capacity from which on a single key
-	// is placed by itself: no division of ranges can relieve it, only an
-	// owner with more capacity.
+	// hotKeyUtilization is the fraction of its owner's capacity from which on
+	// a single key is moved by itself: splitting ranges cannot relieve the
+	// owner, so the key needs an owner with more capacity.
 	hotKeyUtilization = 0.5
-	// hotKeyCapacityFactor is how much more capacity such an owner must have.
+	// hotKeyCapacityFactor is the least ratio of that owner's capacity to the
+	// present owner's.
 	hotKeyCapacityFactor = 1.25
-	// minReliefUtilization is the part of its capacity from which on an owner is relieved.
-	// Under it requests hardly ever queue, and what looks like uneven load is
-	// mostly chance. Keys that changed hands for it were the largest price of
-	// a lightly loaded fleet of 30 hosts, whose worth rose from 0.63 to 0.87.
+	// minReliefUtilization is the fraction of its capacity from which on an
+	// owner is relieved. Below it requests hardly ever queue and uneven load is
+	// mostly random; moves for it were the largest cost in a lightly loaded
+	// fleet of 30 hosts.
 	minReliefUtilization = 0.35
-	// refillBelow is the load, relative to its fair share, under which an owner is
-	// refilled, and filledUse up to which.
+	// refillBelow is the load, relative to its fair load, below which an owner
+	// in Load.Refill is refilled, and refillUntil the load at which that ends.
 	refillBelow, refillUntil = 0.15, 0.7
-	// slowToMoveFactor is how much higher the trigger of slow owners is: their
-	// keys stay without an owner for some three seconds, which costs callers
-	// more than a moderate overload does that may be over by then.
+	// slowToMoveFactor multiplies HighWatermark for owners in Load.SlowToMove.
+	// Their keys stay without an owner for about 3 s, which costs callers more
+	// than a moderate overload that may be over by then.
 	slowToMoveFactor = 2
 )
 
-// Rebalance returns the moves that relieve overloaded owners and find an
-// owner for keys that have none or whose owner is not a candidate. It moves
-// as few keys as bring an owner down to its share.
+// Rebalance returns the moves that relieve overloaded owners and assign keys
+// that have no owner or whose owner is not a candidate. To relieve an owner it
+// moves about as much load as brings the owner down to LowWatermark. It returns
+// nil if there are no candidates.
 func Rebalance(t *Table, load Load, lim Limits) []Move {
 	if len(load.Capacity) == 0 {
 		return nil
 	}
-	b := newPlan(t, load)
-	b.assignUnowned(load.ByKey == nil)
+	p := newPlan(t, load)
+	p.assignUnowned(load.ByKey == nil)
 	if lim.MaxMoves == 0 {
-		return b.moves()
+		return p.moves()
 	}
-	b.moveHottestKey(load.ByKey)
-	for n := 0; n < lim.MaxMoves && b.relieveOne(lim); n++ {
+	p.moveHottestKey(load.ByKey)
+	for n := 0; n < lim.MaxMoves && p.relieveOne(lim); n++ {
 	}
-	return b.moves()
+	return p.moves()
 }
 
-// span is a run of keys in the plan being made.
+// span is a run of keys; from and to are inclusive.
 type span struct{ from, to int }
 
-// candidate is one candidate owner in the plan being made.
+// candidate is a possible owner in a plan.
 type candidate struct {
 	id string
-	// load is what its pieces are asked for, fair what they should be.
+	// load is the load of its spans, fairLoad the load that it should have.
 	load, fairLoad, capacity float64
 	slowToMove, refill       bool
 	spans                    []span
 }
 
-// relativeLoad is its load relative to its fair share.
-func (a *candidate) relativeLoad() float64 { return a.load / a.fairLoad }
+// relativeLoad returns the load as a fraction of the fair load.
+func (c *candidate) relativeLoad() float64 { return c.load / c.fairLoad }
 
-// plan is the plan being made. Owners are accounts in a slice and not maps
-// by ID, as the most and the least loaded are looked for before each move: with
-// maps a plan of 150 moves for 1,600 owners took 47 ms and not 4.
+// plan is a table being rebalanced. Candidates are held in a slice and not in a
+// map by ID, as the most and the least loaded are searched before each move:
+// with maps a plan of 150 moves for 1,600 owners took 47 ms instead of 4 ms.
 type plan struct {
-	loadBelow []float64 // prefix[k] is the load of the keys below k
-	// candidates are the candidates, by ID for repeatable plans; open are those
-	// that are not set aside.
+	loadBelow []float64 // loadBelow[k] is the load of the keys below k
+	// candidates are sorted by ID to make plans repeatable; eligible are those
+	// that have not been excluded.
 	candidates, eligible []*candidate
-	// refilling is an owner that is being refilled; nil if none is.
+	// refilling is the owner that is being refilled; nil if there is none.
 	refilling *candidate
 	unowned   []span
 	table     *Table
 }
 
 func newPlan(t *Table, load Load) *plan {
-	b := &plan{table: t}
-	b.loadBelow = loadPrefixSums(load.ByKey, slices.Max(slices.Collect(maps.Values(load.Capacity))))
+	p := &plan{table: t}
+	p.loadBelow = loadPrefixSums(load.ByKey, slices.Max(slices.Collect(maps.Values(load.Capacity))))
 	share := load.Share
 	if share == nil {
 		share = load.Capacity
 	}
 	byID := make(map[string]*candidate, len(load.Capacity))
-	whole := 0.0
+	totalShare := 0.0
 	for id, capacity := range load.Capacity {
 		byID[id] = &candidate{id: id, capacity: capacity, slowToMove: load.SlowToMove[id], refill: load.Refill[id]}
-		b.candidates = append(b.candidates, byID[id])
-		whole += share[id]
+		p.candidates = append(p.candidates, byID[id])
+		totalShare += share[id]
 	}
-	slices.SortFunc(b.candidates, func(x, y *candidate) int { return strings.Compare(x.id, y.id) })
-	b.eligible = slices.Clone(b.candidates)
-	for _, o := range b.candidates {
-		o.fairLoad = b.loadBelow[KeySpaceSize] * share[o.id] / whole
+	slices.SortFunc(p.candidates, func(x, y *candidate) int { return strings.Compare(x.id, y.id) })
+	p.eligible = slices.Clone(p.candidates)
+	for _, c := range p.candidates {
+		c.fairLoad = p.loadBelow[KeySpaceSize] * share[c.id] / totalShare
 	}
 	for _, r := range t.Ranges {
-		p := span{from: r.From, to: r.To}
-		if o := byID[r.Owner]; o != nil {
-			o.spans = append(o.spans, p)
-			o.load += b.loadOf(p)
+		s := span{from: r.From, to: r.To}
+		if c := byID[r.Owner]; c != nil {
+			c.spans = append(c.spans, s)
+			c.load += p.loadOf(s)
 			continue
 		}
-		b.unowned = append(b.unowned, p)
+		p.unowned = append(p.unowned, s)
 	}
-	return b
+	return p
 }
 
-// loadPrefixSums counts a key that is asked for more than the strongest owner can
-// do, most, as that: the rest is refused wherever the key lies, and would make
-// all owners' fair shares too large.
-func loadPrefixSums(byKey []float64, most float64) []float64 {
+// loadPrefixSums returns for each k the load of the keys below k. The load of a
+// key counts only up to maxLoad, the highest capacity of an owner: the excess is
+// refused wherever the key is, and would raise the fair load of all owners.
+func loadPrefixSums(byKey []float64, maxLoad float64) []float64 {
 	total := 0.0
 	for _, l := range byKey {
-		total += min(l, most)
+		total += min(l, maxLoad)
 	}
-	base := total * backgroundLoadShare / KeySpaceSize
+	background := total * backgroundLoadShare / KeySpaceSize
 	if total == 0 {
-		base = 1
+		background = 1
 	}
-	out := make([]float64, KeySpaceSize+1)
+	sums := make([]float64, KeySpaceSize+1)
 	for k := range KeySpaceSize {
-		out[k+1] = out[k] + base
+		sums[k+1] = sums[k] + background
 		if k < len(byKey) {
-			out[k+1] += min(byKey[k], most)
+			sums[k+1] += min(byKey[k], maxLoad)
 		}
 	}
-	return out
+	return sums
 }
 
-func (b *plan) loadOf(p span) float64 { return b.loadBelow[p.to+1] - b.loadBelow[p.from] }
+func (p *plan) loadOf(s span) float64 { return p.loadBelow[s.to+1] - p.loadBelow[s.from] }
 
-// leastLoaded returns the open candidate with most room for its size.
-func (b *plan) leastLoaded() *candidate {
-	return slices.MinFunc(b.eligible, func(x, y *candidate) int { return cmp.Compare(x.relativeLoad(), y.relativeLoad()) })
+// leastLoaded returns the eligible candidate with the lowest relative load.
+func (p *plan) leastLoaded() *candidate {
+	return slices.MinFunc(p.eligible, func(x, y *candidate) int { return cmp.Compare(x.relativeLoad(), y.relativeLoad()) })
 }
 
-// mostLoaded returns the busy open candidate that is furthest above its share; nil if
-// none is busy.
-func (b *plan) mostLoaded() *candidate {
+// mostLoaded returns the eligible candidate with the highest relative load among
+// those above minReliefUtilization; nil if there is none.
+func (p *plan) mostLoaded() *candidate {
 	var most *candidate
-	for _, o := range b.eligible {
-		if o.load >= minReliefUtilization*o.capacity && (most == nil || o.relativeLoad() > most.relativeLoad()) {
-			most = o
+	for _, c := range p.eligible {
+		if c.load >= minReliefUtilization*c.capacity && (most == nil || c.relativeLoad() > most.relativeLoad()) {
+			most = c
 		}
 	}
 	return most
 }
 
-// assignUnowned deals out every run of keys without an owner, in parts that
-// fit the candidates' room, or in stripes if no load is known yet.
-func (b *plan) assignUnowned(blind bool) {
-	for _, p := range b.unowned {
-		for p.from <= p.to {
-			to := b.leastLoaded()
-			cut := b.prefixEnd(p, max(to.fairLoad-to.load, 0))
-			if blind {
-				cut = min(cut, p.from+maxStripeKeys-1)
+// assignUnowned assigns every run of keys without an owner, in parts that fit
+// the candidates' spare fair load, and in stripes if the load is unknown.
+func (p *plan) assignUnowned(loadUnknown bool) {
+	for _, s := range p.unowned {
+		for s.from <= s.to {
+			to := p.leastLoaded()
+			end := p.prefixEnd(s, max(to.fairLoad-to.load, 0))
+			if loadUnknown {
+				end = min(end, s.from+maxStripeKeys-1)
 			}
-			b.assign(to, span{from: p.from, to: cut})
-			p.from = cut + 1
+			p.assign(to, span{from: s.from, to: end})
+			s.from = end + 1
 		}
 	}
 }
 
-// assign gives a piece that nobody has to an owner.
-func (b *plan) assign(to *candidate, p span) {
-	to.spans = append(to.spans, p)
-	to.load += b.loadOf(p)
+// assign adds a span without an owner to a candidate.
+func (p *plan) assign(to *candidate, s span) {
+	to.spans = append(to.spans, s)
+	to.load += p.loadOf(s)
 }
 
-// moveHottestKey moves the busiest key, if it takes most of its owner, to the
-// owner with most capacity.
-func (b *plan) moveHottestKey(byKey []float64) {
+// moveHottestKey moves the busiest key to the candidate with the most capacity,
+// if it takes at least hotKeyUtilization of its owner's capacity.
+func (p *plan) moveHottestKey(byKey []float64) {
 	if len(byKey) == 0 {
 		return
 	}
@@ -235,161 +236,164 @@
 			hot = k
 		}
 	}
-	owner, i := b.ownerOf(hot)
+	owner, i := p.ownerOf(hot)
 	if byKey[hot] < hotKeyUtilization*owner.capacity {
 		return
 	}
 	best := owner
-	for _, o := range b.candidates {
-		if o.capacity > best.capacity {
-			best = o
+	for _, c := range p.candidates {
+		if c.capacity > best.capacity {
+			best = c
 		}
 	}
 	if best.capacity >= hotKeyCapacityFactor*owner.capacity {
-		b.transfer(owner, i, span{from: hot, to: hot}, best)
+		p.transfer(owner, i, span{from: hot, to: hot}, best)
 	}
 }
 
-// ownerOf returns the owner of the key and which of its pieces has it.
-func (b *plan) ownerOf(key int) (*candidate, int) {
-	for _, o := range b.candidates {
-		for i, p := range o.spans {
-			if p.from <= key && key <= p.to {
-				return o, i
+// ownerOf returns the owner of the key and the index of its span with the key.
+func (p *plan) ownerOf(key int) (*candidate, int) {
+	for _, c := range p.candidates {
+		for i, s := range c.spans {
+			if s.from <= key && key <= s.to {
+				return c, i
 			}
 		}
 	}
-	panic("a key has no owner after orphans were placed")
+	panic("ownership: a key has no owner after all unowned keys were assigned")
 }
 
-// prefixEnd returns the last key of the longest prefix of p whose load is at
-// most want, but at least p's first key. What would be left as a sliver is
-// taken along.
-func (b *plan) prefixEnd(p span, want float64) int {
-	n := sort.Search(p.to-p.from+1, func(i int) bool { return b.loadOf(span{p.from, p.from + i}) > want })
-	cut := max(p.from+n-1, p.from)
-	if b.loadOf(span{cut, p.to}) < b.loadBelow[KeySpaceSize]*minRemainderShare {
-		return p.to
+// prefixEnd returns the last key of the longest prefix of s whose load is at
+// most want, but at least the first key of s, and the end of s if the remainder
+// would be below minRemainderShare.
+func (p *plan) prefixEnd(s span, want float64) int {
+	n := sort.Search(s.to-s.from+1, func(i int) bool { return p.loadOf(span{s.from, s.from + i}) > want })
+	end := max(s.from+n-1, s.from)
+	if p.loadOf(span{end, s.to}) < p.loadBelow[KeySpaceSize]*minRemainderShare {
+		return s.to
 	}
-	return cut
+	return end
 }
 
-// suffixStart is cutFront from the other end: it returns the first key.
-func (b *plan) suffixStart(p span, want float64) int {
-	n := sort.Search(p.to-p.from+1, func(i int) bool { return b.loadOf(span{p.to - i, p.to}) > want })
-	return min(p.to-n+1, p.to)
+// suffixStart returns the first key of the longest suffix of s whose load is at
+// most want, but at least the last key of s.
+func (p *plan) suffixStart(s span, want float64) int {
+	n := sort.Search(s.to-s.from+1, func(i int) bool { return p.loadOf(span{s.to - i, s.to}) > want })
+	return min(s.to-n+1, s.to)
 }
 
-// transfer moves the part got of an owner's piece i to another owner.
-func (b *plan) transfer(from *candidate, i int, got span, to *candidate) {
+// transfer moves the keys of moved, a part of from's i-th span, to another owner.
+func (p *plan) transfer(from *candidate, i int, moved span, to *candidate) {
 	old := from.spans[i]
 	from.spans = slices.Delete(from.spans, i, i+1)
-	if old.from < got.from {
-		from.spans = append(from.spans, span{old.from, got.from - 1})
+	if old.from < moved.from {
+		from.spans = append(from.spans, span{old.from, moved.from - 1})
 	}
-	if old.to > got.to {
-		from.spans = append(from.spans, span{got.to + 1, old.to})
+	if old.to > moved.to {
+		from.spans = append(from.spans, span{moved.to + 1, old.to})
 	}
-	from.load -= b.loadOf(got)
-	b.assign(to, got)
+	from.load -= p.loadOf(moved)
+	p.assign(to, moved)
 }
 
 // relieveOne moves one run of keys from the most loaded owner that can be
-// relieved to the least loaded one. It reports whether there was one.
-func (b *plan) relieveOne(lim Limits) bool {
-	for len(b.eligible) > 1 {
-		from := b.mostLoaded()
+// relieved to the owner that pickReceiver selects. It reports whether there was
+// such a run.
+func (p *plan) relieveOne(lim Limits) bool {
+	for len(p.eligible) > 1 {
+		from := p.mostLoaded()
 		if from == nil {
 			return false
 		}
-		to := b.pickReceiver(from, lim)
+		to := p.pickReceiver(from, lim)
 		if to == nil {
 			return false
 		}
 		if from.slowToMove && from.relativeLoad() < lim.HighWatermark*slowToMoveFactor {
-			b.exclude(from)
+			p.exclude(from)
 			continue
 		}
 		want := min(from.load-lim.LowWatermark*from.fairLoad, to.fairLoad-to.load)
 		if want <= 0 {
 			return false
 		}
-		if i, got := b.bestSpanToMove(from, want); i >= 0 {
-			b.transfer(from, i, got, to)
+		if i, moved := p.bestSpanToMove(from, want); i >= 0 {
+			p.transfer(from, i, moved, to)
 			return true
 		}
-		b.exclude(from)
+		p.exclude(from)
 	}
 	return false
 }
 
-// pickReceiver returns the owner that is given keys of from, nil if from keeps them.
-func (b *plan) pickReceiver(from *candidate, lim Limits) *candidate {
-	for _, o := range b.eligible {
-		if b.refilling == nil && o.refill && o.relativeLoad() < refillBelow {
-			b.refilling = o
+// pickReceiver returns the owner that keys of from should move to, or nil if
+// from should keep them.
+func (p *plan) pickReceiver(from *candidate, lim Limits) *candidate {
+	for _, c := range p.eligible {
+		if p.refilling == nil && c.refill && c.relativeLoad() < refillBelow {
+			p.refilling = c
 		}
 	}
 	switch {
 	case from.relativeLoad() >= lim.HighWatermark:
-		return b.leastLoaded()
-	case b.refilling != nil && b.refilling.relativeLoad() < refillUntil:
-		return b.refilling
+		return p.leastLoaded()
+	case p.refilling != nil && p.refilling.relativeLoad() < refillUntil:
+		return p.refilling
 	}
 	return nil
 }
 
-// exclude takes an owner that cannot be relieved, as one key makes up its
-// load, out of the balance: the others share what is left. While it stayed in,
-// nobody was relieved for as long as a single key was asked for more than an
-// owner can do: for 10 s half of 200 owners idled beside 50 that were asked for
-// two to ten times what they could do.
-func (b *plan) exclude(owner *candidate) {
-	b.eligible = slices.DeleteFunc(b.eligible, func(o *candidate) bool { return o == owner })
-	whole, shares := 0.0, 0.0
-	for _, o := range b.eligible {
-		whole += o.load
-		shares += o.fairLoad
+// exclude removes from the plan an owner that cannot be relieved now, for example
+// because a single key makes up its load; the others share the remaining load. If
+// it stayed, no other owner would be relieved: for 10 s, half of 200 owners were
+// idle while 50 others got two to ten times the load they had capacity for.
+func (p *plan) exclude(owner *candidate) {
+	p.eligible = slices.DeleteFunc(p.eligible, func(c *candidate) bool { return c == owner })
+	totalLoad, totalFairLoad := 0.0, 0.0
+	for _, c := range p.eligible {
+		totalLoad += c.load
+		totalFairLoad += c.fairLoad
 	}
-	for _, o := range b.eligible {
-		o.fairLoad *= whole / shares
+	for _, c := range p.eligible {
+		c.fairLoad *= totalLoad / totalFairLoad
 	}
 }
 
-// bestSpanToMove looks at both ends of every piece of the owner and returns the cut
-// whose load comes closest to want; among equals the one with fewest keys.
-func (b *plan) bestSpanToMove(owner *candidate, want float64) (int, span) {
+// bestSpanToMove returns the index of one of the owner's spans and the prefix or
+// suffix of it to move: the one with the highest load up to maxOvershoot times
+// want, where many keys count slightly against it. The index is -1 if none is
+// worth a move.
+func (p *plan) bestSpanToMove(owner *candidate, want float64) (int, span) {
 	best, bestScore := -1, 0.0
-	var bestCut span
-	for i, p := range owner.spans {
-		front := span{from: p.from, to: b.prefixEnd(p, want)}
-		back := span{from: b.suffixStart(p, want), to: p.to}
-		for _, c := range []span{front, back} {
-			l := b.loadOf(c)
-			if l > want*maxOvershoot {
+	var bestSpan span
+	for i, s := range owner.spans {
+		front := span{from: s.from, to: p.prefixEnd(s, want)}
+		back := span{from: p.suffixStart(s, want), to: s.to}
+		for _, part := range []span{front, back} {
+			load := p.loadOf(part)
+			if load > want*maxOvershoot {
 				continue
 			}
-			score := l - want*float64(c.to-c.from)/KeySpaceSize
+			score := load - want*float64(part.to-part.from)/KeySpaceSize
 			if score > bestScore {
-				best, bestScore, bestCut = i, score, c
+				best, bestScore, bestSpan = i, score, part
 			}
 		}
 	}
 	if bestScore < owner.fairLoad*minMoveShare {
 		return -1, span{}
 	}
-	return best, bestCut
+	return best, bestSpan
 }
 
-// moves returns the pieces that end with another owner than the table
-// gives them, in the order of their keys. A piece lies within one range of the
-// table.
-func (b *plan) moves() []Move {
+// moves returns the spans whose owner differs from that in the table, in the
+// order of their keys. Each span lies within one range of the table.
+func (p *plan) moves() []Move {
 	var out []Move
-	for _, o := range b.candidates {
-		for _, p := range o.spans {
-			if o.id != b.table.Find(p.from).Owner {
-				out = append(out, Move{From: p.from, To: p.to, NewOwner: o.id})
+	for _, c := range p.candidates {
+		for _, s := range c.spans {
+			if c.id != p.table.Find(s.from).Owner {
+				out = append(out, Move{From: s.from, To: s.to, NewOwner: c.id})
 			}
 		}
 	}
--- a/internal/ownership/rebalance_test.go
+++ b/internal/ownership/rebalance_test.go
@@ -21,7 +21,8 @@
 	return out
 }
 
-// relativeLoads returns each owner's load relative to its share of the capacity.
+// relativeLoads returns each owner's load relative to its share of the total
+// capacity.
 func relativeLoads(t *Table, load Load) map[string]float64 {
 	total, capacity := 0.0, 0.0
 	for _, l := range load.ByKey {
@@ -39,6 +40,7 @@
 	return out
 }
 
+// rebalanceUntilStable applies up to ten rebalances, until one plans no moves.
 func rebalanceUntilStable(t *Table, load Load) *Table {
 	for range 10 {
 		moves := Rebalance(t, load, testLimits)
@@ -50,9 +52,9 @@
 	return t
 }
 
-// Callers ask for a few thousand neighbouring keys before anything is known
-// of the load. Dealt out in stripes, no owner gets more than a few times its
-// share; divided into equal ranges one would get nearly all.
+// Callers request a few thousand adjacent keys before the load is known. With
+// the keys assigned in stripes, no owner gets much more than its share; with one
+// equal range for each owner, a single owner would get nearly all requests.
 func TestInitialAssignmentSpreadsABusyRegion(t *testing.T) {
 	capacity := equalCapacity("a", "b", "c", "d", "e", "f", "g", "h", "i", "j")
 	tab := NewTable("s").Apply(Rebalance(NewTable("s"), Load{Capacity: capacity}, testLimits))
@@ -62,13 +64,13 @@
 	}
 	for id, u := range relativeLoads(tab, Load{ByKey: byKey, Capacity: capacity}) {
 		if u > 2.1 {
-			t.Errorf("%s gets %.1f times its share of a busy region", id, u)
+			t.Errorf("%s gets %.1f times its share of the busy region, want at most 2.1", id, u)
 		}
 	}
 }
 
-// An owner of many small ranges is overloaded. Each range alone is a small
-// part of what must move; all of them together relieve it.
+// An owner of many small ranges is overloaded. Each range alone is a small part
+// of the load that must move, so several of them must be moved.
 func TestManySmallRangesAreMovedTogether(t *testing.T) {
 	capacity := equalCapacity("a", "b")
 	tab := NewTable("s").Apply(Rebalance(NewTable("s"), Load{Capacity: capacity}, testLimits))
@@ -79,14 +81,15 @@
 		}
 	}
 	load := Load{ByKey: byKey, Capacity: capacity}
-	// The load assumed on idle keys makes the two reckonings differ a little.
+	// Rebalance also counts the background load assumed on all keys, which
+	// relativeLoads does not; 5 % allows for that.
 	if u := relativeLoads(rebalanceUntilStable(tab, load), load)["a"]; u > testLimits.HighWatermark*1.05 {
-		t.Errorf("a is left with %.2f times its share", u)
+		t.Errorf("a still has %.2f times its share after rebalancing", u)
 	}
 }
 
-// One key takes more than a weak owner can do. It goes to the strongest one,
-// and that one's other keys go elsewhere.
+// One key has more load than the capacity of its owner. It must move to the owner
+// with the most capacity, and the other keys of that owner must move away.
 func TestHottestKeyMovesToTheOwnerWithMostCapacity(t *testing.T) {
 	capacity := map[string]float64{"weak": 7, "mid": 14, "strong": 21, "other": 14}
 	tab := NewTable("s").Apply([]Move{{0, 16383, "weak", ""}, {16384, 32767, "mid", ""}, {32768, 49151, "strong", ""}, {49152, KeySpaceSize - 1, "other", ""}})
@@ -98,25 +101,25 @@
 	load := Load{ByKey: byKey, Capacity: capacity}
 	tab = rebalanceUntilStable(tab, load)
 	if got := tab.Find(100).Owner; got != "strong" {
-		t.Errorf("the hottest key is at %s", got)
+		t.Errorf("the owner of the hottest key is %s, want strong", got)
 	}
-	rest := 0.0
+	otherLoad := 0.0
 	for _, r := range tab.Ranges {
 		for k := r.From; k <= r.To; k++ {
 			if r.Owner == "strong" && k != 100 {
-				rest += byKey[k]
+				otherLoad += byKey[k]
 			}
 		}
 	}
-	if rest > 1 {
-		t.Errorf("its owner still has %.2f of other load", rest)
+	if otherLoad > 1 {
+		t.Errorf("the hottest key's owner still has %.2f of other load, want at most 1", otherLoad)
 	}
 }
 
-// One key is asked for far more than any owner can do, and a busy region lies
-// on three more owners beside idle ones. Callers of the one key are refused
-// whatever is done; those of the region must not be for its sake: the region
-// is spread all the same, and as evenly as without that key.
+// One key has far more load than any owner's capacity, and a busy region lies on
+// three other owners while the rest are idle. Requests for that key are refused
+// wherever it is, but it must not keep the region from being spread as evenly as
+// without it.
 func TestKeyAboveAllCapacityDoesNotBlockRebalancing(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p", "q", "r", "s", "t"}
 	capacity := equalCapacity(ids...)
@@ -136,14 +139,14 @@
 	delete(region.Capacity, owner)
 	for id, u := range relativeLoads(tab, region) {
 		if id != owner && u > testLimits.HighWatermark*1.1 {
-			t.Errorf("%s is left with %.1f times its share of the busy region", id, u)
+			t.Errorf("%s still has %.1f times its share of the busy region", id, u)
 		}
 	}
 }
 
-// Whatever the load and the candidates, every key ends with a candidate, the
-// moves lie within ranges of the table, and load that is balanced already
-// moves nothing.
+// For random load and candidates, every move lies within one range of the table,
+// every key is owned by a candidate afterwards, and the table can be decoded
+// after encoding.
 func TestRebalanceProperties(t *testing.T) {
 	params := gopter.DefaultTestParameters()
 	params.MinSuccessfulTests = 60
@@ -189,8 +192,8 @@
 	p.TestingRun(t)
 }
 
-// FuzzDecode: whatever lies in the log, a table that is accepted covers every
-// key exactly once.
+// FuzzDecode checks that a table which Decode accepts covers every key exactly
+// once, whatever the record contains.
 func FuzzDecode(f *testing.F) {
 	data, err := NewTable("s").TakeOver("h", "a:1").Encode()
 	if err != nil {
@@ -216,9 +219,9 @@
 	})
 }
 
-// Callers of a large service ask each of 400 owners for a request in seven
-// seconds. By chance some have three where others have none; moving their keys
-// would stop and cool them for nothing, and cut the table up.
+// At a large service each of 400 owners gets one request in seven seconds. By
+// chance some have three while others have none. Moving keys for that would
+// interrupt them, make them start cold and fragment the table to no benefit.
 func TestRandomLoadOnIdleOwnersMovesNothing(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	capacity := map[string]float64{}
@@ -231,14 +234,13 @@
 		byKey[rng.IntN(KeySpaceSize)] += 0.1
 	}
 	if moves := Rebalance(tab, Load{ByKey: byKey, Capacity: capacity}, testLimits); len(moves) > 0 {
-		t.Errorf("%d moves between idle owners", len(moves))
+		t.Errorf("%d moves between idle owners, want none", len(moves))
 	}
 }
 
-// BenchmarkRebalance measures a plan of 1,600 owners and 4,800 ranges under a
-// light load, where chance makes many a single key its owner's whole load.
-// Before: 47 ms, with owners in maps; after: 4.3 ms. A plan is made four to ten
-// times a second.
+// BenchmarkRebalance measures a plan for 1,600 owners and some 4,700 ranges under
+// light load, where many owners by chance have a single busy key. Plans are made
+// four to ten times a second.
 func BenchmarkRebalance(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	capacity := map[string]float64{}
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -12,54 +12,55 @@
 	"github.com/rotisserie/eris"
 )
 
-// Keys is the size of the key space: keys are 0 to Keys-1.
+// KeySpaceSize is the number of keys: keys are 0 to KeySpaceSize-1.
 const KeySpaceSize = 1 << 16
 
 // Range is a run of keys with one owner. From and To are both inclusive.
 type Range struct {
 	From int `json:"f"`
 	To   int `json:"t"`
-	// Owner is an upstream's ID, or empty while nobody owns the range.
+	// Owner is an upstream's ID, or empty while the range has no owner.
 	Owner string `json:"o,omitempty"`
 	// FencingToken is the fencing token of the owner's grant.
 	FencingToken int64 `json:"e"`
-	// HandoverToken is the token with which the last owner gave the keys back;
-	// the next owner starts warm if its grant carries it.
+	// HandoverToken is the token that the last owner returned when it released
+	// the keys; the next owner starts warm if its grant carries it.
 	HandoverToken string `json:"h,omitempty"`
 }
 
-// PlannerHost is a host that planned.
+// PlannerHost is a host that is or was the planner.
 type PlannerHost struct {
 	Host string `json:"h"`
-	// Addr is where its peers reach it.
+	// Addr is the address for its peers.
 	Addr string `json:"a"`
 }
 
-// Table is one service's ownership at one point of the log. It is immutable.
+// Table is one service's ownership at one offset of the log. It is immutable.
 type Table struct {
 	Service string `json:"service"`
-	// Term counts planners; each planner's first record raises it.
+	// Term is the planner's term; the first record of each term increments it.
 	Term int64 `json:"term"`
-	// Planner is the host that wrote the record, PlannerAddr where its
-	// peers reach it.
+	// Planner is the host that wrote the record, PlannerAddr its address for
+	// its peers.
 	Planner     string `json:"planner"`
 	PlannerAddr string `json:"planner_addr"`
-	// Cause says why it differs from the record before, for operators.
+	// Cause is the reason for the change since the last record, for operators.
 	Cause string `json:"cause,omitempty"`
 	// MaxFencingToken is the highest fencing token used so far.
 	MaxFencingToken int64 `json:"fence"`
 	// PreviousPlanners are the planners of earlier terms that may still send grants.
 	PreviousPlanners []PlannerHost `json:"earlier,omitempty"`
-	// Lost are owners, sorted, to which this term's planner has stopped
-	// sending grants: they do not answer. None is sent to them before a
-	// record without them is written, so that a successor knows how long
-	// they may hold their keys at most.
+	// Lost are the owners, sorted, that do not respond and to which this
+	// term's planner has stopped sending grants. It sends them none before it
+	// has written a record without them, so that the next planner can bound
+	// how long they may still hold their keys.
 	Lost []string `json:"lost,omitempty"`
 	// Ranges cover all keys in order.
 	Ranges []Range `json:"ranges"`
 }
 
-// WithLost returns the table with other lost owners, under a new token.
+// WithLost returns the table with these lost owners, which must be sorted, and
+// a higher MaxFencingToken.
 func (t *Table) WithLost(lost []string) *Table {
 	next := t.cloneWithPlanner(t.Planner, t.PlannerAddr)
 	next.MaxFencingToken++
@@ -73,12 +74,12 @@
 	return found
 }
 
-// NewTable returns a table in which nobody owns anything.
+// NewTable returns a table in which no key has an owner.
 func NewTable(service string) *Table {
 	return &Table{Service: service, Ranges: []Range{{From: 0, To: KeySpaceSize - 1}}}
 }
 
-// Decode reads a table and checks that its ranges cover all keys once.
+// Decode reads an encoded table and checks that its ranges cover each key once.
 func Decode(data []byte) (*Table, error) {
 	var t Table
 	if err := decodeGzipJSON(data, &t); err != nil {
@@ -87,28 +88,28 @@
 	next := 0
 	for _, r := range t.Ranges {
 		if r.From != next || r.To < r.From {
-			return nil, eris.Errorf("ownership table %s: range %d-%d where %d should start", t.Service, r.From, r.To, next)
+			return nil, eris.Errorf("ownership table %s: found range %d-%d, want a range that starts at key %d", t.Service, r.From, r.To, next)
 		}
 		if r.FencingToken > t.MaxFencingToken {
-			return nil, eris.Errorf("ownership table %s: range fence %d above %d", t.Service, r.FencingToken, t.MaxFencingToken)
+			return nil, eris.Errorf("ownership table %s: fencing token %d of a range exceeds the table's maximum of %d", t.Service, r.FencingToken, t.MaxFencingToken)
 		}
 		next = r.To + 1
 	}
 	if next != KeySpaceSize {
-		return nil, eris.Errorf("ownership table %s: ranges end at %d", t.Service, next)
+		return nil, eris.Errorf("ownership table %s: ranges end before key %d, not at the end of the key space", t.Service, next)
 	}
 	return &t, nil
 }
 
-// maxTableBytes bounds a decoded record; a table of 16,000 ranges is a
-// megabyte.
+// maxTableBytes bounds a record after decompression; a table of 16,000 ranges
+// takes 1 MB.
 const maxTableBytes = 8 << 20
 
-// Encode returns the record to store. A table of 160 ranges takes about 2 KB
-// instead of 11.
+// Encode returns the record to store, compressed JSON: about 2 KB instead of
+// 11 KB for a table of 160 ranges.
 func (t *Table) Encode() ([]byte, error) { return encodeGzipJSON(t) }
 
-// encodeGzipJSON returns v as compressed JSON, since IDs recur in it.
+// encodeGzipJSON returns v as JSON, compressed since the same IDs recur in it.
 func encodeGzipJSON(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	zw := gzip.NewWriter(&buf)
@@ -121,7 +122,7 @@
 	return buf.Bytes(), nil
 }
 
-// decodeGzipJSON reads what pack made into v.
+// decodeGzipJSON decodes the output of encodeGzipJSON into v.
 func decodeGzipJSON(data []byte, v any) error {
 	zr, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -133,24 +134,25 @@
 	return nil
 }
 
-// Find returns the range that holds key.
+// Find returns the range that contains key.
 func (t *Table) Find(key int) Range {
 	i := sort.Search(len(t.Ranges), func(i int) bool { return t.Ranges[i].To >= key })
 	return t.Ranges[i]
 }
 
-// Move gives the keys From to To to another owner.
+// Move assigns the keys From to To, both inclusive, to another owner.
 type Move struct {
 	From, To int
 	// NewOwner is an upstream's ID.
 	NewOwner string
-	// HandoverToken is the last owner's token, or empty if it gave none.
+	// HandoverToken is the token that the last owner returned when it released
+	// the keys; empty if there is none.
 	HandoverToken string
 }
 
-// TakeOver returns the table of a new planner's term: every range keeps its
-// owner under a higher fencing token, so that renewals which the previous
-// planner still sends are refused by each upstream that saw the new one.
+// TakeOver returns the first table of a new planner's term. Every range keeps
+// its owner under a higher fencing token, so that each upstream that has seen
+// the new token rejects the renewals that the previous planner still sends.
 func (t *Table) TakeOver(planner, addr string) *Table {
 	next := t.cloneWithPlanner(planner, addr)
 	next.Term++
@@ -163,7 +165,8 @@
 	return next
 }
 
-// grantingPlanners returns those that may send grants: t's own and those before it.
+// grantingPlanners returns the planners that may still send grants: the table's
+// own and the previous ones.
 func (t *Table) grantingPlanners() []PlannerHost {
 	if t.Planner == "" {
 		return nil
@@ -172,8 +175,8 @@
 	return append(others, PlannerHost{Host: t.Planner, Addr: t.PlannerAddr})
 }
 
-// Apply returns the table after the moves, all under one new fencing token. No
-// two moves may have a key in common.
+// Apply returns the table after the moves, all under one new fencing token. The
+// moves must not overlap.
 func (t *Table) Apply(moves []Move) *Table {
 	next := t.cloneWithPlanner(t.Planner, t.PlannerAddr)
 	next.MaxFencingToken++
@@ -187,8 +190,8 @@
 	return next
 }
 
-// KeysMovedSince returns how many keys have another owner than in old; all
-// that have one, if old is nil.
+// KeysMovedSince returns how many keys have another owner than in old. If old is
+// nil, it returns how many have an owner.
 func (t *Table) KeysMovedSince(old *Table) int {
 	n := 0
 	for _, r := range t.Ranges {
@@ -217,25 +220,26 @@
 	return &next
 }
 
-// overlay returns over and what it leaves of under, all in order. Ranges of
-// over are in order and share no key. It is one pass: cut in one by one, 500
-// moves of a table of 3,000 ranges took a fifth of the pause between plans.
-func overlay(under, over []Range) []Range {
-	out := make([]Range, 0, len(under)+2*len(over))
-	for _, r := range under {
+// overlay returns the updates and the parts of base that they do not cover, in
+// order. The updates must be in order and must not overlap. It makes one pass:
+// cutting 500 moves one by one into a table of 3,000 ranges took a fifth of the
+// planner's interval.
+func overlay(base, updates []Range) []Range {
+	out := make([]Range, 0, len(base)+2*len(updates))
+	for _, r := range base {
 		from := r.From
-		for len(over) > 0 && over[0].From <= r.To {
-			if over[0].From > from {
-				left := r
-				left.From, left.To = from, over[0].From-1
-				out = append(out, left)
+		for len(updates) > 0 && updates[0].From <= r.To {
+			if updates[0].From > from {
+				before := r
+				before.From, before.To = from, updates[0].From-1
+				out = append(out, before)
 			}
-			from = over[0].To + 1
-			if over[0].To > r.To {
-				break // it is due where it ends
+			from = updates[0].To + 1
+			if updates[0].To > r.To {
+				break // appended at the range of base in which it ends
 			}
-			out = append(out, over[0])
-			over = over[1:]
+			out = append(out, updates[0])
+			updates = updates[1:]
 		}
 		if from <= r.To {
 			r.From = from
@@ -245,7 +249,7 @@
 	return out
 }
 
-// mergeAdjacent joins neighbours that one grant can cover.
+// mergeAdjacent joins adjacent ranges that one grant can cover.
 func (t *Table) mergeAdjacent() {
 	out := t.Ranges[:0]
 	for _, r := range t.Ranges {
