--- a/internal/keyload/estimator.go
+++ b/internal/keyload/estimator.go
@@ -1,5 +1,5 @@
-// Package keyload estimates what callers ask of each key and how fast each
-// upstream works, from samples that all hosts report to the planner.
+// Package keyload estimates the request rate of each key and the capacity of each
+// upstream, from samples that all hosts send to the planner.
 package keyload
 
 import (
@@ -15,30 +15,31 @@
 // Sample is one request to a keyed service.
 type Sample struct {
 	Key int
-	// Upstream answered the request; empty if none did.
+	// Upstream is the upstream that responded; empty if none did.
 	Upstream string
-	// Latency is how long the upstream took.
+	// Latency is the upstream's response time.
 	Latency time.Duration
 }
 
 const (
-	// usualTimeConstant is the time constant of the usual load of a key. At 100
-	// requests a second it rests on about a thousand samples, some fifty
-	// for each of twenty owners, so that chance alone makes an owner look
-	// 1.3 times as busy as it is only now and then.
+	// usualTimeConstant is the time constant of a key's usual rate. At 100
+	// requests a second it averages over about 1,000 samples, some 50 for each
+	// of twenty owners, so that random variation rarely makes an owner look
+	// 1.3 times as busy as it is.
 	usualTimeConstant = 10 * time.Second
-	// recentTimeConstant is the time constant against which a key's load is checked for
-	// a change; it shows a key that became hot within half a second.
+	// recentTimeConstant is the time constant of a key's recent rate, which
+	// shows within half a second that a key has become hot.
 	recentTimeConstant = 1500 * time.Millisecond
-	// changeSigma is how many standard deviations, and least how many requests, a
-	// key's recent load must lie off its usual one to replace it.
+	// The recent rate replaces the usual rate if it deviates from it by more
+	// than changeSigma standard deviations and minChangeRequests requests.
 	changeSigma, minChangeRequests = 3.0, 4.0
-	// minKeyWeight is the weight below which a key is forgotten.
-	minKeyWeight = 0.01
-	// pruneInterval is how often that is done.
+	// minKeyWeight is the decayed number of requests below which a key is
+	// dropped.
+	minKeyWeight  = 0.01
 	pruneInterval = 10 * time.Second
 )
 
+// keyCounts are decayed numbers of requests for a key.
 type keyCounts struct{ usual, recent decay.Sum }
 
 type serviceLoad struct {
@@ -48,21 +49,21 @@
 	prunedAt  time.Time
 }
 
-// Estimator is not safe for concurrent use.
+// Estimator estimates the load of all keyed services. It is not safe for
+// concurrent use.
 type Estimator struct {
 	services map[string]*serviceLoad
 }
 
-// New returns an empty map.
+// New returns an estimator without samples.
 func New() *Estimator { return &Estimator{services: map[string]*serviceLoad{}} }
 
-// Add takes in samples of a service, each of which stands for weight
-// requests.
-func (m *Estimator) Add(name string, samples []Sample, weight float64, now time.Time) {
-	s := m.services[name]
+// Add adds samples of a service, each of which represents weight requests.
+func (e *Estimator) Add(service string, samples []Sample, weight float64, now time.Time) {
+	s := e.services[service]
 	if s == nil {
 		s = &serviceLoad{keys: map[int]*keyCounts{}, workTimes: worktime.New(now), started: now, prunedAt: now}
-		m.services[name] = s
+		e.services[service] = s
 	}
 	for _, x := range samples {
 		k := s.keys[x.Key]
@@ -79,7 +80,7 @@
 	s.prune(now)
 }
 
-// prune drops keys that nobody asks for any more.
+// prune drops keys that get no requests any more, once in pruneInterval.
 func (s *serviceLoad) prune(now time.Time) {
 	if now.Sub(s.prunedAt) < pruneInterval {
 		return
@@ -92,32 +93,34 @@
 	}
 }
 
-// effectiveWindow is the time over which a sum with time constant tau has gathered.
+// effectiveWindow returns the seconds of requests that a sum with time constant
+// tau represents.
 func (s *serviceLoad) effectiveWindow(tau time.Duration, now time.Time) float64 {
 	return decay.EffectiveWindow(tau, now.Sub(s.started))
 }
 
-// rate returns the requests a second for a key: its usual rate, unless the
-// recent one lies further off than chance explains.
+// rate returns the requests a second for a key: its usual rate, or its recent
+// rate if that deviates by more than random variation explains.
 func (s *serviceLoad) rate(k *keyCounts, now time.Time) float64 {
-	longSpan, shortSpan := s.effectiveWindow(usualTimeConstant, now), s.effectiveWindow(recentTimeConstant, now)
-	if longSpan == 0 {
+	usualWindow, recentWindow := s.effectiveWindow(usualTimeConstant, now), s.effectiveWindow(recentTimeConstant, now)
+	if usualWindow == 0 {
 		return 0
 	}
-	usual := k.usual.Value(usualTimeConstant, now) / longSpan
+	usual := k.usual.Value(usualTimeConstant, now) / usualWindow
 	recent := k.recent.Value(recentTimeConstant, now)
-	expected := usual * shortSpan
+	expected := usual * recentWindow
 	if math.Abs(recent-expected) > max(changeSigma*math.Sqrt(expected), minChangeRequests) {
-		return recent / shortSpan
+		return recent / recentWindow
 	}
 	return usual
 }
 
-// Load returns the requests a second for each key and how many a second each
-// owner can answer. It also returns how many samples it rests on.
-func (m *Estimator) Load(name string, owners []*catalogue.Upstream, now time.Time) (ownership.Load, float64) {
+// Load returns the load and the owners' capacities in requests a second, and the
+// decayed number of requests that they are based on. Before the first sample of
+// the service, capacities are numbers of slots.
+func (e *Estimator) Load(service string, owners []*catalogue.Upstream, now time.Time) (ownership.Load, float64) {
 	out := ownership.Load{Capacity: map[string]float64{}}
-	s := m.services[name]
+	s := e.services[service]
 	if s == nil {
 		for _, u := range owners {
 			out.Capacity[u.ID] = float64(u.Slots)
--- a/internal/keyload/estimator_test.go
+++ b/internal/keyload/estimator_test.go
@@ -11,64 +11,67 @@
 
 var owners = []*catalogue.Upstream{{ID: "slow", Slots: 3}, {ID: "usual", Slots: 3}, {ID: "quick", Slots: 3}}
 
-// addRequests adds requests for a key at a rate for a time, in reports of 300 ms.
-func addRequests(m *Estimator, key int, id string, latency time.Duration, perSecond float64, from time.Time, d time.Duration) {
-	const report = 300 * time.Millisecond
+// addRequests adds requests for a key at a constant rate from start for d, in
+// batches of 300 ms.
+func addRequests(e *Estimator, key int, upstream string, latency time.Duration, perSecond float64, start time.Time, d time.Duration) {
+	const interval = 300 * time.Millisecond
 	carry := 0.0
-	for at := time.Duration(0); at < d; at += report {
-		carry += perSecond * report.Seconds()
+	for at := time.Duration(0); at < d; at += interval {
+		carry += perSecond * interval.Seconds()
 		var s []Sample
 		for ; carry >= 1; carry-- {
-			s = append(s, Sample{Key: key, Upstream: id, Latency: latency})
+			s = append(s, Sample{Key: key, Upstream: upstream, Latency: latency})
 		}
-		m.Add("s", s, 1, from.Add(at))
+		e.Add("s", s, 1, start.Add(at))
 	}
 }
 
-// A key that becomes hot shows at its full rate within a second, and is
-// forgotten as soon when it cools down.
+// A key that becomes hot must count as hot within a second, and must stop
+// counting as hot within four seconds after its requests end.
 func TestHotKeyIsDetectedWithinASecond(t *testing.T) {
-	m := New()
+	e := New()
 	start := time.Unix(1000, 0)
-	addRequests(m, 1, "usual", 100*time.Millisecond, 1, start, 20*time.Second)
+	addRequests(e, 1, "usual", 100*time.Millisecond, 1, start, 20*time.Second)
 	hot := start.Add(20 * time.Second)
-	addRequests(m, 1, "usual", 100*time.Millisecond, 40, hot, time.Second)
-	l, _ := m.Load("s", owners, hot.Add(time.Second))
-	if r := l.ByKey[1]; r < 12 {
-		t.Errorf("a key asked for 40 times a second counts as %.1f after a second", r)
+	addRequests(e, 1, "usual", 100*time.Millisecond, 40, hot, time.Second)
+	load, _ := e.Load("s", owners, hot.Add(time.Second))
+	if r := load.ByKey[1]; r < 12 {
+		t.Errorf("a key with 40 requests/s is estimated at %.1f/s after one second, want at least 12", r)
 	}
-	addRequests(m, 1, "usual", 100*time.Millisecond, 40, hot.Add(time.Second), 5*time.Second)
-	l, _ = m.Load("s", owners, hot.Add(6*time.Second))
-	if r := l.ByKey[1]; r < 32 || r > 48 {
-		t.Errorf("after six seconds it counts as %.1f", r)
+	addRequests(e, 1, "usual", 100*time.Millisecond, 40, hot.Add(time.Second), 5*time.Second)
+	load, _ = e.Load("s", owners, hot.Add(6*time.Second))
+	if r := load.ByKey[1]; r < 32 || r > 48 {
+		t.Errorf("after six seconds it is estimated at %.1f/s, want 32 to 48", r)
 	}
-	l, _ = m.Load("s", owners, hot.Add(10*time.Second))
-	if r := l.ByKey[1]; r > 10 {
-		t.Errorf("four seconds after it cooled down it counts as %.1f", r)
+	load, _ = e.Load("s", owners, hot.Add(10*time.Second))
+	if r := load.ByKey[1]; r > 10 {
+		t.Errorf("four seconds after its last request it is estimated at %.1f/s, want at most 10", r)
 	}
 }
 
-// Speeds are told from answer times, also where requests queue: an owner
-// that answers late only because it is overloaded is not taken for slow.
+// Capacity is estimated from response times, which include time in the upstream's
+// queue. An owner that responds late only since it is overloaded must not be taken
+// for a slow one.
 func TestCapacityEstimateAllowsForQueueing(t *testing.T) {
-	m := New()
+	e := New()
 	start := time.Unix(1000, 0)
-	// slow takes 400 ms at little load; quick takes 100 ms. usual takes 200
-	// ms but is offered all it can do, 15 a second, and answers after 800.
-	addRequests(m, 1, "slow", 400*time.Millisecond, 3, start, 20*time.Second)
-	addRequests(m, 2, "usual", 800*time.Millisecond, 15, start, 20*time.Second)
-	addRequests(m, 3, "quick", 100*time.Millisecond, 3, start, 20*time.Second)
-	l, _ := m.Load("s", owners, start.Add(20*time.Second))
+	// slow takes 400 ms and quick 100 ms, both under low load. usual works for
+	// 200 ms on a request, but at its capacity of 15 requests/s it responds
+	// after 800 ms.
+	addRequests(e, 1, "slow", 400*time.Millisecond, 3, start, 20*time.Second)
+	addRequests(e, 2, "usual", 800*time.Millisecond, 15, start, 20*time.Second)
+	addRequests(e, 3, "quick", 100*time.Millisecond, 3, start, 20*time.Second)
+	load, _ := e.Load("s", owners, start.Add(20*time.Second))
 	for id, want := range map[string]float64{"slow": 3 / 0.4, "usual": 3 / 0.2, "quick": 3 / 0.1} {
-		if got := l.Capacity[id]; math.Abs(got-want) > 0.35*want {
-			t.Errorf("%s can do %.1f a second, taken for %.1f", id, want, got)
+		if got := load.Capacity[id]; math.Abs(got-want) > 0.35*want {
+			t.Errorf("%s has a capacity of %.1f/s, estimated at %.1f/s", id, want, got)
 		}
 	}
 }
 
-// Chance alone does not make a key look hot.
+// Random variation alone must not make a key look hot.
 func TestRandomVariationIsNotTakenForAChange(t *testing.T) {
-	m := New()
+	e := New()
 	rng := rand.New(rand.NewPCG(1, 1))
 	start := time.Unix(1000, 0)
 	worst := 0.0
@@ -78,17 +81,17 @@
 		for range 10 {
 			s = append(s, Sample{Key: rng.IntN(100), Upstream: "usual", Latency: 100 * time.Millisecond})
 		}
-		m.Add("s", s, 1, now)
+		e.Add("s", s, 1, now)
 		if i < 100 {
 			continue
 		}
-		l, _ := m.Load("s", owners, now)
-		for _, r := range l.ByKey {
+		load, _ := e.Load("s", owners, now)
+		for _, r := range load.ByKey {
 			worst = max(worst, r)
 		}
 	}
-	// Each key is asked for once a second.
+	// Each key gets one request a second on average.
 	if worst > 7 {
-		t.Errorf("a key asked for once a second looked like %.1f", worst)
+		t.Errorf("a key with 1 request/s was estimated at %.1f/s", worst)
 	}
 }
