--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -1,5 +1,5 @@
-// Package catalogue holds what the platform says of the upstreams that are
-// running: where they are, how much they take at once, who is leaving.
+// Package catalogue describes the running upstreams: their addresses, data
+// centres and concurrency, and which of them are leaving.
 package catalogue
 
 import (
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// Upstream is one life of a target server. A restarted server is another
-// Upstream, even at the same address and under the same ID of its own.
+// Upstream is one incarnation of a target server. A restarted server is another
+// Upstream, even if its address and its own ID stay the same.
 type Upstream struct {
-	// ID names the life; see LifeID.
+	// ID identifies the incarnation; see IncarnationID.
 	ID         string
 	Service    string
 	Addr       string
 	DataCentre string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Leaving upstreams get no new work.
+	// Leaving upstreams get no new requests.
 	Leaving bool
-	// Unlisted is set while an upstream is remembered though its entry went.
+	// Unlisted is set while the upstream is kept although its entry in the log
+	// has been removed.
 	Unlisted bool
-	// SlowUntil is when its slow start is over.
+	// SlowUntil is the end of its slow start.
 	SlowUntil time.Time
-	// LeaveBy is set while operators have its data centre evacuated, and once it
-	// has reported in its answers that it leaves: nothing may be sent to it from
-	// then on, and until then only requests for keys that it still owns.
+	// LeaveBy is set while operators evacuate its data centre, and after it has
+	// reported in its responses that it is leaving. From LeaveBy on it gets no
+	// requests, before that only requests for keys that it still owns.
 	LeaveBy time.Time
-	// ReportedLeaving is set in the latter case.
+	// ReportedLeaving is set after it has reported that it is leaving.
 	ReportedLeaving bool
 }
 
-// HandingOver reports whether it is to lose what it owns by LeaveBy.
+// HandingOver reports whether its keys must move to other owners by LeaveBy.
 func (u *Upstream) HandingOver() bool { return !u.LeaveBy.IsZero() }
 
-// Draining reports whether it is to lose what it owns and gets nothing that
-// another upstream could do.
+// Draining reports whether its keys must move to other owners and it gets no
+// requests that another upstream can serve.
 func (u *Upstream) Draining() bool { return u.Leaving || u.HandingOver() }
 
 // Cold reports whether it is in its slow start.
@@ -47,7 +48,7 @@
 	byService map[string][]*Upstream
 }
 
-// NewSnapshot indexes the upstreams by service, ordered by ID.
+// NewSnapshot returns a snapshot of the upstreams, given by ID.
 func NewSnapshot(all map[string]*Upstream) *Snapshot {
 	s := &Snapshot{ByID: make(map[string]*Upstream, len(all)), byService: map[string][]*Upstream{}}
 	for id, u := range all {
@@ -60,5 +61,6 @@
 	return s
 }
 
-// ForService returns the service's upstreams, leaving ones included.
+// ForService returns the service's upstreams sorted by ID, including those that
+// are leaving.
 func (s *Snapshot) ForService(service string) []*Upstream { return s.byService[service] }
--- a/internal/catalogue/incarnation.go
+++ b/internal/catalogue/incarnation.go
@@ -5,16 +5,18 @@
 	"strings"
 )
 
-// lifeMark stands between a server's ID and the start of one of its lives.
+// incarnationSeparator separates a server's ID from the start time of one of its
+// incarnations.
 const incarnationSeparator = "@"
 
-// IncarnationID returns the ID of the life of a server that began at start, in Unix
-// milliseconds by the server's own clock; 0 if it does not tell.
+// IncarnationID returns the ID of the incarnation of a server that began at start,
+// in Unix milliseconds by the server's own clock; 0 if the server does not report
+// it.
 //
-// A server that starts again under its old ID has forgotten its grants and the
-// fencing tokens it has seen. If both lives bore one ID, an acknowledgement of
-// the first would count for the second, which a late order of an earlier
-// planner could still give keys that belong to another upstream by now.
+// A server that restarts under its old ID has lost its grants and the fencing
+// tokens it has seen. If its incarnations shared an ID, an acknowledgement by the
+// first would count for the second, which could still accept a late grant from an
+// earlier planner for keys that another upstream owns by now.
 func IncarnationID(server string, start int64) string {
 	if start == 0 && !strings.Contains(server, incarnationSeparator) {
 		return server
@@ -22,36 +24,36 @@
 	return server + incarnationSeparator + strconv.FormatInt(start, 10)
 }
 
-// ServerID returns the ID by which the server of a life answers. Lives that
-// follow one another may share it.
-func ServerID(life string) string {
-	server, _ := splitIncarnationID(life)
+// ServerID returns the server's own ID from an incarnation ID. Successive
+// incarnations may share it.
+func ServerID(id string) string {
+	server, _ := splitIncarnationID(id)
 	return server
 }
 
-// StartUnixMilli returns when a life began, in Unix milliseconds by its server's
-// clock; 0 if that is not known.
-func StartUnixMilli(life string) int64 {
-	_, start := splitIncarnationID(life)
+// StartUnixMilli returns the start time from an incarnation ID, in Unix
+// milliseconds by the server's clock; 0 if it is unknown.
+func StartUnixMilli(id string) int64 {
+	_, start := splitIncarnationID(id)
 	return start
 }
 
-// IsLaterIncarnation reports whether both are lives of one server and life began after
-// old, which has therefore ended.
-func IsLaterIncarnation(life, old string) bool {
-	server, start := splitIncarnationID(life)
+// IsLaterIncarnation reports whether id and old are incarnations of the same server
+// and id began after old, which means that old has ended.
+func IsLaterIncarnation(id, old string) bool {
+	server, start := splitIncarnationID(id)
 	oldServer, oldStart := splitIncarnationID(old)
 	return server == oldServer && start > oldStart
 }
 
-func splitIncarnationID(life string) (server string, start int64) {
-	i := strings.LastIndex(life, incarnationSeparator)
+func splitIncarnationID(id string) (server string, start int64) {
+	i := strings.LastIndex(id, incarnationSeparator)
 	if i < 0 {
-		return life, 0
+		return id, 0
 	}
-	start, err := strconv.ParseInt(life[i+len(incarnationSeparator):], 10, 64)
+	start, err := strconv.ParseInt(id[i+len(incarnationSeparator):], 10, 64)
 	if err != nil {
-		return life, 0 // the mark is part of a server's own ID
+		return id, 0 // the separator is part of the server's own ID
 	}
-	return life[:i], start
+	return id[:i], start
 }
--- a/internal/catalogue/incarnation_test.go
+++ b/internal/catalogue/incarnation_test.go
@@ -8,7 +8,8 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// A life's ID tells its server and its start, whatever the server is called.
+// ServerID and StartUnixMilli must return what was passed to IncarnationID, also
+// for servers whose own ID contains the separator.
 func TestIncarnationIDEncodesServerAndStart(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	server := gen.OneGenOf(gen.AlphaString(), gen.AnyString(), gen.OneConstOf("a@b", "a@7", "@", ""))
@@ -21,8 +22,8 @@
 
 func TestIsLaterIncarnation(t *testing.T) {
 	for _, c := range []struct {
-		life, old string
-		want      bool
+		id, old string
+		want    bool
 	}{
 		{IncarnationID("a", 2), IncarnationID("a", 1), true},
 		{IncarnationID("a", 1), IncarnationID("a", 0), true},
@@ -30,8 +31,8 @@
 		{IncarnationID("a", 1), IncarnationID("a", 2), false},
 		{IncarnationID("b", 2), IncarnationID("a", 1), false},
 	} {
-		if got := IsLaterIncarnation(c.life, c.old); got != c.want {
-			t.Errorf("Succeeds(%q, %q) = %v", c.life, c.old, got)
+		if got := IsLaterIncarnation(c.id, c.old); got != c.want {
+			t.Errorf("IsLaterIncarnation(%q, %q) = %v", c.id, c.old, got)
 		}
 	}
 }
