--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,8 +1,8 @@
-// Package budget bounds how often requests are sent again.
+// Package budget limits how often requests are retried.
 //
-// The budget is shared by all hosts without a call between them: what it
-// allows for each request is spent by the host that took the request, and
-// the fixed part is divided among the hosts.
+// All hosts share the budget without communicating: the retries that a request
+// allows are available to the host that received it, and the fixed part is
+// divided among the hosts.
 package budget
 
 import (
@@ -12,46 +12,48 @@
 
 // Limits are one host's part of the budget.
 type Limits struct {
-	// Ratio is how many repeats each request allows.
+	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is how many are allowed beside those.
+	// Slack is the number of retries allowed in addition to Ratio.
 	Slack float64
-	// Window is the span over which both are counted.
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration
 }
 
-// steps is how many parts the window is counted in; slots is one more, since
-// the present part has only begun: without it a burst would leave the count
-// up to one part before it leaves the window, and could come again.
+// A window is counted in windowSteps steps. The ring holds one more, since the
+// current step is incomplete: with windowSteps alone, a burst of retries would
+// drop out of the count up to one step before the window has passed, and could
+// be repeated too early.
 const (
 	windowSteps = 10
 	ringSlots   = windowSteps + 1
 )
 
-// caution is the part of the budget that is spent: the windows of two hosts
-// do not begin at the same moment, and an upstream counts what arrives,
-// which may be bunched.
+// safetyFactor is the fraction of the budget that is used. The windows of
+// different hosts do not begin at the same time, and retries sent at different
+// times may reach an upstream together.
 const safetyFactor = 0.8
 
-// restart is the part that is spent in the first window of a process's life.
-// The process before it may have spent all of its own just before it ended,
-// and both fall into one window: twelve hosts killed together were seen to
-// make 1.02 times the repeats allowed.
+// firstWindowFactor is the additional factor in the first window of a process.
+// The previous process may have used its whole budget just before it ended, within
+// the same window: twelve hosts killed together have made 1.02 times the allowed
+// retries.
 const firstWindowFactor = 0.35
 
-// reserve is the part of a budget that is kept for the most urgent requests of
-// a service. Where all its upstreams refused 55 of 100 requests, the budget ran
-// out on lookups while bids worth twice as much went without a repeat; worth of
-// five days of trouble, three seeds each, 0.7797 without and 0.7822 with it.
+// urgentReserveShare is the fraction of a service's budget that is reserved for
+// urgent requests. Without it, while all upstreams of a service refused 55 % of
+// the requests, lookups used up the budget and bids, which are worth twice as
+// much, got no retries.
 const urgentReserveShare = 0.5
 
+// stepCounts are the counts of one step; steps are numbered from Budget.start.
 type stepCounts struct {
 	step     int64
 	requests int
 	retries  int
 }
 
-// Budget counts requests and repeats by service.
+// Budget counts requests and retries by service. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	limits Limits
@@ -59,27 +61,27 @@
 	start  time.Time
 }
 
-// New returns the budget of a process that starts now.
+// New returns the budget of a process that starts at now.
 func New(l Limits, now time.Time) *Budget {
 	return &Budget{limits: l, rings: map[string]*[ringSlots]stepCounts{}, start: now}
 }
 
-// SetLimits replaces the limits.
+// SetLimits replaces the limits, for example after the number of hosts has changed.
 func (b *Budget) SetLimits(l Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limits = l
 }
 
-// RecordRequest counts one request for service.
+// RecordRequest counts one request to service.
 func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.currentCounts(service, now).requests++
 }
 
-// AllowRetry takes one repeat from service's budget and reports whether there
-// was one left. Requests that are not urgent leave the reserve alone.
+// AllowRetry takes one retry from the service's budget and reports whether one was
+// left. Requests that are not urgent cannot use the urgent reserve.
 func (b *Budget) AllowRetry(service string, urgent bool, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,7 +93,7 @@
 	return true
 }
 
-// Remaining returns how many repeats each service has left, for metrics.
+// Remaining returns how many retries each service has left, for metrics.
 func (b *Budget) Remaining(now time.Time) map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,19 +104,22 @@
 	return out
 }
 
-func (b *Budget) remaining(service string, now time.Time) (remaining, whole float64) {
+// remaining returns how many retries the service has left, and how many it may make
+// in a window.
+func (b *Budget) remaining(service string, now time.Time) (left, total float64) {
 	cur := b.currentCounts(service, now)
-	requests, repeats := 0, 0
+	requests, retries := 0, 0
 	for _, c := range b.rings[service] {
 		if cur.step-c.step < ringSlots {
 			requests += c.requests
-			repeats += c.retries
+			retries += c.retries
 		}
 	}
 	allowed := (float64(requests)*b.limits.Ratio + b.limits.Slack) * b.usableShare(now)
-	return allowed - float64(repeats), allowed
+	return allowed - float64(retries), allowed
 }
 
+// usableShare returns the fraction of the budget that may be used.
 func (b *Budget) usableShare(now time.Time) float64 {
 	if now.Sub(b.start) < b.limits.Window {
 		return safetyFactor * firstWindowFactor
@@ -122,15 +127,17 @@
 	return safetyFactor
 }
 
+// currentCounts returns the counts of the step that contains now, and clears them
+// if the step is new.
 func (b *Budget) currentCounts(service string, now time.Time) *stepCounts {
 	ring := b.rings[service]
 	if ring == nil {
 		ring = &[ringSlots]stepCounts{}
 		b.rings[service] = ring
 	}
-	// Steps are counted from the start by the steady clock. By the time of
-	// day, a clock set back by seconds would empty the window, and the whole
-	// budget be spent again within it.
+	// Steps are counted from start by the monotonic clock. With wall clock time,
+	// setting the clock back by seconds would empty the window, and the whole
+	// budget could be used again within it.
 	step := int64(now.Sub(b.start) / (b.limits.Window / windowSteps))
 	c := &ring[step%ringSlots]
 	if c.step != step {
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -7,8 +7,9 @@
 
 var limits = Limits{Ratio: 0.2, Slack: 4, Window: 10 * time.Second}
 
-// retryAsOftenAsAllowed asks for as many repeats as it can get, with perSecond requests a
-// second from start to end, and returns when each was granted.
+// retryAsOftenAsAllowed records perSecond requests a second from start to end,
+// requests retries until none is allowed after each of them, and returns the times
+// of the allowed ones.
 func retryAsOftenAsAllowed(b *Budget, start, end time.Time, perSecond int) []time.Time {
 	var out []time.Time
 	for at := start; at.Before(end); at = at.Add(time.Second / time.Duration(perSecond)) {
@@ -20,7 +21,8 @@
 	return out
 }
 
-// maxWithinWindow returns the largest number of times within any window.
+// maxWithinWindow returns the largest number of times within any window. The times
+// must be sorted.
 func maxWithinWindow(times []time.Time, window time.Duration) int {
 	best := 0
 	for i := range times {
@@ -35,51 +37,51 @@
 	return best
 }
 
-// Callers that would have everything repeated get what the ratio allows in
-// every window, and no more.
+// With unlimited demand for retries, each window must have no more than Ratio and
+// Slack allow, and the budget must still be used.
 func TestRetriesStayWithinEveryWindow(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := New(limits, start.Add(-time.Minute))
 	got := retryAsOftenAsAllowed(b, start, start.Add(40*time.Second), 30)
 	allowed := int(30*10*limits.Ratio + limits.Slack)
 	if n := maxWithinWindow(got, limits.Window); n > allowed {
-		t.Errorf("%d repeats in a window, %d are allowed", n, allowed)
+		t.Errorf("%d retries within a window, want at most %d", n, allowed)
 	}
 	if len(got) < 150 {
-		t.Errorf("only %d repeats in 40 s", len(got))
+		t.Errorf("only %d retries in 40 s, want at least 150", len(got))
 	}
 }
 
-// All hosts are killed after they have spent their budget, and start again
-// at once. What both lives spend falls into one window and must stay within
-// what that window's requests allow.
+// All hosts are killed after they have used their budget, and restart at once. The
+// retries of the old and the new processes fall into one window and must not exceed
+// what the requests in that window allow.
 func TestRestartDoesNotDoubleTheBudget(t *testing.T) {
 	start := time.Unix(1000, 0)
-	killed := start.Add(20 * time.Second)
+	killedAt := start.Add(20 * time.Second)
 	first := New(limits, start.Add(-time.Minute))
-	got := retryAsOftenAsAllowed(first, start, killed, 30)
-	back := killed.Add(1500 * time.Millisecond)
-	second := New(limits, back)
-	got = append(got, retryAsOftenAsAllowed(second, back, back.Add(20*time.Second), 30)...)
-	// While the hosts are down callers' requests are counted all the same.
+	got := retryAsOftenAsAllowed(first, start, killedAt, 30)
+	restartedAt := killedAt.Add(1500 * time.Millisecond)
+	second := New(limits, restartedAt)
+	got = append(got, retryAsOftenAsAllowed(second, restartedAt, restartedAt.Add(20*time.Second), 30)...)
+	// The bound also counts the requests that callers make while the hosts are down.
 	allowed := int(30*10*limits.Ratio + limits.Slack)
 	if n := maxWithinWindow(got, limits.Window); n > allowed {
-		t.Errorf("%d repeats in a window, %d are allowed", n, allowed)
+		t.Errorf("%d retries within a window, want at most %d", n, allowed)
 	}
 }
 
-// Services have budgets of their own.
+// A service that has used up its budget must not affect another service.
 func TestServicesHaveSeparateBudgets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := New(limits, now.Add(-time.Minute))
 	retryAsOftenAsAllowed(b, now, now.Add(time.Second), 30)
 	if !b.AllowRetry("other", true, now.Add(time.Second)) {
-		t.Error("another service's budget is spent")
+		t.Error("a retry of another service was not allowed")
 	}
 }
 
-// Every upstream of a service refuses half of what it is sent. Lookups and bids
-// ask for repeats in turn; the lookups must not spend what the bids need.
+// Lookups, which are not urgent, request retries before bids, which are, as when all
+// upstreams refuse many requests. The lookups must leave the reserve to the bids.
 func TestUrgentRequestsKeepTheReserve(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := New(Limits{Ratio: 0.2, Window: 10 * time.Second}, start.Add(-time.Minute))
@@ -98,6 +100,6 @@
 		}
 	}
 	if lookups == 0 || bids < lookups-1 {
-		t.Errorf("%d repeats of lookups, %d of bids", lookups, bids)
+		t.Errorf("%d retries of lookups and %d of bids, want some lookups and at least as many bids, less one", lookups, bids)
 	}
 }
