--- /dev/null
+++ b/internal/keyload/estimator.go
@@ -0,0 +1,142 @@
+// Package keyload estimates the request rate of each key and the capacity of each
+// upstream, from samples that all hosts send to the planner.
+package keyload
+
+import (
+	"math"
+	"time"
+
+	"github.com/papayatide/papayatide/internal/catalogue"
+	"github.com/papayatide/papayatide/internal/decay"
+	"github.com/papayatide/papayatide/internal/ownership"
+	"github.com/papayatide/papayatide/internal/worktime"
+)
+
+// Sample is one request to a keyed service.
+type Sample struct {
+	Key int
+	// Upstream is the upstream that responded; empty if none did.
+	Upstream string
+	// Latency is the upstream's response time.
+	Latency time.Duration
+}
+
+const (
+	// usualTimeConstant is the time constant of a key's usual rate. At 100
+	// requests a second it averages over about 1,000 samples, some 50 for each
+	// of twenty owners, so that random variation rarely makes an owner look
+	// 1.3 times as busy as it is.
+	usualTimeConstant = 10 * time.Second
+	// recentTimeConstant is the time constant of a key's recent rate, which
+	// shows within half a second that a key has become hot.
+	recentTimeConstant = 1500 * time.Millisecond
+	// The recent rate replaces the usual rate if it deviates from it by more
+	// than changeSigma standard deviations and minChangeRequests requests.
+	changeSigma, minChangeRequests = 3.0, 4.0
+	// minKeyWeight is the decayed number of requests below which a key is
+	// dropped.
+	minKeyWeight  = 0.01
+	pruneInterval = 10 * time.Second
+)
+
+// keyCounts are decayed numbers of requests for a key.
+type keyCounts struct{ usual, recent decay.Sum }
+
+type serviceLoad struct {
+	keys      map[int]*keyCounts
+	workTimes *worktime.Estimator
+	started   time.Time
+	prunedAt  time.Time
+}
+
+// Estimator estimates the load of all keyed services. It is not safe for
+// concurrent use.
+type Estimator struct {
+	services map[string]*serviceLoad
+}
+
+// New returns an estimator without samples.
+func New() *Estimator { return &Estimator{services: map[string]*serviceLoad{}} }
+
+// Add adds samples of a service, each of which represents weight requests.
+func (e *Estimator) Add(service string, samples []Sample, weight float64, now time.Time) {
+	s := e.services[service]
+	if s == nil {
+		s = &serviceLoad{keys: map[int]*keyCounts{}, workTimes: worktime.New(now), started: now, prunedAt: now}
+		e.services[service] = s
+	}
+	for _, x := range samples {
+		k := s.keys[x.Key]
+		if k == nil {
+			k = &keyCounts{}
+			s.keys[x.Key] = k
+		}
+		k.usual.Add(weight, usualTimeConstant, now)
+		k.recent.Add(weight, recentTimeConstant, now)
+		if x.Upstream != "" && x.Latency > 0 {
+			s.workTimes.Add(x.Upstream, weight, weight*x.Latency.Seconds(), now)
+		}
+	}
+	s.prune(now)
+}
+
+// prune drops keys that get no requests any more, once in pruneInterval.
+func (s *serviceLoad) prune(now time.Time) {
+	if now.Sub(s.prunedAt) < pruneInterval {
+		return
+	}
+	s.prunedAt = now
+	for k, v := range s.keys {
+		if v.usual.Value(usualTimeConstant, now) < minKeyWeight {
+			delete(s.keys, k)
+		}
+	}
+}
+
+// effectiveWindow returns the seconds of requests that a sum with time constant
+// tau represents.
+func (s *serviceLoad) effectiveWindow(tau time.Duration, now time.Time) float64 {
+	return decay.EffectiveWindow(tau, now.Sub(s.started))
+}
+
+// rate returns the requests a second for a key: its usual rate, or its recent
+// rate if that deviates by more than random variation explains.
+func (s *serviceLoad) rate(k *keyCounts, now time.Time) float64 {
+	usualWindow, recentWindow := s.effectiveWindow(usualTimeConstant, now), s.effectiveWindow(recentTimeConstant, now)
+	if usualWindow == 0 {
+		return 0
+	}
+	usual := k.usual.Value(usualTimeConstant, now) / usualWindow
+	recent := k.recent.Value(recentTimeConstant, now)
+	expected := usual * recentWindow
+	if math.Abs(recent-expected) > max(changeSigma*math.Sqrt(expected), minChangeRequests) {
+		return recent / recentWindow
+	}
+	return usual
+}
+
+// Load returns the load and the owners' capacities in requests a second, and the
+// decayed number of requests that they are based on. Before the first sample of
+// the service, capacities are numbers of slots.
+func (e *Estimator) Load(service string, owners []*catalogue.Upstream, now time.Time) (ownership.Load, float64) {
+	out := ownership.Load{Capacity: map[string]float64{}}
+	s := e.services[service]
+	if s == nil {
+		for _, u := range owners {
+			out.Capacity[u.ID] = float64(u.Slots)
+		}
+		return out, 0
+	}
+	out.ByKey = make([]float64, ownership.KeySpaceSize)
+	samples := 0.0
+	for k, v := range s.keys {
+		out.ByKey[k] = s.rate(v, now)
+		samples += v.usual.Value(usualTimeConstant, now)
+	}
+	typical := s.workTimes.Median(owners, now)
+	for _, u := range owners {
+		out.Capacity[u.ID] = float64(u.Slots) / s.workTimes.Estimate(u, typical, now)
+	}
+	out.Share = loadShares(out, owners)
+	return out, samples
+}
