--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -35,57 +35,57 @@
 )
 
 const (
-	// fullPause is how long an upstream counts as full after it refused:
+	// overloadBackoff is how long an upstream counts as full after it refused:
 	// about the time in which one of its slots comes free.
-	fullPause = 100 * time.Millisecond
-	// ejectAfter is how many failures in a row take an upstream out.
-	ejectAfter = 2
-	// ejectFirst and ejectMost bound how long it stays out.
-	ejectFirst = 500 * time.Millisecond
-	ejectMost  = 2 * time.Second
-	// writtenWithin is how long after its start an upstream has written its entry.
-	writtenWithin = 2 * time.Second
-	// drawn is how many upstreams of the host's data centre, and how many of
+	overloadBackoff = 100 * time.Millisecond
+	// ejectionThreshold is how many failures in a row take an upstream out.
+	ejectionThreshold = 2
+	// baseEjectionTime and ejectMost bound how long it stays out.
+	baseEjectionTime = 500 * time.Millisecond
+	maxEjectionTime  = 2 * time.Second
+	// maxEntryWriteDelay is how long after its start an upstream has written its entry.
+	maxEntryWriteDelay = 2 * time.Second
+	// sampleSize is how many upstreams of the host's data centre, and how many of
 	// others, are compared for a request. Taking the best of all would send the
 	// hosts of a large fleet, which know the same, to the same upstream.
-	drawn = 3
-	// coldFactor is how much slower an upstream is while it warms up.
-	coldFactor = 2
+	sampleSize = 3
+	// slowStartLatencyFactor is how much slower an upstream is while it warms up.
+	slowStartLatencyFactor = 2
 )
 
-// record is what this host knows of one upstream. The limiter counts what is
+// upstreamState is what this host knows of one upstream. The limiter counts what is
 // under way and smooths the latency; the rest is its health.
-type record struct {
-	limiter  *admission.Limiter
-	failures int
-	outUntil time.Time
-	fullTill time.Time
-	// chosen is set once Pick returned the upstream; keyed ones never are.
-	chosen bool
+type upstreamState struct {
+	limiter             *admission.Limiter
+	consecutiveFailures int
+	ejectedUntil        time.Time
+	overloadedUntil     time.Time
+	// picked is set once Pick returned the upstream; keyed ones never are.
+	picked bool
 	// answered and latency are the answers since the last report.
-	answered int
-	latency  time.Duration
-	// others is what the other hosts have there, as of learnedAt.
-	others    PeerLoad
-	learnedAt time.Time
-	// gate lets requests through while the upstream is cold.
-	gate ratelimit.IntervalLimiter
-	// endedAt is when it last seemed to have ended, backAt when it answered again;
+	answered     int
+	totalLatency time.Duration
+	// peerLoad is what the other hosts have there, as of learnedAt.
+	peerLoad   PeerLoad
+	peerLoadAt time.Time
+	// slowStartLimiter lets requests through while the upstream is cold.
+	slowStartLimiter ratelimit.IntervalLimiter
+	// crashedAt is when it last seemed to have ended, backAt when it answered again;
 	// see slowUntil.
-	endedAt, backAt time.Time
+	crashedAt, recoveredAt time.Time
 }
 
-// slowUntil is when the upstream's slow start is over: as its entry says, or, where
+// slowStartUntil is when the upstream's slow start is over: as its entry says, or, where
 // it seemed to have ended, so long after it answered again. What answers then may
 // have just started under the same ID, and its entry tells only once it is read.
-func (r *record) slowUntil(u *catalogue.Upstream, slowStart time.Duration, now time.Time) time.Time {
+func (r *upstreamState) slowStartUntil(u *catalogue.Upstream, slowStart time.Duration, now time.Time) time.Time {
 	switch {
-	case r.endedAt.IsZero():
+	case r.crashedAt.IsZero():
 		return u.SlowUntil
-	case r.backAt.Before(r.endedAt):
+	case r.recoveredAt.Before(r.crashedAt):
 		return now.Add(slowStart)
-	case r.backAt.Add(slowStart).After(u.SlowUntil):
-		return r.backAt.Add(slowStart)
+	case r.recoveredAt.Add(slowStart).After(u.SlowUntil):
+		return r.recoveredAt.Add(slowStart)
 	}
 	return u.SlowUntil
 }
@@ -93,25 +93,25 @@
 // Picker keeps one record of each upstream.
 type Picker struct {
 	// host is this host's name.
-	host string
-	mu   sync.Mutex
-	by   map[string]*record
-	// written is the time up to which all entries that upstreams had written were read.
-	written time.Time
-	// sets are what this host uses of each service's upstreams.
-	sets map[string]*set
+	host   string
+	mu     sync.Mutex
+	states map[string]*upstreamState
+	// syncedUntil is the time up to which all entries that upstreams had written were read.
+	syncedUntil time.Time
+	// subsets are what this host uses of each service's upstreams.
+	subsets map[string]*serviceSubset
 }
 
 // NewPicker returns the empty board of a host.
 func NewPicker(host string) *Picker {
-	return &Picker{host: host, by: map[string]*record{}, sets: map[string]*set{}}
+	return &Picker{host: host, states: map[string]*upstreamState{}, subsets: map[string]*serviceSubset{}}
 }
 
-func (b *Picker) of(id string) *record {
-	r := b.by[id]
+func (b *Picker) state(id string) *upstreamState {
+	r := b.states[id]
 	if r == nil {
-		r = &record{limiter: admission.NewLimiter()}
-		b.by[id] = r
+		r = &upstreamState{limiter: admission.NewLimiter()}
+		b.states[id] = r
 	}
 	return r
 }
@@ -120,7 +120,7 @@
 func (b *Picker) Limiter(id string) *admission.Limiter {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(id).limiter
+	return b.state(id).limiter
 }
 
 // Done takes in how a send to the upstream ended, and how long it took. It reports
@@ -128,27 +128,27 @@
 func (b *Picker) Done(id string, o Outcome, took time.Duration, now time.Time) (ended bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.of(id)
+	r := b.state(id)
 	switch o {
 	case Served:
-		r.failures = 0
+		r.consecutiveFailures = 0
 		r.answered++
-		r.latency += took
-		if r.backAt.Before(r.endedAt) {
-			r.backAt = now
+		r.totalLatency += took
+		if r.recoveredAt.Before(r.crashedAt) {
+			r.recoveredAt = now
 		}
 	case Overloaded:
-		r.failures = 0
-		r.fullTill = now.Add(fullPause)
+		r.consecutiveFailures = 0
+		r.overloadedUntil = now.Add(overloadBackoff)
 	case ConnRejected:
-		r.fullTill = now.Add(fullPause)
+		r.overloadedUntil = now.Add(overloadBackoff)
 	case Failed, Broken, Crashed:
-		r.failures++
-		if ended = o == Crashed || (o == Broken && r.failures >= ejectAfter); ended {
-			r.endedAt = now
+		r.consecutiveFailures++
+		if ended = o == Crashed || (o == Broken && r.consecutiveFailures >= ejectionThreshold); ended {
+			r.crashedAt = now
 		}
-		if r.failures >= ejectAfter {
-			r.outUntil = now.Add(min(ejectFirst<<min(r.failures-ejectAfter, 4), ejectMost))
+		if r.consecutiveFailures >= ejectionThreshold {
+			r.ejectedUntil = now.Add(min(baseEjectionTime<<min(r.consecutiveFailures-ejectionThreshold, 4), maxEjectionTime))
 		}
 	case Inconclusive:
 	}
@@ -159,8 +159,8 @@
 func (b *Picker) RecordCrash(id string, at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r := b.of(id); at.After(r.endedAt) && b.written.Sub(at) <= writtenWithin {
-		r.endedAt = at
+	if r := b.state(id); at.After(r.crashedAt) && b.syncedUntil.Sub(at) <= maxEntryWriteDelay {
+		r.crashedAt = at
 	}
 }
 
@@ -169,10 +169,10 @@
 func (b *Picker) MarkSynced(written time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.written = written
-	for _, r := range b.by {
-		if written.Sub(r.endedAt) > writtenWithin {
-			r.endedAt, r.backAt = time.Time{}, time.Time{}
+	b.syncedUntil = written
+	for _, r := range b.states {
+		if written.Sub(r.crashedAt) > maxEntryWriteDelay {
+			r.crashedAt, r.recoveredAt = time.Time{}, time.Time{}
 		}
 	}
 }
@@ -182,16 +182,16 @@
 func (b *Picker) IsEjected(id string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return now.Before(b.of(id).outUntil)
+	return now.Before(b.state(id).ejectedUntil)
 }
 
 // Prune forgets upstreams that keep does not know.
 func (b *Picker) Prune(keep func(id string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, r := range b.by {
+	for id, r := range b.states {
 		if !keep(id) && r.limiter.InFlight() == 0 {
-			delete(b.by, id)
+			delete(b.states, id)
 		}
 	}
 }
@@ -227,37 +227,37 @@
 func (b *Picker) Pick(ups []*catalogue.Upstream, c Criteria, now time.Time) *catalogue.Upstream {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.setOf(ups, c.LocalDataCentre)
-	best, last := b.draw(s.near, c, now)
-	far, lastFar := b.draw(s.far, c, now)
-	best.orBetter(far)
-	last.orBetter(lastFar)
+	s := b.subsetFor(ups, c.LocalDataCentre)
+	best, last := b.sample(s.local, c, now)
+	far, lastFar := b.sample(s.remote, c, now)
+	best.merge(far)
+	last.merge(lastFar)
 	if best.up == nil {
 		// None of those that this host uses will do: any other may.
-		best, _ = b.draw(ups, c, now)
+		best, _ = b.sample(ups, c, now)
 	}
 	if best.up == nil {
 		best = last
 	}
 	if best.up != nil {
-		b.of(best.up.ID).chosen = true
+		b.state(best.up.ID).picked = true
 	}
 	return best.up
 }
 
-// draw looks at upstreams in a random order until it has found drawn that will
+// sample looks at upstreams in a random order until it has found drawn that will
 // do, and returns the best of them. If there are none it returns the best of
 // those that fail or are full.
-func (b *Picker) draw(ups []*catalogue.Upstream, c Criteria, now time.Time) (best, last candidate) {
+func (b *Picker) sample(ups []*catalogue.Upstream, c Criteria, now time.Time) (best, last candidate) {
 	found := 0
-	order := newOrder(len(ups))
+	order := newPermutation(len(ups))
 	for range ups {
 		u := ups[order.next()]
 		if u.Draining() || slices.Contains(c.Excluded, u.ID) {
 			continue
 		}
-		r := b.of(u.ID)
-		if !r.open(u, c.SlowStart, now) {
+		r := b.state(u.ID)
+		if !r.slowStartAllows(u, c.SlowStart, now) {
 			continue
 		}
 		if c.Unavailable != nil && c.Unavailable(u.ID) {
@@ -267,37 +267,37 @@
 		if u.DataCentre != c.LocalDataCentre {
 			cost += c.FarPenalty
 		}
-		if now.Before(r.outUntil) || now.Before(r.fullTill) {
-			last.take(u, cost)
+		if now.Before(r.ejectedUntil) || now.Before(r.overloadedUntil) {
+			last.consider(u, cost)
 			continue
 		}
-		best.take(u, cost)
-		if found++; found == drawn {
+		best.consider(u, cost)
+		if found++; found == sampleSize {
 			break
 		}
 	}
 	return best, last
 }
 
-// order walks over n places, each once, from a random one on in random steps. A
+// permutation walks over n places, each once, from a random one on in random steps. A
 // shuffle of all would cost as much as there are upstreams.
-type order struct{ at, step, n int }
+type permutation struct{ index, step, n int }
 
-func newOrder(n int) order {
+func newPermutation(n int) permutation {
 	if n < 2 {
-		return order{n: n}
+		return permutation{n: n}
 	}
 	step := 1 + rand.IntN(n-1)
 	for !coprime(step, n) {
 		step = 1 + rand.IntN(n-1)
 	}
-	return order{rand.IntN(n), step, n}
+	return permutation{rand.IntN(n), step, n}
 }
 
 // next returns the next place.
-func (o *order) next() int {
-	at := o.at
-	o.at = (o.at + o.step) % o.n
+func (o *permutation) next() int {
+	at := o.index
+	o.index = (o.index + o.step) % o.n
 	return at
 }
 
@@ -313,22 +313,22 @@
 func (b *Picker) SlowStartAllows(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.of(u.ID).open(u, s, now)
+	return b.state(u.ID).slowStartAllows(u, s, now)
 }
 
-// open is ColdOpen for the record's upstream.
-func (r *record) open(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
-	until := r.slowUntil(u, s.Duration, now)
-	return s.Share == nil || !now.Before(until) || r.gate.Allows(s.Share(), until, now)
+// slowStartAllows is ColdOpen for the record's upstream.
+func (r *upstreamState) slowStartAllows(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
+	until := r.slowStartUntil(u, s.Duration, now)
+	return s.Share == nil || !now.Before(until) || r.slowStartLimiter.Allows(s.Share(), until, now)
 }
 
 // TakeSlowStartPermit is ColdOpen for a request that is sent now, which it counts.
 func (b *Picker) TakeSlowStartPermit(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.of(u.ID)
-	until := r.slowUntil(u, s.Duration, now)
-	return s.Share == nil || !now.Before(until) || r.gate.Take(s.Share(), until, now)
+	r := b.state(u.ID)
+	until := r.slowStartUntil(u, s.Duration, now)
+	return s.Share == nil || !now.Before(until) || r.slowStartLimiter.Take(s.Share(), until, now)
 }
 
 // candidate is the best upstream seen so far.
@@ -337,15 +337,15 @@
 	cost time.Duration
 }
 
-// orBetter puts the other in the candidate's place if it costs less.
-func (c *candidate) orBetter(o candidate) {
+// merge puts the other in the candidate's place if it costs less.
+func (c *candidate) merge(o candidate) {
 	if o.up != nil {
-		c.take(o.up, o.cost)
+		c.consider(o.up, o.cost)
 	}
 }
 
-// take puts the upstream in the candidate's place if it costs less.
-func (c *candidate) take(u *catalogue.Upstream, cost time.Duration) {
+// consider puts the upstream in the candidate's place if it costs less.
+func (c *candidate) consider(u *catalogue.Upstream, cost time.Duration) {
 	if c.up == nil || cost < c.cost {
 		c.up, c.cost = u, cost
 	}
@@ -358,31 +358,31 @@
 // It is reckoned from this host's own answers and from what all hosts have at
 // the upstream, and the mean taken: in a small fleet the former are younger and
 // say more, in a large one the latter.
-func (r *record) cost(u *catalogue.Upstream, now time.Time) time.Duration {
+func (r *upstreamState) cost(u *catalogue.Upstream, now time.Time) time.Duration {
 	s := r.limiter.State()
 	c := s.Latency + s.Latency*time.Duration(s.InFlight)/time.Duration(u.Slots)
-	if r.learnt(now) {
-		there := s.InFlight + r.others.InFlight
-		c = (c + r.others.WorkTime + r.others.WorkTime*time.Duration(there)/time.Duration(u.Slots)) / 2
+	if r.hasPeerLoad(now) {
+		there := s.InFlight + r.peerLoad.InFlight
+		c = (c + r.peerLoad.WorkTime + r.peerLoad.WorkTime*time.Duration(there)/time.Duration(u.Slots)) / 2
 	}
 	if now.Before(u.SlowUntil) {
-		c *= coldFactor
+		c *= slowStartLatencyFactor
 	}
 	return s.ExpectedWait + c
 }
 
-// learnt reports whether what the other hosts have there is known.
-func (r *record) learnt(now time.Time) bool { return now.Sub(r.learnedAt) <= learnedFor }
+// hasPeerLoad reports whether what the other hosts have there is known.
+func (r *upstreamState) hasPeerLoad(now time.Time) bool { return now.Sub(r.peerLoadAt) <= peerLoadTTL }
 
 // ExpectedLatency returns how long an answer of the upstream would take, as far as
 // all hosts' requests there are known; 0 if they are not.
 func (b *Picker) ExpectedLatency(u *catalogue.Upstream, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.of(u.ID)
-	if !r.learnt(now) {
+	r := b.state(u.ID)
+	if !r.hasPeerLoad(now) {
 		return 0
 	}
-	ahead := r.limiter.InFlight() + r.others.InFlight - u.Slots + 1
-	return r.others.WorkTime + r.others.WorkTime*time.Duration(max(ahead, 0))/time.Duration(u.Slots)
+	ahead := r.limiter.InFlight() + r.peerLoad.InFlight - u.Slots + 1
+	return r.peerLoad.WorkTime + r.peerLoad.WorkTime*time.Duration(max(ahead, 0))/time.Duration(u.Slots)
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -10,14 +10,14 @@
 	"github.com/papayatide/papayatide/internal/catalogue"
 )
 
-func two() []*catalogue.Upstream {
+func twoUpstreams() []*catalogue.Upstream {
 	return []*catalogue.Upstream{{ID: "a", Slots: 3, DataCentre: "dc"}, {ID: "b", Slots: 3, DataCentre: "dc"}}
 }
 
 // A host's limit at one of two upstreams is spent, though nothing is under way
 // there. Callers are sent to the other one instead of being refused.
-func TestUpstreamWithoutATurnIsNotChosen(t *testing.T) {
-	b, ups := NewPicker("h"), two()
+func TestPickAvoidsUpstreamAtItsAdmissionLimit(t *testing.T) {
+	b, ups := NewPicker("h"), twoUpstreams()
 	share := admission.ShareOf(3, 0, 100)
 	for range 40 {
 		if tk := b.Limiter("a").Acquire(context.Background(), 0, share); tk != nil {
@@ -37,23 +37,23 @@
 // the bytes between data centres cost; failing and leaving ones are last.
 func TestPick(t *testing.T) {
 	now := time.Now()
-	b, ups := NewPicker("h"), two()
+	b, ups := NewPicker("h"), twoUpstreams()
 	ups[0].DataCentre = "far"
 	c := Criteria{LocalDataCentre: "dc", FarPenalty: 100 * time.Millisecond}
 	if u := b.Pick(ups, c, now); u.ID != "b" {
 		t.Errorf("the far one is chosen while both are idle")
 	}
-	for range ejectAfter {
+	for range ejectionThreshold {
 		b.Done("b", Failed, 0, now)
 	}
 	if u := b.Pick(ups, c, now); u.ID != "a" || !b.IsEjected("b", now) {
 		t.Errorf("%s is chosen though it fails", u.ID)
 	}
-	if u := b.Pick(ups, c, now.Add(ejectMost)); u.ID != "b" {
+	if u := b.Pick(ups, c, now.Add(maxEjectionTime)); u.ID != "b" {
 		t.Errorf("the near one is not tried again")
 	}
 	ups[1].Leaving = true
-	if u := b.Pick(ups, c, now.Add(ejectMost)); u.ID != "a" {
+	if u := b.Pick(ups, c, now.Add(maxEjectionTime)); u.ID != "a" {
 		t.Errorf("the leaving one is chosen")
 	}
 	c.Excluded = []string{"a"}
--- a/internal/balance/report.go
+++ b/internal/balance/load.go
@@ -5,7 +5,7 @@
 // learnedFor is how long what was learnt of other hosts counts. They report
 // three times a second; after a second without word the host that adds the
 // reports up is gone, and this host's own answers say more.
-const learnedFor = time.Second
+const peerLoadTTL = time.Second
 
 // LoadStats is what one host has at an upstream.
 type LoadStats struct {
@@ -33,13 +33,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []LoadStats
-	for id, r := range b.by {
-		u := LoadStats{ID: id, InFlight: r.limiter.InFlight(), Answered: r.answered, Latency: r.latency}
-		if !r.chosen || (u.InFlight == 0 && u.Answered == 0) {
+	for id, r := range b.states {
+		u := LoadStats{ID: id, InFlight: r.limiter.InFlight(), Answered: r.answered, Latency: r.totalLatency}
+		if !r.picked || (u.InFlight == 0 && u.Answered == 0) {
 			continue
 		}
 		out = append(out, u)
-		r.answered, r.latency = 0, 0
+		r.answered, r.totalLatency = 0, 0
 	}
 	return out
 }
@@ -53,7 +53,7 @@
 		if o.ID == "" {
 			continue
 		}
-		r := b.of(o.ID)
-		r.others, r.learnedAt = o, now
+		r := b.state(o.ID)
+		r.peerLoad, r.peerLoadAt = o, now
 	}
 }
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	// nearSubset and farSubset are how many upstreams of a service a host uses
+	// localSubsetSize and farSubset are how many upstreams of a service a host uses
 	// in its own data centre and in the others. What a host keeps open and is
 	// told of grows with them and not with the fleet, and it sees each often
 	// enough to learn of it.
-	nearSubset = 24
-	farSubset  = 12
+	localSubsetSize  = 24
+	remoteSubsetSize = 12
 )
 
-// set is what a host uses of a service's upstreams.
-type set struct {
-	// of are all of the service's, from which it was made.
-	of        []*catalogue.Upstream
-	near, far []*catalogue.Upstream
+// serviceSubset is what a host uses of a service's upstreams.
+type serviceSubset struct {
+	// all are all of the service's, from which it was made.
+	all           []*catalogue.Upstream
+	local, remote []*catalogue.Upstream
 }
 
-// madeOf reports whether the set was made from the list. Lists are never changed.
-func (s *set) madeOf(ups []*catalogue.Upstream) bool {
-	return len(s.of) == len(ups) && (len(ups) == 0 || &s.of[0] == &ups[0])
+// builtFrom reports whether the set was made from the list. Lists are never changed.
+func (s *serviceSubset) builtFrom(ups []*catalogue.Upstream) bool {
+	return len(s.all) == len(ups) && (len(ups) == 0 || &s.all[0] == &ups[0])
 }
 
-// setOf returns the host's set of a service's upstreams.
-func (b *Picker) setOf(ups []*catalogue.Upstream, home string) *set {
+// subsetFor returns the host's set of a service's upstreams.
+func (b *Picker) subsetFor(ups []*catalogue.Upstream, home string) *serviceSubset {
 	if len(ups) == 0 {
-		return &set{}
+		return &serviceSubset{}
 	}
 	service := ups[0].Service
-	if s := b.sets[service]; s != nil && s.madeOf(ups) {
+	if s := b.subsets[service]; s != nil && s.builtFrom(ups) {
 		return s
 	}
-	s := &set{of: ups}
+	s := &serviceSubset{all: ups}
 	for _, u := range ups {
 		switch {
 		case u.Draining():
 		case u.DataCentre == home:
-			s.near = append(s.near, u)
+			s.local = append(s.local, u)
 		default:
-			s.far = append(s.far, u)
+			s.remote = append(s.remote, u)
 		}
 	}
-	s.near, s.far = subset(b.host, s.near, nearSubset), subset(b.host, s.far, farSubset)
-	b.sets[service] = s
+	s.local, s.remote = subset(b.host, s.local, localSubsetSize), subset(b.host, s.remote, remoteSubsetSize)
+	b.subsets[service] = s
 	return s
 }
 
@@ -67,8 +67,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var u Subset
-	for _, s := range b.sets {
-		for _, list := range [][]*catalogue.Upstream{s.near, s.far} {
+	for _, s := range b.subsets {
+		for _, list := range [][]*catalogue.Upstream{s.local, s.remote} {
 			for _, up := range list {
 				u.IDs = append(u.IDs, up.ID)
 			}
--- a/internal/balance/subset_test.go
+++ b/internal/balance/subset_test.go
@@ -19,28 +19,28 @@
 // Seventy-nine hosts use a part each of 115 upstreams: none is left out, none is
 // used by several times as many hosts as another, and one that goes changes one of
 // a host's at most, so that what the host knows of the others stays of use.
-func TestSubsetsCoverAllAndChangeLittle(t *testing.T) {
+func TestSubsetsCoverAllUpstreamsAndAreStable(t *testing.T) {
 	ups := manyUpstreams(115)
 	users := map[string]int{}
 	for h := range 79 {
 		host := fmt.Sprint("host", h)
-		all := subset(host, ups, nearSubset)
+		all := subset(host, ups, localSubsetSize)
 		in := map[string]bool{}
 		for _, u := range all {
 			in[u.ID] = true
 			users[u.ID]++
 		}
 		changed := 0
-		for _, u := range subset(host, ups[1:], nearSubset) {
+		for _, u := range subset(host, ups[1:], localSubsetSize) {
 			if !in[u.ID] {
 				changed++
 			}
 		}
-		if len(all) != nearSubset || changed > 1 {
+		if len(all) != localSubsetSize || changed > 1 {
 			t.Errorf("%s uses %d, %d of them new after one has gone", host, len(all), changed)
 		}
 	}
-	mean := 79 * nearSubset / len(ups)
+	mean := 79 * localSubsetSize / len(ups)
 	for _, u := range ups {
 		if n := users[u.ID]; n < mean/3 || n > mean*3 {
 			t.Errorf("%s is used by %d hosts, the mean is %d", u.ID, n, mean)
@@ -50,18 +50,18 @@
 
 // All upstreams that a host uses fail, while others of the service do not. Its
 // callers are sent to those.
-func TestOthersAreUsedWhereNoneOfTheSubsetWillDo(t *testing.T) {
+func TestPickFallsBackOutsideTheSubset(t *testing.T) {
 	b, ups, now := NewPicker("h"), manyUpstreams(100), time.Now()
 	c := Criteria{LocalDataCentre: "dc"}
 	b.Pick(ups, c, now)
 	mine := map[string]bool{}
 	for _, id := range b.Subset().IDs {
 		mine[id] = true
-		for range ejectAfter {
+		for range ejectionThreshold {
 			b.Done(id, Failed, 0, now)
 		}
 	}
-	if len(mine) != nearSubset {
+	if len(mine) != localSubsetSize {
 		t.Fatalf("uses %d", len(mine))
 	}
 	for range 20 {
@@ -72,10 +72,10 @@
 }
 
 // An order of any length names each place once.
-func TestOrderNamesEachPlaceOnce(t *testing.T) {
+func TestPermutationVisitsEachIndexOnce(t *testing.T) {
 	for n := range 200 {
 		seen := make([]bool, n)
-		o := newOrder(n)
+		o := newPermutation(n)
 		for range n {
 			at := o.next()
 			if seen[at] {
--- a/internal/crashes/content.go
+++ b/internal/crashes/fingerprint.go
@@ -10,7 +10,7 @@
 
 // contentBytes is how much of a digest is kept: among the requests of a day
 // two that differ never share 128 bits.
-const contentBytes = 16
+const fingerprintBytes = 16
 
 // Fingerprint identifies what a request asks: the hex digest of its method, its
 // target, its key and its body. It leaves out what differs each time a caller
@@ -37,5 +37,5 @@
 		_, _ = io.WriteString(h, part)
 	}
 	_, _ = h.Write(a.Body)
-	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:contentBytes]))
+	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
--- a/internal/crashes/content_test.go
+++ b/internal/crashes/fingerprint_test.go
@@ -10,7 +10,7 @@
 
 // Requests that ask the same have one content; whatever they differ in gives
 // them another, also where parts that stand side by side run together.
-func TestContentTellsAsksApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("equal asks, equal contents", prop.ForAll(func(uri, body string, key int) bool {
 		a := Request{Method: "PUT", Host: "a.example", URI: uri, Key: key, Body: []byte(body)}
--- a/internal/crashes/record.go
+++ b/internal/crashes/record.go
@@ -11,10 +11,10 @@
 )
 
 // keyMark stands between content and server in a record's key.
-const keyMark = "/"
+const keySeparator = "/"
 
-// value is the value of an end's record.
-type value struct {
+// recordValue is the value of an end's record.
+type recordValue struct {
 	// AtMs is when the end was seen, in Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
 }
@@ -27,28 +27,28 @@
 // Records tell times of day, as hosts that start later read them too. Only here
 // and in Decode are they read: in a host ends are compared by the steady clock.
 func (c Change) Encode(now time.Time) (key string, data []byte, err error) {
-	key = string(c.Fingerprint) + keyMark + c.Server
+	key = string(c.Fingerprint) + keySeparator + c.Server
 	if len(key) > metastore.MaxKey {
 		return "", nil, eris.Errorf("end of %s: key of %d bytes", c.Server, len(key))
 	}
-	if c.Forget {
+	if c.Deleted {
 		return key, nil, nil
 	}
-	data, err = json.Marshal(value{now.Add(-now.Sub(c.At)).UnixMilli()})
+	data, err = json.Marshal(recordValue{now.Add(-now.Sub(c.At)).UnixMilli()})
 	return key, data, eris.Wrapf(err, "end of %s", c.Server)
 }
 
 // Decode reads a record at the time now; data is nil if its key was deleted.
 func Decode(key string, data []byte, now time.Time) (Change, error) {
-	content, server, ok := strings.Cut(key, keyMark)
-	if !ok || len(content) != 2*contentBytes || server == "" {
+	content, server, ok := strings.Cut(key, keySeparator)
+	if !ok || len(content) != 2*fingerprintBytes || server == "" {
 		return Change{}, eris.Errorf("record of an end: key %q", key)
 	}
-	c := Change{Crash: Crash{Fingerprint: Fingerprint(content), Server: server}, Forget: data == nil}
-	if c.Forget {
+	c := Change{Crash: Crash{Fingerprint: Fingerprint(content), Server: server}, Deleted: data == nil}
+	if c.Deleted {
 		return c, nil
 	}
-	var v value
+	var v recordValue
 	if err := json.Unmarshal(data, &v); err != nil {
 		return Change{}, eris.Wrapf(err, "record of the end of %s", server)
 	}
--- a/internal/crashes/ledger.go
+++ b/internal/crashes/tracker.go
@@ -14,13 +14,13 @@
 	// server that ends leaves its keys unserved until its lease has run out,
 	// some three seconds, so that more would cost every other caller.
 	Limit = 3
-	// KeepFor is how long an end counts. A content is tried again a day later:
+	// Retention is how long an end counts. A content is tried again a day later:
 	// by then the servers may run a version that survives it, and at worst it
 	// ends Limit of them a day.
-	KeepFor = 24 * time.Hour
-	// maxContents bounds the contents that are kept. Where more come, the one with
+	Retention = 24 * time.Hour
+	// maxFingerprints bounds the contents that are kept. Where more come, the one with
 	// the fewest ends is dropped first.
-	maxContents = 4096
+	maxFingerprints = 4096
 )
 
 // Crash is the end of a server while it ran a request.
@@ -35,32 +35,32 @@
 // Change is an end to be told to the other hosts, or one to be forgotten.
 type Change struct {
 	Crash
-	// Forget is set if the end no longer counts.
-	Forget bool
+	// Deleted is set if the end no longer counts.
+	Deleted bool
 }
 
-type endKey struct {
-	content Fingerprint
-	server  string
+type crashKey struct {
+	fingerprint Fingerprint
+	server      string
 }
 
 // Tracker is what one host knows of ends, its own and those that other hosts
 // have written. It is safe for concurrent use.
 type Tracker struct {
-	// refusing is told of each content that is refused from now on.
-	refusing func(Fingerprint)
+	// onRefused is told of each content that is refused from now on.
+	onRefused func(Fingerprint)
 
 	mu sync.Mutex
-	// ends are by content, then by server.
-	ends map[Fingerprint]map[string]time.Time
+	// crashes are by content, then by server.
+	crashes map[Fingerprint]map[string]time.Time
 	// pending are this host's changes that are not written yet.
-	pending map[endKey]Change
-	wake    chan struct{}
-	// crowd tells ends with a common cause.
-	crowd crowd
-	// trier reports whether this host tries refused contents, trials are when.
-	trier  func() bool
-	trials map[Fingerprint]trial
+	pending  map[crashKey]Change
+	pendingC chan struct{}
+	// recent tells ends with a common cause.
+	recent failureWindow
+	// trialsAllowed reports whether this host tries refused contents, trials are when.
+	trialsAllowed func() bool
+	trials        map[Fingerprint]trial
 }
 
 // NewTracker returns a ledger that knows of no ends. It calls refusing, unless
@@ -69,7 +69,7 @@
 	if refusing == nil {
 		refusing = func(Fingerprint) {}
 	}
-	return &Tracker{refusing: refusing, ends: map[Fingerprint]map[string]time.Time{}, pending: map[endKey]Change{}, wake: make(chan struct{}, 1),
+	return &Tracker{onRefused: refusing, crashes: map[Fingerprint]map[string]time.Time{}, pending: map[crashKey]Change{}, pendingC: make(chan struct{}, 1),
 		trials: map[Fingerprint]trial{}}
 }
 
@@ -77,13 +77,13 @@
 // have ended under the content.
 func (l *Tracker) RecordCrash(e Crash) int {
 	l.mu.Lock()
-	l.crowd.add(e)
+	l.recent.add(e)
 	ends, news := l.add(e)
 	if news {
-		l.change(Change{Crash: e})
+		l.enqueue(Change{Crash: e})
 	}
 	l.mu.Unlock()
-	l.tell(e.Fingerprint, ends, news)
+	l.notifyIfRefused(e.Fingerprint, ends, news)
 	return ends
 }
 
@@ -92,12 +92,12 @@
 func (l *Tracker) RecordBrokenSend(e Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.crowd.add(e)
+	l.recent.add(e)
 }
 
-func (l *Tracker) tell(c Fingerprint, ends int, news bool) {
+func (l *Tracker) notifyIfRefused(c Fingerprint, ends int, news bool) {
 	if news && ends == Limit {
-		l.refusing(c)
+		l.onRefused(c)
 	}
 }
 
@@ -108,11 +108,11 @@
 func (l *Tracker) RecordSuccess(c Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ends := l.ends[c]
+	ends := l.crashes[c]
 	for server, at := range ends {
-		l.change(Change{Crash: Crash{c, server, at}, Forget: true})
+		l.enqueue(Change{Crash: Crash{c, server, at}, Deleted: true})
 	}
-	delete(l.ends, c)
+	delete(l.crashes, c)
 	delete(l.trials, c)
 	return len(ends) > 0
 }
@@ -122,7 +122,7 @@
 func (l *Tracker) HasCrashes() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.ends) > 0
+	return len(l.crashes) > 0
 }
 
 // IsSuspect reports whether a server has ended under the content, and none has
@@ -130,15 +130,15 @@
 func (l *Tracker) IsSuspect(c Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.ends[c]) > 0
+	return len(l.crashes[c]) > 0
 }
 
 // RefusedFor returns for how much longer a content is refused; zero if it is not.
 func (l *Tracker) RefusedFor(c Fingerprint, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ends := make([]time.Time, 0, len(l.ends[c]))
-	for _, at := range l.ends[c] {
+	ends := make([]time.Time, 0, len(l.crashes[c]))
+	for _, at := range l.crashes[c] {
 		ends = append(ends, at)
 	}
 	if len(ends) < Limit {
@@ -146,14 +146,14 @@
 	}
 	// It is refused until the last but two of its ends no longer counts.
 	slices.SortFunc(ends, func(a, b time.Time) int { return b.Compare(a) })
-	return max(ends[Limit-1].Add(KeepFor).Sub(now), 0)
+	return max(ends[Limit-1].Add(Retention).Sub(now), 0)
 }
 
 // RefusedFingerprints returns the contents that are refused, in order.
 func (l *Tracker) RefusedFingerprints(now time.Time) []Fingerprint {
 	l.mu.Lock()
 	var all []Fingerprint
-	for c := range l.ends {
+	for c := range l.crashes {
 		all = append(all, c)
 	}
 	l.mu.Unlock()
@@ -167,12 +167,12 @@
 func (l *Tracker) Counts() (known, refused int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, ends := range l.ends {
+	for _, ends := range l.crashes {
 		if len(ends) >= Limit {
 			refused++
 		}
 	}
-	return len(l.ends), refused
+	return len(l.crashes), refused
 }
 
 // CrashedServers returns those that have ended under the content, in order.
@@ -180,7 +180,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []string
-	for server := range l.ends[c] {
+	for server := range l.crashes[c] {
 		out = append(out, server)
 	}
 	slices.Sort(out)
@@ -191,13 +191,13 @@
 func (l *Tracker) Apply(c Change) {
 	l.mu.Lock()
 	ends, news := 0, false
-	if c.Forget {
+	if c.Deleted {
 		l.remove(c.Fingerprint, c.Server)
-	} else if !l.pending[endKey{c.Fingerprint, c.Server}].Forget {
+	} else if !l.pending[crashKey{c.Fingerprint, c.Server}].Deleted {
 		ends, news = l.add(c.Crash)
 	}
 	l.mu.Unlock()
-	l.tell(c.Fingerprint, ends, news)
+	l.notifyIfRefused(c.Fingerprint, ends, news)
 }
 
 // Replace takes the given ends in place of all that were read before. What
@@ -205,13 +205,13 @@
 func (l *Tracker) Replace(ends []Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	clear(l.ends)
+	clear(l.crashes)
 	for _, e := range ends {
 		l.add(e)
 	}
 	for k, c := range l.pending {
-		if c.Forget {
-			l.remove(k.content, k.server)
+		if c.Deleted {
+			l.remove(k.fingerprint, k.server)
 		} else {
 			l.add(c.Crash)
 		}
@@ -223,14 +223,14 @@
 func (l *Tracker) Expire(now time.Time, told bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for content, ends := range l.ends {
+	for content, ends := range l.crashes {
 		for server, at := range ends {
-			if now.Sub(at) < KeepFor {
+			if now.Sub(at) < Retention {
 				continue
 			}
 			l.remove(content, server)
 			if told {
-				l.change(Change{Crash: Crash{content, server, at}, Forget: true})
+				l.enqueue(Change{Crash: Crash{content, server, at}, Deleted: true})
 			}
 		}
 	}
@@ -244,9 +244,9 @@
 	defer l.mu.Unlock()
 	out := make([]Change, 0, len(l.pending))
 	for k, c := range l.pending {
-		if !c.Forget && l.crowd.explains(c.Crash) {
+		if !c.Deleted && l.recent.isCorrelated(c.Crash) {
 			delete(l.pending, k)
-			l.remove(k.content, k.server)
+			l.remove(k.fingerprint, k.server)
 			continue
 		}
 		out = append(out, c)
@@ -255,14 +255,14 @@
 }
 
 // PendingC returns a channel that gets a value when there is something to write.
-func (l *Tracker) PendingC() <-chan struct{} { return l.wake }
+func (l *Tracker) PendingC() <-chan struct{} { return l.pendingC }
 
 // MarkWritten takes note that the changes have been written.
 func (l *Tracker) MarkWritten(changes []Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range changes {
-		k := endKey{c.Fingerprint, c.Server}
+		k := crashKey{c.Fingerprint, c.Server}
 		if l.pending[k] == c {
 			delete(l.pending, k)
 		}
@@ -272,22 +272,22 @@
 // add returns how many servers have ended under the content, and whether this
 // end was not known yet.
 func (l *Tracker) add(e Crash) (ends int, news bool) {
-	if l.ends[e.Fingerprint] == nil {
-		if len(l.ends) >= maxContents {
-			l.drop(l.leastTelling())
+	if l.crashes[e.Fingerprint] == nil {
+		if len(l.crashes) >= maxFingerprints {
+			l.evict(l.evictionVictim())
 		}
-		l.ends[e.Fingerprint] = map[string]time.Time{}
+		l.crashes[e.Fingerprint] = map[string]time.Time{}
 	}
-	_, known := l.ends[e.Fingerprint][e.Server]
-	l.ends[e.Fingerprint][e.Server] = e.At
-	return len(l.ends[e.Fingerprint]), !known
+	_, known := l.crashes[e.Fingerprint][e.Server]
+	l.crashes[e.Fingerprint][e.Server] = e.At
+	return len(l.crashes[e.Fingerprint]), !known
 }
 
-// leastTelling returns the content with the fewest ends, of several the one whose
+// evictionVictim returns the content with the fewest ends, of several the one whose
 // last end is the oldest.
-func (l *Tracker) leastTelling() (least Fingerprint) {
+func (l *Tracker) evictionVictim() (least Fingerprint) {
 	fewest, oldest := 0, time.Time{}
-	for c, ends := range l.ends {
+	for c, ends := range l.crashes {
 		last := slices.MaxFunc(slices.Collect(maps.Values(ends)), time.Time.Compare)
 		if least == "" || len(ends) < fewest || (len(ends) == fewest && last.Before(oldest)) {
 			least, fewest, oldest = c, len(ends), last
@@ -296,28 +296,28 @@
 	return least
 }
 
-// drop forgets a content. What this host saw of it and has not written is not
+// evict forgets a content. What this host saw of it and has not written is not
 // written; records of it stay until they expire.
-func (l *Tracker) drop(c Fingerprint) {
-	for server := range l.ends[c] {
-		delete(l.pending, endKey{c, server})
+func (l *Tracker) evict(c Fingerprint) {
+	for server := range l.crashes[c] {
+		delete(l.pending, crashKey{c, server})
 	}
-	delete(l.ends, c)
+	delete(l.crashes, c)
 	delete(l.trials, c)
 }
 
 func (l *Tracker) remove(c Fingerprint, server string) {
-	delete(l.ends[c], server)
-	if len(l.ends[c]) == 0 {
-		delete(l.ends, c)
+	delete(l.crashes[c], server)
+	if len(l.crashes[c]) == 0 {
+		delete(l.crashes, c)
 		delete(l.trials, c)
 	}
 }
 
-func (l *Tracker) change(c Change) {
-	l.pending[endKey{c.Fingerprint, c.Server}] = c
+func (l *Tracker) enqueue(c Change) {
+	l.pending[crashKey{c.Fingerprint, c.Server}] = c
 	select {
-	case l.wake <- struct{}{}:
+	case l.pendingC <- struct{}{}:
 	default: // the writer has been woken already
 	}
 }
--- a/internal/crashes/retry.go
+++ b/internal/crashes/trial.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// tryFirst is how long after the last end under a refused content it is
+	// firstTrialDelay is how long after the last end under a refused content it is
 	// tried again: after a common loss its servers are back by then. The pause
 	// doubles with each try.
-	tryFirst = 10 * time.Second
-	tryMost  = 2 * time.Hour
+	firstTrialDelay  = 10 * time.Second
+	maxTrialInterval = 2 * time.Hour
 )
 
 // trial is when a refused content is tried next, and the pause after that.
 type trial struct {
-	next  time.Time
-	pause time.Duration
+	next     time.Time
+	interval time.Duration
 }
 
 // AllowTrial reports whether one request of a refused content may be sent now, to see
@@ -25,25 +25,25 @@
 func (l *Tracker) AllowTrial(c Fingerprint, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.trier == nil || !l.trier() {
+	if l.trialsAllowed == nil || !l.trialsAllowed() {
 		return false
 	}
 	t, tried := l.trials[c]
 	if !tried {
-		for _, at := range l.ends[c] {
-			if due := at.Add(tryFirst); due.After(t.next) {
+		for _, at := range l.crashes[c] {
+			if due := at.Add(firstTrialDelay); due.After(t.next) {
 				t.next = due
 			}
 		}
-		t.pause = 3 * tryFirst
+		t.interval = 3 * firstTrialDelay
 	}
 	if now.Before(t.next) {
 		return false
 	}
-	l.trials[c] = trial{now.Add(t.pause), min(2*t.pause, tryMost)}
+	l.trials[c] = trial{now.Add(t.interval), min(2*t.interval, maxTrialInterval)}
 	return true
 }
 
 // AllowTrialsIf has this host try refused contents while allowed says so. It must be
 // called before the ledger is used.
-func (l *Tracker) AllowTrialsIf(allowed func() bool) { l.trier = allowed }
+func (l *Tracker) AllowTrialsIf(allowed func() bool) { l.trialsAllowed = allowed }
