--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,5 +1,6 @@
-// Package balance chooses among upstreams that can all serve a request, from
-// what this host has seen of them: their answers and what is under way.
+// Package balance chooses among upstreams that can all serve a request, by the
+// latency, failures and requests in flight that this host observes, and by the
+// load that the other hosts of its data centre report.
 package balance
 
 import (
@@ -13,274 +14,285 @@
 	"github.com/papayatide/papayatide/internal/ratelimit"
 )
 
-// Outcome is how a send ended, as far as the choice is concerned.
+// Outcome classifies how a send ended, for the choice of upstreams.
 type Outcome int
 
 const (
-	// Served means an answer came.
+	// Served means that the upstream responded.
 	Served Outcome = iota
-	// Overloaded means the upstream refused for want of room.
+	// Overloaded means that the upstream refused the request for lack of capacity.
 	Overloaded
-	// ConnRejected means it ended a new connection at once: it has too many, or whoever
-	// takes connections for it does not reach it.
+	// ConnRejected means that a new connection was reset or closed right after it was
+	// accepted: the upstream has too many, or a proxy in front of it cannot reach it.
 	ConnRejected
-	// Failed means that it could not be reached, answered that it failed, or too late.
+	// Failed means that the upstream could not be reached, responded with an error, or
+	// did not respond in time.
 	Failed
-	// Broken means that it broke off.
+	// Broken means that the connection broke before a whole response.
 	Broken
-	// Crashed means that nobody listens there any more.
+	// Crashed means that the upstream refused the connection: its port is closed.
 	Crashed
-	// Inconclusive means the caller left; it says nothing of the upstream.
+	// Inconclusive means that the outcome says nothing about the upstream, for example
+	// because the caller disconnected.
 	Inconclusive
 )
 
 const (
-	// overloadBackoff is how long an upstream counts as full after it refused:
-	// about the time in which one of its slots comes free.
+	// overloadBackoff is how long an upstream counts as overloaded after it refused a
+	// request: about the time until one of its slots is free.
 	overloadBackoff = 100 * time.Millisecond
-	// ejectionThreshold is how many failures in a row take an upstream out.
+	// ejectionThreshold is the number of consecutive failures that eject an upstream.
 	ejectionThreshold = 2
-	// baseEjectionTime and ejectMost bound how long it stays out.
+	// An ejection lasts baseEjectionTime, doubled with each further failure up to
+	// maxEjectionTime.
 	baseEjectionTime = 500 * time.Millisecond
 	maxEjectionTime  = 2 * time.Second
-	// maxEntryWriteDelay is how long after its start an upstream has written its entry.
+	// maxEntryWriteDelay is the longest time from an upstream's start until it has written
+	// its entry.
 	maxEntryWriteDelay = 2 * time.Second
-	// sampleSize is how many upstreams of the host's data centre, and how many of
-	// others, are compared for a request. Taking the best of all would send the
-	// hosts of a large fleet, which know the same, to the same upstream.
+	// sampleSize is how many upstreams of the local data centre, and how many of the
+	// others, are compared for a request. The best of all would be the same upstream
+	// on every host of a large fleet, as the hosts share their load figures.
 	sampleSize = 3
-	// slowStartLatencyFactor is how much slower an upstream is while it warms up.
+	// slowStartLatencyFactor is how many times slower an upstream is during its slow start.
 	slowStartLatencyFactor = 2
 )
 
-// upstreamState is what this host knows of one upstream. The limiter counts what is
-// under way and smooths the latency; the rest is its health.
+// upstreamState is this host's view of one upstream. The limiter counts the requests
+// in flight and smooths the latency; the other fields are about health and load.
 type upstreamState struct {
 	limiter             *admission.Limiter
 	consecutiveFailures int
 	ejectedUntil        time.Time
 	overloadedUntil     time.Time
-	// picked is set once Pick returned the upstream; keyed ones never are.
+	// picked is set once Pick has returned the upstream. Keyed services' upstreams are
+	// chosen by key, not by Pick.
 	picked bool
-	// answered and latency are the answers since the last report.
+	// answered and totalLatency are the number of responses since the last
+	// FlushLoadStats and the sum of their latencies.
 	answered     int
 	totalLatency time.Duration
-	// peerLoad is what the other hosts have there, as of learnedAt.
+	// peerLoad is the other hosts' load on the upstream, received at peerLoadAt.
 	peerLoad   PeerLoad
 	peerLoadAt time.Time
-	// slowStartLimiter lets requests through while the upstream is cold.
+	// slowStartLimiter limits requests while the upstream is cold.
 	slowStartLimiter ratelimit.IntervalLimiter
-	// crashedAt is when it last seemed to have ended, backAt when it answered again;
-	// see slowUntil.
+	// crashedAt is when the upstream last seemed to have crashed, recoveredAt when it
+	// first responded after that; see slowStartUntil.
 	crashedAt, recoveredAt time.Time
 }
 
-// slowStartUntil is when the upstream's slow start is over: as its entry says, or, where
-// it seemed to have ended, so long after it answered again. What answers then may
-// have just started under the same ID, and its entry tells only once it is read.
-func (r *upstreamState) slowStartUntil(u *catalogue.Upstream, slowStart time.Duration, now time.Time) time.Time {
+// slowStartUntil returns when the upstream's slow start ends: as stated by its entry or,
+// if it seemed to have crashed, slowStart after its first response since then. The
+// server may have restarted under the same ID, and its new entry is not read yet.
+func (st *upstreamState) slowStartUntil(u *catalogue.Upstream, slowStart time.Duration, now time.Time) time.Time {
 	switch {
-	case r.crashedAt.IsZero():
+	case st.crashedAt.IsZero():
 		return u.SlowUntil
-	case r.recoveredAt.Before(r.crashedAt):
+	case st.recoveredAt.Before(st.crashedAt):
 		return now.Add(slowStart)
-	case r.recoveredAt.Add(slowStart).After(u.SlowUntil):
-		return r.recoveredAt.Add(slowStart)
+	case st.recoveredAt.Add(slowStart).After(u.SlowUntil):
+		return st.recoveredAt.Add(slowStart)
 	}
 	return u.SlowUntil
 }
 
-// Picker keeps one record of each upstream.
+// Picker chooses among upstreams by their state. It is safe for concurrent use.
 type Picker struct {
-	// host is this host's name.
+	// host is this host's name; it selects the host's subset of a service's upstreams.
 	host   string
 	mu     sync.Mutex
 	states map[string]*upstreamState
-	// syncedUntil is the time up to which all entries that upstreams had written were read.
+	// syncedUntil is the time up to which all entries written by upstreams have been read.
 	syncedUntil time.Time
-	// subsets are what this host uses of each service's upstreams.
+	// subsets holds the upstreams that this host uses, by service.
 	subsets map[string]*serviceSubset
 }
 
-// NewPicker returns the empty board of a host.
+// NewPicker returns a picker without state for the named host.
 func NewPicker(host string) *Picker {
 	return &Picker{host: host, states: map[string]*upstreamState{}, subsets: map[string]*serviceSubset{}}
 }
 
-func (b *Picker) state(id string) *upstreamState {
-	r := b.states[id]
-	if r == nil {
-		r = &upstreamState{limiter: admission.NewLimiter()}
-		b.states[id] = r
+// state returns the upstream's state and creates it if there is none.
+func (p *Picker) state(id string) *upstreamState {
+	st := p.states[id]
+	if st == nil {
+		st = &upstreamState{limiter: admission.NewLimiter()}
+		p.states[id] = st
 	}
-	return r
+	return st
 }
 
 // Limiter returns the upstream's limiter.
-func (b *Picker) Limiter(id string) *admission.Limiter {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.state(id).limiter
+func (p *Picker) Limiter(id string) *admission.Limiter {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state(id).limiter
 }
 
-// Done takes in how a send to the upstream ended, and how long it took. It reports
-// whether the upstream seems to have ended.
-func (b *Picker) Done(id string, o Outcome, took time.Duration, now time.Time) (ended bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.state(id)
+// Done records the outcome and the duration of a send to the upstream. It reports
+// whether the upstream seems to have crashed. A rejected connection does not reset
+// the count of consecutive failures.
+func (p *Picker) Done(id string, o Outcome, took time.Duration, now time.Time) (crashed bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	st := p.state(id)
 	switch o {
 	case Served:
-		r.consecutiveFailures = 0
-		r.answered++
-		r.totalLatency += took
-		if r.recoveredAt.Before(r.crashedAt) {
-			r.recoveredAt = now
+		st.consecutiveFailures = 0
+		st.answered++
+		st.totalLatency += took
+		if st.recoveredAt.Before(st.crashedAt) {
+			st.recoveredAt = now
 		}
 	case Overloaded:
-		r.consecutiveFailures = 0
-		r.overloadedUntil = now.Add(overloadBackoff)
+		st.consecutiveFailures = 0
+		st.overloadedUntil = now.Add(overloadBackoff)
 	case ConnRejected:
-		r.overloadedUntil = now.Add(overloadBackoff)
+		st.overloadedUntil = now.Add(overloadBackoff)
 	case Failed, Broken, Crashed:
-		r.consecutiveFailures++
-		if ended = o == Crashed || (o == Broken && r.consecutiveFailures >= ejectionThreshold); ended {
-			r.crashedAt = now
+		st.consecutiveFailures++
+		if crashed = o == Crashed || (o == Broken && st.consecutiveFailures >= ejectionThreshold); crashed {
+			st.crashedAt = now
 		}
-		if r.consecutiveFailures >= ejectionThreshold {
-			r.ejectedUntil = now.Add(min(baseEjectionTime<<min(r.consecutiveFailures-ejectionThreshold, 4), maxEjectionTime))
+		if st.consecutiveFailures >= ejectionThreshold {
+			st.ejectedUntil = now.Add(min(baseEjectionTime<<min(st.consecutiveFailures-ejectionThreshold, 4), maxEjectionTime))
 		}
 	case Inconclusive:
 	}
-	return ended
+	return crashed
 }
 
-// RecordCrash takes note that the upstream was seen to end at the time.
-func (b *Picker) RecordCrash(id string, at time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if r := b.state(id); at.After(r.crashedAt) && b.syncedUntil.Sub(at) <= maxEntryWriteDelay {
-		r.crashedAt = at
+// RecordCrash records that the upstream crashed at the given time. It ignores a crash
+// so old that the entry of the restarted server has been read since; see MarkSynced.
+func (p *Picker) RecordCrash(id string, at time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if st := p.state(id); at.After(st.crashedAt) && p.syncedUntil.Sub(at) <= maxEntryWriteDelay {
+		st.crashedAt = at
 	}
 }
 
-// MarkSynced takes note that all entries were read that upstreams had written by the
-// given time: one that ended well before is listed as what it is now.
-func (b *Picker) MarkSynced(written time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.syncedUntil = written
-	for _, r := range b.states {
-		if written.Sub(r.crashedAt) > maxEntryWriteDelay {
-			r.crashedAt, r.recoveredAt = time.Time{}, time.Time{}
+// MarkSynced records that all entries that upstreams wrote until the given time have been
+// read. It clears crashes that are more than maxEntryWriteDelay older: a server that
+// restarted after one of them has a new entry by then, which states its slow start.
+func (p *Picker) MarkSynced(until time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.syncedUntil = until
+	for _, st := range p.states {
+		if until.Sub(st.crashedAt) > maxEntryWriteDelay {
+			st.crashedAt, st.recoveredAt = time.Time{}, time.Time{}
 		}
 	}
 }
 
-// IsEjected reports whether the upstream fails so often that it is left alone for
-// now.
-func (b *Picker) IsEjected(id string, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return now.Before(b.state(id).ejectedUntil)
+// IsEjected reports whether the upstream is ejected at now because of consecutive
+// failures.
+func (p *Picker) IsEjected(id string, now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return now.Before(p.state(id).ejectedUntil)
 }
 
-// Prune forgets upstreams that keep does not know.
-func (b *Picker) Prune(keep func(id string) bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id, r := range b.states {
-		if !keep(id) && r.limiter.InFlight() == 0 {
-			delete(b.states, id)
+// Prune drops the state of upstreams that keep rejects and that have no requests in
+// flight.
+func (p *Picker) Prune(keep func(id string) bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, st := range p.states {
+		if !keep(id) && st.limiter.InFlight() == 0 {
+			delete(p.states, id)
 		}
 	}
 }
 
-// SlowStart is what the upstreams of a service bear while they are cold.
+// SlowStart is the slow start of a service's upstreams and this host's rate limit
+// during it.
 type SlowStart struct {
 	// Duration is how long an upstream is cold after its start.
 	Duration time.Duration
-	// Share returns this host's share of a cold upstream; nil where that is not
-	// bounded.
+	// Share returns this host's share of a cold upstream's rate limit; nil if there is
+	// no limit.
 	Share func() ratelimit.HostRate
 }
 
-// Criteria is what a request asks of an upstream.
+// Criteria restricts and weighs the upstreams for one request.
 type Criteria struct {
-	// LocalDataCentre is this host's data centre. Bytes between data centres are
-	// dear, so another one's upstream must be faster by FarPenalty.
+	// LocalDataCentre is this host's data centre. Traffic between data centres is
+	// expensive, so a remote upstream must be faster than a local one by FarPenalty.
 	LocalDataCentre string
 	FarPenalty      time.Duration
-	// Excluded lists upstreams that were tried already.
+	// Excluded lists the IDs of upstreams that were already attempted.
 	Excluded []string
-	// SlowStart is that of the service's upstreams. Cold ones whose share is used
-	// up are no choice.
+	// SlowStart is the slow start of the service's upstreams. Cold upstreams at this
+	// host's rate limit are not eligible.
 	SlowStart SlowStart
-	// Closed, if set, reports whether an upstream takes no requests of this host
-	// at present. Such upstreams are no choice.
+	// Unavailable, if set, reports whether this host must not send to an upstream at
+	// present. Such upstreams are not eligible.
 	Unavailable func(id string) bool
 }
 
-// Pick returns the upstream from which an answer is expected first, of some
-// that are drawn, or nil if there is none. Upstreams that fail are only used if
-// all do.
-func (b *Picker) Pick(ups []*catalogue.Upstream, c Criteria, now time.Time) *catalogue.Upstream {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.subsetFor(ups, c.LocalDataCentre)
-	best, last := b.sample(s.local, c, now)
-	far, lastFar := b.sample(s.remote, c, now)
-	best.merge(far)
-	last.merge(lastFar)
+// Pick returns the upstream with the lowest cost of a random sample, or nil if none is
+// eligible. Ejected and overloaded upstreams are used only if there is no other.
+func (p *Picker) Pick(ups []*catalogue.Upstream, c Criteria, now time.Time) *catalogue.Upstream {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.subsetFor(ups, c.LocalDataCentre)
+	best, fallback := p.sample(s.local, c, now)
+	remoteBest, remoteFallback := p.sample(s.remote, c, now)
+	best.merge(remoteBest)
+	fallback.merge(remoteFallback)
 	if best.up == nil {
-		// None of those that this host uses will do: any other may.
-		best, _ = b.sample(ups, c, now)
+		// No upstream of this host's subset is usable; sample all of the service.
+		best, _ = p.sample(ups, c, now)
 	}
 	if best.up == nil {
-		best = last
+		best = fallback
 	}
 	if best.up != nil {
-		b.state(best.up.ID).picked = true
+		p.state(best.up.ID).picked = true
 	}
 	return best.up
 }
 
-// sample looks at upstreams in a random order until it has found drawn that will
-// do, and returns the best of them. If there are none it returns the best of
-// those that fail or are full.
-func (b *Picker) sample(ups []*catalogue.Upstream, c Criteria, now time.Time) (best, last candidate) {
-	found := 0
-	order := newPermutation(len(ups))
+// sample visits eligible upstreams in a random order until it has found sampleSize that
+// are neither ejected nor overloaded, and returns the cheapest of these as best. The
+// cheapest ejected or overloaded one that it visited is returned as fallback.
+func (p *Picker) sample(ups []*catalogue.Upstream, c Criteria, now time.Time) (best, fallback candidate) {
+	usable := 0
+	indices := newPermutation(len(ups))
 	for range ups {
-		u := ups[order.next()]
+		u := ups[indices.next()]
 		if u.Draining() || slices.Contains(c.Excluded, u.ID) {
 			continue
 		}
-		r := b.state(u.ID)
-		if !r.slowStartAllows(u, c.SlowStart, now) {
+		st := p.state(u.ID)
+		if !st.slowStartAllows(u, c.SlowStart, now) {
 			continue
 		}
 		if c.Unavailable != nil && c.Unavailable(u.ID) {
 			continue
 		}
-		cost := r.cost(u, now)
+		cost := st.cost(u, now)
 		if u.DataCentre != c.LocalDataCentre {
 			cost += c.FarPenalty
 		}
-		if now.Before(r.ejectedUntil) || now.Before(r.overloadedUntil) {
-			last.consider(u, cost)
+		if now.Before(st.ejectedUntil) || now.Before(st.overloadedUntil) {
+			fallback.consider(u, cost)
 			continue
 		}
 		best.consider(u, cost)
-		if found++; found == sampleSize {
+		if usable++; usable == sampleSize {
 			break
 		}
 	}
-	return best, last
+	return best, fallback
 }
 
-// permutation walks over n places, each once, from a random one on in random steps. A
-// shuffle of all would cost as much as there are upstreams.
+// permutation yields each index below n once: it starts at a random index and adds a
+// random step that is coprime to n. Unlike a shuffle it costs no time proportional to n.
 type permutation struct{ index, step, n int }
 
 func newPermutation(n int) permutation {
@@ -294,11 +306,11 @@
 	return permutation{rand.IntN(n), step, n}
 }
 
-// next returns the next place.
-func (o *permutation) next() int {
-	at := o.index
-	o.index = (o.index + o.step) % o.n
-	return at
+// next returns the next index.
+func (p *permutation) next() int {
+	current := p.index
+	p.index = (p.index + p.step) % p.n
+	return current
 }
 
 func coprime(a, b int) bool {
@@ -308,62 +320,60 @@
 	return a == 1
 }
 
-// SlowStartAllows reports whether the upstream is warm, or this host's share of it allows a
-// request now.
-func (b *Picker) SlowStartAllows(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.state(u.ID).slowStartAllows(u, s, now)
+// SlowStartAllows reports whether the upstream is warm or this host's share of its slow
+// start rate limit allows a request now.
+func (p *Picker) SlowStartAllows(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.state(u.ID).slowStartAllows(u, s, now)
 }
 
-// slowStartAllows is ColdOpen for the record's upstream.
-func (r *upstreamState) slowStartAllows(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
-	until := r.slowStartUntil(u, s.Duration, now)
-	return s.Share == nil || !now.Before(until) || r.slowStartLimiter.Allows(s.Share(), until, now)
+// slowStartAllows is SlowStartAllows for the upstream of this state.
+func (st *upstreamState) slowStartAllows(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
+	until := st.slowStartUntil(u, s.Duration, now)
+	return s.Share == nil || !now.Before(until) || st.slowStartLimiter.Allows(s.Share(), until, now)
 }
 
-// TakeSlowStartPermit is ColdOpen for a request that is sent now, which it counts.
-func (b *Picker) TakeSlowStartPermit(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.state(u.ID)
-	until := r.slowStartUntil(u, s.Duration, now)
-	return s.Share == nil || !now.Before(until) || r.slowStartLimiter.Take(s.Share(), until, now)
+// TakeSlowStartPermit is like SlowStartAllows for a request that is sent now, and counts
+// the request.
+func (p *Picker) TakeSlowStartPermit(u *catalogue.Upstream, s SlowStart, now time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	st := p.state(u.ID)
+	until := st.slowStartUntil(u, s.Duration, now)
+	return s.Share == nil || !now.Before(until) || st.slowStartLimiter.Take(s.Share(), until, now)
 }
 
-// candidate is the best upstream seen so far.
+// candidate is the upstream with the lowest cost so far; up is nil before the first.
 type candidate struct {
 	up   *catalogue.Upstream
 	cost time.Duration
 }
 
-// merge puts the other in the candidate's place if it costs less.
+// merge replaces the candidate by the other one if that costs less.
 func (c *candidate) merge(o candidate) {
 	if o.up != nil {
 		c.consider(o.up, o.cost)
 	}
 }
 
-// consider puts the upstream in the candidate's place if it costs less.
+// consider replaces the candidate by the upstream if that costs less.
 func (c *candidate) consider(u *catalogue.Upstream, cost time.Duration) {
 	if c.up == nil || cost < c.cost {
 		c.up, c.cost = u, cost
 	}
 }
 
-// cost is the time in which an answer is expected. Without the wait for a
-// turn, an idle upstream whose limit was spent was chosen, and the request
-// refused, while others had room.
-//
-// It is reckoned from this host's own answers and from what all hosts have at
-// the upstream, and the mean taken: in a small fleet the former are younger and
-// say more, in a large one the latter.
-func (r *upstreamState) cost(u *catalogue.Upstream, now time.Time) time.Duration {
-	s := r.limiter.State()
+// cost returns the expected time to a response: the mean of an estimate from this
+// host's own requests, which is more recent in a small fleet, and one from all hosts'
+// load, which is more accurate in a large fleet. It includes the wait for admission:
+// otherwise an idle upstream at its admission limit is picked and refuses the request.
+func (st *upstreamState) cost(u *catalogue.Upstream, now time.Time) time.Duration {
+	s := st.limiter.State()
 	c := s.Latency + s.Latency*time.Duration(s.InFlight)/time.Duration(u.Slots)
-	if r.hasPeerLoad(now) {
-		there := s.InFlight + r.peerLoad.InFlight
-		c = (c + r.peerLoad.WorkTime + r.peerLoad.WorkTime*time.Duration(there)/time.Duration(u.Slots)) / 2
+	if st.hasPeerLoad(now) {
+		inFlight := s.InFlight + st.peerLoad.InFlight
+		c = (c + st.peerLoad.WorkTime + st.peerLoad.WorkTime*time.Duration(inFlight)/time.Duration(u.Slots)) / 2
 	}
 	if now.Before(u.SlowUntil) {
 		c *= slowStartLatencyFactor
@@ -371,18 +381,20 @@
 	return s.ExpectedWait + c
 }
 
-// hasPeerLoad reports whether what the other hosts have there is known.
-func (r *upstreamState) hasPeerLoad(now time.Time) bool { return now.Sub(r.peerLoadAt) <= peerLoadTTL }
+// hasPeerLoad reports whether the other hosts' load is known and recent.
+func (st *upstreamState) hasPeerLoad(now time.Time) bool {
+	return now.Sub(st.peerLoadAt) <= peerLoadTTL
+}
 
-// ExpectedLatency returns how long an answer of the upstream would take, as far as
-// all hosts' requests there are known; 0 if they are not.
-func (b *Picker) ExpectedLatency(u *catalogue.Upstream, now time.Time) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.state(u.ID)
-	if !r.hasPeerLoad(now) {
+// ExpectedLatency returns the expected latency of one more request to the upstream, by
+// all hosts' requests in flight; 0 if the other hosts' load is not known.
+func (p *Picker) ExpectedLatency(u *catalogue.Upstream, now time.Time) time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	st := p.state(u.ID)
+	if !st.hasPeerLoad(now) {
 		return 0
 	}
-	ahead := r.limiter.InFlight() + r.peerLoad.InFlight - u.Slots + 1
-	return r.peerLoad.WorkTime + r.peerLoad.WorkTime*time.Duration(max(ahead, 0))/time.Duration(u.Slots)
+	ahead := st.limiter.InFlight() + st.peerLoad.InFlight - u.Slots + 1
+	return st.peerLoad.WorkTime + st.peerLoad.WorkTime*time.Duration(max(ahead, 0))/time.Duration(u.Slots)
 }
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// learnedFor is how long what was learnt of other hosts counts. They report
-// three times a second; after a second without word the host that adds the
-// reports up is gone, and this host's own answers say more.
+// peerLoadTTL is how long the other hosts' load counts. It is updated three times a
+// second; after a second without an update the host that aggregates the reports is
+// gone, and this host's own measurements are more accurate.
 const peerLoadTTL = time.Second
 
-// LoadStats is what one host has at an upstream.
+// LoadStats is one host's load on an upstream.
 type LoadStats struct {
 	ID string
-	// InFlight is how many requests it has there now.
+	// InFlight is the host's number of requests in flight.
 	InFlight int
-	// Answered is how many were answered since its last report, Latency how
-	// long those took together.
+	// Answered is the number of responses since the host's last report, Latency the
+	// sum of their latencies.
 	Answered int
 	Latency  time.Duration
 }
 
-// PeerLoad is what the other hosts of the data centre have at an upstream.
+// PeerLoad is the load of the data centre's other hosts on an upstream.
 type PeerLoad struct {
 	ID string
-	// InFlight is how many requests they have there.
+	// InFlight is the other hosts' number of requests in flight.
 	InFlight int
-	// WorkTime is how long the upstream works on a request.
+	// WorkTime is the estimated time that the upstream works on a request, without
+	// queueing.
 	WorkTime time.Duration
 }
 
-// FlushLoadStats returns what this host has at the upstreams that were chosen by Pick,
-// and begins to count answers anew.
-func (b *Picker) FlushLoadStats() []LoadStats {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// FlushLoadStats returns this host's load on the upstreams that Pick has returned, and
+// resets their counts of responses. It leaves out upstreams without load.
+func (p *Picker) FlushLoadStats() []LoadStats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var out []LoadStats
-	for id, r := range b.states {
-		u := LoadStats{ID: id, InFlight: r.limiter.InFlight(), Answered: r.answered, Latency: r.totalLatency}
-		if !r.picked || (u.InFlight == 0 && u.Answered == 0) {
+	for id, st := range p.states {
+		stats := LoadStats{ID: id, InFlight: st.limiter.InFlight(), Answered: st.answered, Latency: st.totalLatency}
+		if !st.picked || (stats.InFlight == 0 && stats.Answered == 0) {
 			continue
 		}
-		out = append(out, u)
-		r.answered, r.totalLatency = 0, 0
+		out = append(out, stats)
+		st.answered, st.totalLatency = 0, 0
 	}
 	return out
 }
 
-// SetPeerLoads takes in what the other hosts of this data centre have at each
-// upstream. Entries without an ID say nothing.
-func (b *Picker) SetPeerLoads(others []PeerLoad, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, o := range others {
-		if o.ID == "" {
+// SetPeerLoads stores the load of the data centre's other hosts on each upstream. It
+// skips entries without an ID, which stand for upstreams whose load is unknown.
+func (p *Picker) SetPeerLoads(loads []PeerLoad, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, load := range loads {
+		if load.ID == "" {
 			continue
 		}
-		r := b.state(o.ID)
-		r.peerLoad, r.peerLoadAt = o, now
+		st := p.state(load.ID)
+		st.peerLoad, st.peerLoadAt = load, now
 	}
 }
--- a/internal/balance/subset_test.go
+++ b/internal/balance/subset_test.go
@@ -16,9 +16,9 @@
 	return ups
 }
 
-// Seventy-nine hosts use a part each of 115 upstreams: none is left out, none is
-// used by several times as many hosts as another, and one that goes changes one of
-// a host's at most, so that what the host knows of the others stays of use.
+// 79 hosts use a subset each of 115 upstreams. Every upstream is used by between a third
+// and three times the mean number of hosts, and the removal of one upstream changes at
+// most one of a host's subset: its measurements of the others stay valid.
 func TestSubsetsCoverAllUpstreamsAndAreStable(t *testing.T) {
 	ups := manyUpstreams(115)
 	users := map[string]int{}
@@ -37,7 +37,7 @@
 			}
 		}
 		if len(all) != localSubsetSize || changed > 1 {
-			t.Errorf("%s uses %d, %d of them new after one has gone", host, len(all), changed)
+			t.Errorf("%s uses %d upstreams, %d of them new after the removal of one", host, len(all), changed)
 		}
 	}
 	mean := 79 * localSubsetSize / len(ups)
@@ -48,30 +48,30 @@
 	}
 }
 
-// All upstreams that a host uses fail, while others of the service do not. Its
-// callers are sent to those.
+// All upstreams of a host's subset are ejected. Pick must return upstreams of the service
+// that are outside the subset.
 func TestPickFallsBackOutsideTheSubset(t *testing.T) {
-	b, ups, now := NewPicker("h"), manyUpstreams(100), time.Now()
+	p, ups, now := NewPicker("h"), manyUpstreams(100), time.Now()
 	c := Criteria{LocalDataCentre: "dc"}
-	b.Pick(ups, c, now)
+	p.Pick(ups, c, now)
 	mine := map[string]bool{}
-	for _, id := range b.Subset().IDs {
+	for _, id := range p.Subset().IDs {
 		mine[id] = true
 		for range ejectionThreshold {
-			b.Done(id, Failed, 0, now)
+			p.Done(id, Failed, 0, now)
 		}
 	}
 	if len(mine) != localSubsetSize {
-		t.Fatalf("uses %d", len(mine))
+		t.Fatalf("the subset has %d upstreams", len(mine))
 	}
 	for range 20 {
-		if u := b.Pick(ups, c, now); u == nil || mine[u.ID] {
-			t.Fatalf("%v is chosen", u)
+		if u := p.Pick(ups, c, now); u == nil || mine[u.ID] {
+			t.Fatalf("picked %v", u)
 		}
 	}
 }
 
-// An order of any length names each place once.
+// A permutation of any length yields each index once.
 func TestPermutationVisitsEachIndexOnce(t *testing.T) {
 	for n := range 200 {
 		seen := make([]bool, n)
@@ -79,7 +79,7 @@
 		for range n {
 			at := o.next()
 			if seen[at] {
-				t.Fatalf("%d of %d twice", at, n)
+				t.Fatalf("index %d of %d is yielded twice", at, n)
 			}
 			seen[at] = true
 		}
