--- a/internal/crashes/bound_test.go
+++ b/internal/crashes/bound_test.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// A flood of contents must not grow the ledger without end, nor push out those that
-// are refused.
+// Crashes under a flood of different fingerprints must neither grow the tracker without
+// bound nor evict a refused fingerprint.
 func TestTrackerBoundsItsFingerprints(t *testing.T) {
-	l, now := NewTracker(nil), time.Now()
+	tracker, now := NewTracker(nil), time.Now()
 	for i := range Limit {
-		l.RecordCrash(Crash{"fatal", fmt.Sprint("s", i), now})
+		tracker.RecordCrash(Crash{"fatal", fmt.Sprint("s", i), now})
 	}
 	for i := range maxFingerprints + 500 {
 		at := now.Add(time.Duration(i) * time.Millisecond)
-		c := Fingerprint(fmt.Sprint("c", i))
-		l.RecordCrash(Crash{c, "s", at})
+		fp := Fingerprint(fmt.Sprint("c", i))
+		tracker.RecordCrash(Crash{fp, "s", at})
 	}
-	if known, _ := l.Counts(); known != maxFingerprints {
-		t.Errorf("%d contents kept, want %d", known, maxFingerprints)
+	if known, _ := tracker.Counts(); known != maxFingerprints {
+		t.Errorf("%d fingerprints kept, want %d", known, maxFingerprints)
 	}
-	if l.RefusedFor("fatal", now) == 0 {
-		t.Error("the refused content was dropped")
+	if tracker.RefusedFor("fatal", now) == 0 {
+		t.Error("the refused fingerprint was evicted")
 	}
-	if len(l.crashes["c0"]) > 0 || len(l.crashes[Fingerprint(fmt.Sprint("c", maxFingerprints+499))]) == 0 {
-		t.Error("not the oldest was dropped")
+	if len(tracker.crashes["c0"]) > 0 || len(tracker.crashes[Fingerprint(fmt.Sprint("c", maxFingerprints+499))]) == 0 {
+		t.Error("the oldest fingerprint was not the one evicted")
 	}
-	if n := len(l.pending); n > maxFingerprints+Limit {
-		t.Errorf("%d changes wait to be written", n)
+	if n := len(tracker.pending); n > maxFingerprints+Limit {
+		t.Errorf("%d changes pending", n)
 	}
 }
--- a/internal/crashes/correlation.go
+++ b/internal/crashes/correlation.go
@@ -3,52 +3,47 @@
 import "time"
 
 const (
-	// correlationWindow is how far apart breaks may lie that are taken for one event.
+	// correlationWindow is the largest distance in time between failures that count as
+	// one event.
 	correlationWindow = time.Second
-	// minCorrelatedServers is from how many servers on breaks at one moment make a crowd.
-	// Answers that are lost by chance break off at fewer servers a second.
+	// minCorrelatedServers is the number of servers from which failures at one moment
+	// count as correlated. Independent broken sends affect fewer servers a second.
 	minCorrelatedServers = 4
-	// maxFailures bounds the breaks that are remembered; a cut of a data centre
-	// breaks off some hundreds at a host.
+	// maxFailures bounds the failures that are kept. A network cut of a data centre
+	// breaks some hundreds of sends at one host.
 	maxFailures = 2048
-	// failureRetention is how long they are remembered: until the entries of servers
-	// that ended with them have gone.
+	// failureRetention is how long failures are kept: until the entries of servers that
+	// crashed at the same moment have expired.
 	failureRetention = 10 * time.Second
 )
 
-// failureWindow remembers at which servers sends broke off, and under which content.
-//
-// A cut, the loss of a data centre or a release that ends everything breaks off
-// what many servers are doing at one moment. Each of their ends counted against
-// what it was doing: a page that all callers read was refused for a day after
-// three of them, and a data centre's cut cost some thousands of calls of the log
-// service to write and read what told nothing. A request that ends its servers
-// ends them one by one, while those without it live.
+// failureWindow holds recent crashes and broken sends, to recognise correlated failures.
+// The package comment says why they do not count.
 type failureWindow struct{ failures []Crash }
 
-// add takes note of a break.
-func (c *failureWindow) add(e Crash) {
-	for len(c.failures) > 0 && (len(c.failures) >= maxFailures || e.At.Sub(c.failures[0].At) > failureRetention) {
-		c.failures = c.failures[1:]
+// add appends a failure and drops those that are too old or too many.
+func (w *failureWindow) add(failure Crash) {
+	for len(w.failures) > 0 && (len(w.failures) >= maxFailures || failure.At.Sub(w.failures[0].At) > failureRetention) {
+		w.failures = w.failures[1:]
 	}
-	c.failures = append(c.failures, e)
+	w.failures = append(w.failures, failure)
 }
 
-// isCorrelated reports whether the end has a cause that it shares with others: at
-// its moment sends broke off at many servers, at most of them without one of its
-// content.
-func (c *failureWindow) isCorrelated(e Crash) bool {
-	with := map[string]bool{}
-	for _, b := range c.failures {
-		if apart := b.At.Sub(e.At); apart <= correlationWindow && apart >= -correlationWindow {
-			with[b.Server] = with[b.Server] || b.Fingerprint == e.Fingerprint
+// isCorrelated reports whether the crash is one of many failures with a common cause:
+// failures within correlationWindow affect at least minCorrelatedServers servers, and no
+// more than half of these had a failure with the crash's fingerprint.
+func (w *failureWindow) isCorrelated(crash Crash) bool {
+	servers := map[string]bool{}
+	for _, failure := range w.failures {
+		if distance := failure.At.Sub(crash.At); distance <= correlationWindow && distance >= -correlationWindow {
+			servers[failure.Server] = servers[failure.Server] || failure.Fingerprint == crash.Fingerprint
 		}
 	}
-	under := 0
-	for _, same := range with {
-		if same {
-			under++
+	matching := 0
+	for _, sameFingerprint := range servers {
+		if sameFingerprint {
+			matching++
 		}
 	}
-	return len(with) >= minCorrelatedServers && 2*under <= len(with)
+	return len(servers) >= minCorrelatedServers && 2*matching <= len(servers)
 }
--- a/internal/crashes/doc.go
+++ b/internal/crashes/doc.go
@@ -1,7 +1,17 @@
-// Package crashes tells which requests end the servers that run them.
+// Package crashes recognises requests that crash the servers that run them.
 //
-// One request can end every server that begins to run it. Its callers ask
-// again, on other hosts and under new request IDs, so that neither the limit
-// on a request's own repeats nor the repeat budget ever holds it back. Such
-// requests are known by their content.
+// One request can crash every server that begins to run it. Its callers send it
+// again, to other hosts and under new request IDs, so neither the limit on a
+// request's own attempts nor the retry budget stops it. Such requests are
+// recognised by a fingerprint of what they ask, whatever their ID.
+//
+// A fingerprint is refused on all hosts once Limit servers have crashed under
+// it, until a request with it succeeds or the crashes expire.
+//
+// Correlated failures do not count. A network cut, the loss of a data centre or
+// a release that restarts everything breaks the requests on many servers at one
+// moment. If these counted as crashes, three of them would refuse a page that
+// all callers read for a day, and the cut of a data centre would cost thousands
+// of log service calls for records without meaning. A request that crashes its
+// servers does so one by one, while servers that do not run it go on.
 package crashes
--- a/internal/crashes/fingerprint.go
+++ b/internal/crashes/fingerprint.go
@@ -8,16 +8,16 @@
 	"strconv"
 )
 
-// contentBytes is how much of a digest is kept: among the requests of a day
-// two that differ never share 128 bits.
+// fingerprintBytes is the length to which a digest is truncated. 128 bits make a collision
+// among a day's requests negligible.
 const fingerprintBytes = 16
 
-// Fingerprint identifies what a request asks: the hex digest of its method, its
-// target, its key and its body. It leaves out what differs each time a caller
-// asks for the same, such as the request's ID and its time limit.
+// Fingerprint identifies what a request asks: the truncated hex digest of its method, host,
+// target, key and body. It leaves out what differs between a caller's attempts, such as
+// the request ID and the deadline.
 type Fingerprint string
 
-// Request is what a request's content is made of.
+// Request holds the parts of a request that its fingerprint covers.
 type Request struct {
 	Method, Host string
 	// URI is the request target as the caller sent it.
@@ -28,14 +28,14 @@
 	Body []byte
 }
 
-// Fingerprint returns the digest.
-func (a Request) Fingerprint() Fingerprint {
+// Fingerprint returns the request's fingerprint.
+func (r Request) Fingerprint() Fingerprint {
 	h := sha256.New()
-	for _, part := range []string{a.Method, a.Host, a.URI, strconv.Itoa(a.Key)} {
-		// Each part's length goes first, so that no two asks write the same.
+	for _, part := range []string{r.Method, r.Host, r.URI, strconv.Itoa(r.Key)} {
+		// The length prefix keeps requests apart whose concatenated parts are equal.
 		_ = binary.Write(h, binary.BigEndian, uint32(len(part))) // a hash never fails
 		_, _ = io.WriteString(h, part)
 	}
-	_, _ = h.Write(a.Body)
+	_, _ = h.Write(r.Body)
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 }
--- a/internal/crashes/fingerprint_test.go
+++ b/internal/crashes/fingerprint_test.go
@@ -8,11 +8,11 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// Requests that ask the same have one content; whatever they differ in gives
-// them another, also where parts that stand side by side run together.
+// Equal requests have one fingerprint. A difference in any part gives another, also if
+// the concatenation of the parts is equal ("border").
 func TestFingerprintDistinguishesRequests(t *testing.T) {
 	p := gopter.NewProperties(nil)
-	p.Property("equal asks, equal contents", prop.ForAll(func(uri, body string, key int) bool {
+	p.Property("equal requests, equal fingerprints", prop.ForAll(func(uri, body string, key int) bool {
 		a := Request{Method: "PUT", Host: "a.example", URI: uri, Key: key, Body: []byte(body)}
 		b := a
 		b.Body = []byte(body)
@@ -29,7 +29,7 @@
 		"border": {Method: "PUT", Host: "a.example/", URI: "x", Key: 7, Body: []byte("b")},
 	} {
 		if other.Fingerprint() == base.Fingerprint() {
-			t.Errorf("asks that differ in %s have one content", name)
+			t.Errorf("requests that differ in %s have one fingerprint", name)
 		}
 	}
 }
--- a/internal/crashes/tracker.go
+++ b/internal/crashes/tracker.go
@@ -8,34 +8,33 @@
 )
 
 const (
-	// Limit is how many servers may end under a content before it is refused.
-	// One and two are still likely to be chance: a server that ends takes all
-	// that it runs with it, and a caller's next try may meet a second end. Each
-	// server that ends leaves its keys unserved until its lease has run out,
-	// some three seconds, so that more would cost every other caller.
+	// Limit is the number of servers whose crashes refuse a fingerprint. One or two may
+	// be chance: a crash also breaks the other requests on the server, and a retry of
+	// one may meet a second crash. A higher limit costs all other callers, as the keys
+	// of each crashed server are unserved until its grant expires, some three seconds.
 	Limit = 3
-	// Retention is how long an end counts. A content is tried again a day later:
-	// by then the servers may run a version that survives it, and at worst it
-	// ends Limit of them a day.
+	// Retention is how long a crash counts. A fingerprint is allowed again a day later:
+	// the servers may run a version by then that survives it; if not, it crashes at most
+	// Limit servers a day.
 	Retention = 24 * time.Hour
-	// maxFingerprints bounds the contents that are kept. Where more come, the one with
-	// the fewest ends is dropped first.
+	// maxFingerprints bounds the fingerprints that are tracked. Beyond it the one with
+	// the fewest crashes is evicted.
 	maxFingerprints = 4096
 )
 
-// Crash is the end of a server while it ran a request.
+// Crash is the crash of a server while it ran a request.
 type Crash struct {
 	Fingerprint Fingerprint
-	// Server is the ID of the life that ended.
+	// Server is the ID of the incarnation that crashed.
 	Server string
-	// At is when it was seen.
+	// At is when the crash was observed.
 	At time.Time
 }
 
-// Change is an end to be told to the other hosts, or one to be forgotten.
+// Change is a crash that is added to or deleted from the records that all hosts share.
 type Change struct {
 	Crash
-	// Deleted is set if the end no longer counts.
+	// Deleted is set if the crash no longer counts.
 	Deleted bool
 }
 
@@ -44,209 +43,211 @@
 	server      string
 }
 
-// Tracker is what one host knows of ends, its own and those that other hosts
-// have written. It is safe for concurrent use.
+// Tracker holds the crashes that one host has observed itself or read from other hosts'
+// records. It is safe for concurrent use.
 type Tracker struct {
-	// onRefused is told of each content that is refused from now on.
+	// onRefused is called for each fingerprint that becomes refused.
 	onRefused func(Fingerprint)
 
 	mu sync.Mutex
-	// crashes are by content, then by server.
+	// crashes holds the times of crashes by fingerprint, then by server.
 	crashes map[Fingerprint]map[string]time.Time
-	// pending are this host's changes that are not written yet.
+	// pending holds this host's changes that are not written yet.
 	pending  map[crashKey]Change
 	pendingC chan struct{}
-	// recent tells ends with a common cause.
+	// recent holds recent failures, to recognise crashes with a common cause.
 	recent failureWindow
-	// trialsAllowed reports whether this host tries refused contents, trials are when.
+	// trialsAllowed reports whether this host sends trial requests; trials holds their
+	// schedule.
 	trialsAllowed func() bool
 	trials        map[Fingerprint]trial
 }
 
-// NewTracker returns a ledger that knows of no ends. It calls refusing, unless
-// nil, for each content that is refused from now on, as this host saw or read.
-func NewTracker(refusing func(Fingerprint)) *Tracker {
-	if refusing == nil {
-		refusing = func(Fingerprint) {}
+// NewTracker returns a tracker without crashes. It calls onRefused, unless nil, for each
+// fingerprint that becomes refused, by a crash that this host observed or read.
+func NewTracker(onRefused func(Fingerprint)) *Tracker {
+	if onRefused == nil {
+		onRefused = func(Fingerprint) {}
 	}
-	return &Tracker{onRefused: refusing, crashes: map[Fingerprint]map[string]time.Time{}, pending: map[crashKey]Change{}, pendingC: make(chan struct{}, 1),
+	return &Tracker{onRefused: onRefused, crashes: map[Fingerprint]map[string]time.Time{}, pending: map[crashKey]Change{}, pendingC: make(chan struct{}, 1),
 		trials: map[Fingerprint]trial{}}
 }
 
-// RecordCrash takes in an end that this host saw itself. It returns how many servers
-// have ended under the content.
-func (l *Tracker) RecordCrash(e Crash) int {
-	l.mu.Lock()
-	l.recent.add(e)
-	ends, news := l.add(e)
-	if news {
-		l.enqueue(Change{Crash: e})
+// RecordCrash records a crash that this host observed. It returns how many servers have
+// crashed under the fingerprint.
+func (t *Tracker) RecordCrash(crash Crash) int {
+	t.mu.Lock()
+	t.recent.add(crash)
+	count, isNew := t.add(crash)
+	if isNew {
+		t.enqueue(Change{Crash: crash})
 	}
-	l.mu.Unlock()
-	l.notifyIfRefused(e.Fingerprint, ends, news)
-	return ends
+	t.mu.Unlock()
+	t.notifyIfRefused(crash.Fingerprint, count, isNew)
+	return count
 }
 
-// RecordBrokenSend takes note of a send that broke off while its server, as far as is known
-// yet, goes on.
-func (l *Tracker) RecordBrokenSend(e Crash) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.recent.add(e)
+// RecordBrokenSend records a broken send whose server is not known to have crashed. It
+// does not count as a crash, but shows which crashes are correlated failures.
+func (t *Tracker) RecordBrokenSend(broken Crash) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.recent.add(broken)
 }
 
-func (l *Tracker) notifyIfRefused(c Fingerprint, ends int, news bool) {
-	if news && ends == Limit {
-		l.onRefused(c)
+func (t *Tracker) notifyIfRefused(fp Fingerprint, count int, isNew bool) {
+	if isNew && count == Limit {
+		t.onRefused(fp)
 	}
 }
 
-// RecordSuccess takes note that a server ran the content and answered: what ended
-// with others was beside it by chance. A page that many callers read, at the
-// owner of the same keys as a request that ends its servers, was otherwise
-// refused with it. It reports whether ends were forgotten.
-func (l *Tracker) RecordSuccess(c Fingerprint) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ends := l.crashes[c]
-	for server, at := range ends {
-		l.enqueue(Change{Crash: Crash{c, server, at}, Deleted: true})
+// RecordSuccess records that a server ran a request with the fingerprint and responded,
+// and deletes the fingerprint's crashes. Without it a page that many callers read is
+// refused because it often runs on the servers that another request crashes. It reports
+// whether there were crashes.
+func (t *Tracker) RecordSuccess(fp Fingerprint) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	times := t.crashes[fp]
+	for server, at := range times {
+		t.enqueue(Change{Crash: Crash{fp, server, at}, Deleted: true})
 	}
-	delete(l.crashes, c)
-	delete(l.trials, c)
-	return len(ends) > 0
+	delete(t.crashes, fp)
+	delete(t.trials, fp)
+	return len(times) > 0
 }
 
-// HasCrashes reports whether there are ends at all. While there are none, requests
-// need not be looked at.
-func (l *Tracker) HasCrashes() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.crashes) > 0
+// HasCrashes reports whether there are any crashes. Without them the fingerprints of
+// requests need not be computed.
+func (t *Tracker) HasCrashes() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.crashes) > 0
 }
 
-// IsSuspect reports whether a server has ended under the content, and none has
-// answered it since.
-func (l *Tracker) IsSuspect(c Fingerprint) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.crashes[c]) > 0
+// IsSuspect reports whether a server has crashed under the fingerprint and no request
+// with it has succeeded since.
+func (t *Tracker) IsSuspect(fp Fingerprint) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.crashes[fp]) > 0
 }
 
-// RefusedFor returns for how much longer a content is refused; zero if it is not.
-func (l *Tracker) RefusedFor(c Fingerprint, now time.Time) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ends := make([]time.Time, 0, len(l.crashes[c]))
-	for _, at := range l.crashes[c] {
-		ends = append(ends, at)
+// RefusedFor returns for how much longer a fingerprint is refused; zero if it is not.
+func (t *Tracker) RefusedFor(fp Fingerprint, now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	times := make([]time.Time, 0, len(t.crashes[fp]))
+	for _, at := range t.crashes[fp] {
+		times = append(times, at)
 	}
-	if len(ends) < Limit {
+	if len(times) < Limit {
 		return 0
 	}
-	// It is refused until the last but two of its ends no longer counts.
-	slices.SortFunc(ends, func(a, b time.Time) int { return b.Compare(a) })
-	return max(ends[Limit-1].Add(Retention).Sub(now), 0)
+	// The refusal ends when fewer than Limit crashes are within Retention.
+	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
+	return max(times[Limit-1].Add(Retention).Sub(now), 0)
 }
 
-// RefusedFingerprints returns the contents that are refused, in order.
-func (l *Tracker) RefusedFingerprints(now time.Time) []Fingerprint {
-	l.mu.Lock()
+// RefusedFingerprints returns the refused fingerprints, sorted.
+func (t *Tracker) RefusedFingerprints(now time.Time) []Fingerprint {
+	t.mu.Lock()
 	var all []Fingerprint
-	for c := range l.crashes {
-		all = append(all, c)
+	for fp := range t.crashes {
+		all = append(all, fp)
 	}
-	l.mu.Unlock()
-	all = slices.DeleteFunc(all, func(c Fingerprint) bool { return l.RefusedFor(c, now) == 0 })
+	t.mu.Unlock()
+	all = slices.DeleteFunc(all, func(fp Fingerprint) bool { return t.RefusedFor(fp, now) == 0 })
 	slices.Sort(all)
 	return all
 }
 
-// Counts returns how many contents servers have ended under, and how many of
-// them are refused.
-func (l *Tracker) Counts() (known, refused int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, ends := range l.crashes {
-		if len(ends) >= Limit {
+// Counts returns the number of fingerprints with crashes, and how many of them are
+// refused.
+func (t *Tracker) Counts() (known, refused int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, times := range t.crashes {
+		if len(times) >= Limit {
 			refused++
 		}
 	}
-	return len(l.crashes), refused
+	return len(t.crashes), refused
 }
 
-// CrashedServers returns those that have ended under the content, in order.
-func (l *Tracker) CrashedServers(c Fingerprint) []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// CrashedServers returns the servers that have crashed under the fingerprint, sorted.
+func (t *Tracker) CrashedServers(fp Fingerprint) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var out []string
-	for server := range l.crashes[c] {
+	for server := range t.crashes[fp] {
 		out = append(out, server)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Apply takes in a change that was read, this host's own or another's.
-func (l *Tracker) Apply(c Change) {
-	l.mu.Lock()
-	ends, news := 0, false
+// Apply applies a change that was read, written by this host or another. It ignores a
+// crash whose deletion by this host is not written yet.
+func (t *Tracker) Apply(c Change) {
+	t.mu.Lock()
+	count, isNew := 0, false
 	if c.Deleted {
-		l.remove(c.Fingerprint, c.Server)
-	} else if !l.pending[crashKey{c.Fingerprint, c.Server}].Deleted {
-		ends, news = l.add(c.Crash)
+		t.remove(c.Fingerprint, c.Server)
+	} else if !t.pending[crashKey{c.Fingerprint, c.Server}].Deleted {
+		count, isNew = t.add(c.Crash)
 	}
-	l.mu.Unlock()
-	l.notifyIfRefused(c.Fingerprint, ends, news)
+	t.mu.Unlock()
+	t.notifyIfRefused(c.Fingerprint, count, isNew)
 }
 
-// Replace takes the given ends in place of all that were read before. What
-// this host has not written yet stays.
-func (l *Tracker) Replace(ends []Crash) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	clear(l.crashes)
-	for _, e := range ends {
-		l.add(e)
+// Replace replaces all crashes by the given ones, and applies this host's pending
+// changes again.
+func (t *Tracker) Replace(crashes []Crash) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	clear(t.crashes)
+	for _, crash := range crashes {
+		t.add(crash)
 	}
-	for k, c := range l.pending {
+	for k, c := range t.pending {
 		if c.Deleted {
-			l.remove(k.fingerprint, k.server)
+			t.remove(k.fingerprint, k.server)
 		} else {
-			l.add(c.Crash)
+			t.add(c.Crash)
 		}
 	}
 }
 
-// Expire forgets ends that no longer count. If told is set the other hosts and
-// the log service are to forget them too.
-func (l *Tracker) Expire(now time.Time, told bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for content, ends := range l.crashes {
-		for server, at := range ends {
+// Expire removes crashes that are older than Retention. If publish is set, it also
+// enqueues their deletion from the shared records.
+func (t *Tracker) Expire(now time.Time, publish bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for fp, times := range t.crashes {
+		for server, at := range times {
 			if now.Sub(at) < Retention {
 				continue
 			}
-			l.remove(content, server)
-			if told {
-				l.enqueue(Change{Crash: Crash{content, server, at}, Deleted: true})
+			t.remove(fp, server)
+			if publish {
+				t.enqueue(Change{Crash: Crash{fp, server, at}, Deleted: true})
 			}
 		}
 	}
 }
 
-// Pending returns the changes that are not written yet. Ends that have turned
-// out to have a common cause are forgotten, so it is best asked once the others
-// of their moment are known.
-func (l *Tracker) Pending() []Change {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := make([]Change, 0, len(l.pending))
-	for k, c := range l.pending {
-		if !c.Deleted && l.recent.isCorrelated(c.Crash) {
-			delete(l.pending, k)
-			l.remove(k.fingerprint, k.server)
+// Pending returns the changes that are not written yet. It first drops crashes that
+// proved to be correlated, so it should be called only once the failures of the same
+// moment are recorded.
+func (t *Tracker) Pending() []Change {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := make([]Change, 0, len(t.pending))
+	for k, c := range t.pending {
+		if !c.Deleted && t.recent.isCorrelated(c.Crash) {
+			delete(t.pending, k)
+			t.remove(k.fingerprint, k.server)
 			continue
 		}
 		out = append(out, c)
@@ -254,70 +255,71 @@
 	return out
 }
 
-// PendingC returns a channel that gets a value when there is something to write.
-func (l *Tracker) PendingC() <-chan struct{} { return l.pendingC }
+// PendingC returns a channel that receives a value when there are changes to write.
+func (t *Tracker) PendingC() <-chan struct{} { return t.pendingC }
 
-// MarkWritten takes note that the changes have been written.
-func (l *Tracker) MarkWritten(changes []Change) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// MarkWritten records that the changes have been written.
+func (t *Tracker) MarkWritten(changes []Change) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, c := range changes {
 		k := crashKey{c.Fingerprint, c.Server}
-		if l.pending[k] == c {
-			delete(l.pending, k)
+		if t.pending[k] == c {
+			delete(t.pending, k)
 		}
 	}
 }
 
-// add returns how many servers have ended under the content, and whether this
-// end was not known yet.
-func (l *Tracker) add(e Crash) (ends int, news bool) {
-	if l.crashes[e.Fingerprint] == nil {
-		if len(l.crashes) >= maxFingerprints {
-			l.evict(l.evictionVictim())
+// add returns how many servers have crashed under the fingerprint, and whether this
+// crash is new.
+func (t *Tracker) add(crash Crash) (count int, isNew bool) {
+	if t.crashes[crash.Fingerprint] == nil {
+		if len(t.crashes) >= maxFingerprints {
+			t.evict(t.evictionVictim())
 		}
-		l.crashes[e.Fingerprint] = map[string]time.Time{}
+		t.crashes[crash.Fingerprint] = map[string]time.Time{}
 	}
-	_, known := l.crashes[e.Fingerprint][e.Server]
-	l.crashes[e.Fingerprint][e.Server] = e.At
-	return len(l.crashes[e.Fingerprint]), !known
+	_, known := t.crashes[crash.Fingerprint][crash.Server]
+	t.crashes[crash.Fingerprint][crash.Server] = crash.At
+	return len(t.crashes[crash.Fingerprint]), !known
 }
 
-// evictionVictim returns the content with the fewest ends, of several the one whose
-// last end is the oldest.
-func (l *Tracker) evictionVictim() (least Fingerprint) {
+// evictionVictim returns the fingerprint with the fewest crashes; of several, the one
+// whose last crash is the oldest.
+func (t *Tracker) evictionVictim() (victim Fingerprint) {
 	fewest, oldest := 0, time.Time{}
-	for c, ends := range l.crashes {
-		last := slices.MaxFunc(slices.Collect(maps.Values(ends)), time.Time.Compare)
-		if least == "" || len(ends) < fewest || (len(ends) == fewest && last.Before(oldest)) {
-			least, fewest, oldest = c, len(ends), last
+	for fp, times := range t.crashes {
+		last := slices.MaxFunc(slices.Collect(maps.Values(times)), time.Time.Compare)
+		if victim == "" || len(times) < fewest || (len(times) == fewest && last.Before(oldest)) {
+			victim, fewest, oldest = fp, len(times), last
 		}
 	}
-	return least
+	return victim
 }
 
-// evict forgets a content. What this host saw of it and has not written is not
-// written; records of it stay until they expire.
-func (l *Tracker) evict(c Fingerprint) {
-	for server := range l.crashes[c] {
-		delete(l.pending, crashKey{c, server})
+// evict drops a fingerprint with its pending changes. Records of it that are already
+// written stay until they expire.
+func (t *Tracker) evict(fp Fingerprint) {
+	for server := range t.crashes[fp] {
+		delete(t.pending, crashKey{fp, server})
 	}
-	delete(l.crashes, c)
-	delete(l.trials, c)
+	delete(t.crashes, fp)
+	delete(t.trials, fp)
 }
 
-func (l *Tracker) remove(c Fingerprint, server string) {
-	delete(l.crashes[c], server)
-	if len(l.crashes[c]) == 0 {
-		delete(l.crashes, c)
-		delete(l.trials, c)
+func (t *Tracker) remove(fp Fingerprint, server string) {
+	delete(t.crashes[fp], server)
+	if len(t.crashes[fp]) == 0 {
+		delete(t.crashes, fp)
+		delete(t.trials, fp)
 	}
 }
 
-func (l *Tracker) enqueue(c Change) {
-	l.pending[crashKey{c.Fingerprint, c.Server}] = c
+// enqueue adds a change to the pending ones and wakes the writer.
+func (t *Tracker) enqueue(c Change) {
+	t.pending[crashKey{c.Fingerprint, c.Server}] = c
 	select {
-	case l.pendingC <- struct{}{}:
-	default: // the writer has been woken already
+	case t.pendingC <- struct{}{}:
+	default: // a wake-up is already queued
 	}
 }
--- a/internal/crashes/tracker_test.go
+++ b/internal/crashes/tracker_test.go
@@ -19,7 +19,7 @@
 	return Request{Method: "GET", Host: "a.example", URI: fmt.Sprint("/", i), Key: -1}.Fingerprint()
 }
 
-// testFleet is a few hosts' ledgers over one stream of records.
+// testFleet is a few hosts' trackers that share one stream of records.
 type testFleet struct {
 	t       *testing.T
 	hosts   []*Tracker
@@ -34,7 +34,7 @@
 	return f
 }
 
-// writePending writes what the host has pending, and lets every host read it.
+// writePending writes the host's pending changes, and applies them on every host.
 func (f *testFleet) writePending(host int) {
 	f.t.Helper()
 	changes := f.hosts[host].Pending()
@@ -48,90 +48,91 @@
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		for _, l := range f.hosts {
-			l.Apply(got)
+		for _, tracker := range f.hosts {
+			tracker.Apply(got)
 		}
 	}
 	f.hosts[host].MarkWritten(changes)
 }
 
-// readNewest lets a host read the newest record of each key.
-func (f *testFleet) readNewest(l *Tracker) {
+// readNewest replaces the tracker's crashes by the newest record of each key.
+func (f *testFleet) readNewest(tracker *Tracker) {
 	f.t.Helper()
-	var ends []Crash
+	var crashes []Crash
 	for key, data := range f.records {
 		c, err := Decode(key, data, testTime)
 		if err != nil {
 			f.t.Fatal(err)
 		}
 		if !c.Deleted {
-			ends = append(ends, c.Crash)
+			crashes = append(crashes, c.Crash)
 		}
 	}
-	l.Replace(ends)
+	tracker.Replace(crashes)
 }
 
-// Three servers end under one request, each seen by another host. Once what
-// they saw is written every host refuses it, one that has just started too, and
-// other requests are served.
+// Three servers crash under one request, each observed by another host. Once the crashes
+// are written, every host must refuse the request, also one that has just started, and
+// serve other requests.
 func TestCrashesSeenByDifferentHostsAddUp(t *testing.T) {
 	f := newTestFleet(t, 4)
 	for i := range Limit {
 		if f.hosts[3].RefusedFor(testFingerprint(1), testTime) > 0 {
-			t.Fatalf("refused after %d ends", i)
+			t.Fatalf("refused after %d crashes", i)
 		}
 		f.hosts[i].RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 		f.writePending(i)
 	}
 	late := NewTracker(nil)
 	f.readNewest(late)
-	for i, l := range append(f.hosts, late) {
-		if got := l.RefusedFor(testFingerprint(1), testTime.Add(time.Hour)); got != Retention-time.Hour {
+	for i, tracker := range append(f.hosts, late) {
+		if got := tracker.RefusedFor(testFingerprint(1), testTime.Add(time.Hour)); got != Retention-time.Hour {
 			t.Errorf("host %d refuses it for %v more", i, got)
 		}
-		if l.RefusedFor(testFingerprint(2), testTime) > 0 {
-			t.Errorf("host %d refuses a request that has ended nothing", i)
+		if tracker.RefusedFor(testFingerprint(2), testTime) > 0 {
+			t.Errorf("host %d refuses a request without crashes", i)
 		}
 	}
 }
 
-// Many hosts' requests break off as one server ends; that is one end. The host
-// that sees the third end refuses before anybody has written anything.
+// The crash of one server breaks many requests, and must count once. The host that
+// observes the third crash refuses the request before anything is written.
 func TestCrashOfOneServerCountsOnce(t *testing.T) {
-	l := NewTracker(nil)
+	tracker := NewTracker(nil)
 	for range 10 {
-		l.RecordCrash(Crash{testFingerprint(1), "s1", testTime})
+		tracker.RecordCrash(Crash{testFingerprint(1), "s1", testTime})
 	}
-	if n := l.RecordCrash(Crash{testFingerprint(1), "s2", testTime}); n != 2 || l.RefusedFor(testFingerprint(1), testTime) > 0 {
-		t.Errorf("two servers ended, counted as %d", n)
+	if n := tracker.RecordCrash(Crash{testFingerprint(1), "s2", testTime}); n != 2 || tracker.RefusedFor(testFingerprint(1), testTime) > 0 {
+		t.Errorf("two servers crashed, counted as %d", n)
 	}
-	if l.RecordCrash(Crash{testFingerprint(1), "s3", testTime}); l.RefusedFor(testFingerprint(1), testTime) != Retention {
-		t.Error("not refused by the host that saw the third end")
+	if tracker.RecordCrash(Crash{testFingerprint(1), "s3", testTime}); tracker.RefusedFor(testFingerprint(1), testTime) != Retention {
+		t.Error("not refused by the host that observed the third crash")
 	}
 }
 
-// On-call is told once of each request that is refused, whoever saw its ends.
+// Operators are notified by onRefused: it must be called once for each refused fingerprint,
+// whether this host observed the crashes or read them.
 func TestOnRefusedIsCalledOncePerFingerprint(t *testing.T) {
-	told := map[Fingerprint]int{}
-	l := NewTracker(func(c Fingerprint) { told[c]++ })
+	calls := map[Fingerprint]int{}
+	tracker := NewTracker(func(fp Fingerprint) { calls[fp]++ })
 	for round := range 3 {
 		for i := range Limit + round {
-			l.RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
-			l.Apply(Change{Crash: Crash{testFingerprint(2), fmt.Sprint("s", i), testTime}})
+			tracker.RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
+			tracker.Apply(Change{Crash: Crash{testFingerprint(2), fmt.Sprint("s", i), testTime}})
 		}
 	}
-	l.RecordCrash(Crash{testFingerprint(3), "s1", testTime})
-	if known, refused := l.Counts(); known != 3 || refused != 2 {
-		t.Errorf("%d contents known, %d refused", known, refused)
+	tracker.RecordCrash(Crash{testFingerprint(3), "s1", testTime})
+	if known, refused := tracker.Counts(); known != 3 || refused != 2 {
+		t.Errorf("%d fingerprints known, %d refused", known, refused)
 	}
-	if len(told) != 2 || told[testFingerprint(1)] != 1 || told[testFingerprint(2)] != 1 {
-		t.Errorf("told %v", told)
+	if len(calls) != 2 || calls[testFingerprint(1)] != 1 || calls[testFingerprint(2)] != 1 {
+		t.Errorf("onRefused calls: %v", calls)
 	}
 }
 
-// A page that many read is at the owner of the keys of a request that ends its
-// servers, time after time. It is answered in between, by another host, and
-// never refused, whatever order the hosts' records come in.
+// A page that many callers read runs on the same servers as a request that crashes them,
+// again and again. Another host sees it succeed in between: no host may refuse it, in
+// whatever order the hosts' records arrive.
 func TestFingerprintThatSucceedsIsNotRefused(t *testing.T) {
 	f := newTestFleet(t, 2)
 	for i := range 3 * Limit {
@@ -139,20 +140,20 @@
 		f.writePending(0)
 		if i%2 == 1 {
 			if !f.hosts[1].RecordSuccess(testFingerprint(1)) {
-				t.Fatal("the other host does not know of the ends")
+				t.Fatal("the other host has not read the crashes")
 			}
 			f.writePending(1)
 		}
-		for h, l := range f.hosts {
-			if l.RefusedFor(testFingerprint(1), testTime) > 0 {
-				t.Fatalf("host %d refuses a page that is answered", h)
+		for h, tracker := range f.hosts {
+			if tracker.RefusedFor(testFingerprint(1), testTime) > 0 {
+				t.Fatalf("host %d refuses a page that succeeds", h)
 			}
 		}
 	}
 }
 
-// The log service is away while servers end. What this host saw counts here at
-// once, outlives a reading of the newest records, and is written later.
+// Servers crash while the log service is unavailable. The crashes that a host observed must
+// count on that host at once, survive Replace, and be written later.
 func TestPendingCrashesSurviveALogOutage(t *testing.T) {
 	f := newTestFleet(t, 2)
 	for i := range Limit {
@@ -160,7 +161,7 @@
 	}
 	f.readNewest(f.hosts[0])
 	if f.hosts[0].RefusedFor(testFingerprint(1), testTime) == 0 {
-		t.Error("what was not written yet is forgotten with the newest records")
+		t.Error("pending crashes are lost on Replace")
 	}
 	f.writePending(0)
 	if f.hosts[1].RefusedFor(testFingerprint(1), testTime) == 0 || len(f.hosts[0].Pending()) > 0 {
@@ -168,26 +169,26 @@
 	}
 }
 
-// A day later the content is tried again; the planner's host has the records
-// deleted, the others only forget.
+// Crashes expire after Retention. The planner's host deletes their records as well, the
+// other hosts only their own state.
 func TestCrashesExpire(t *testing.T) {
 	f := newTestFleet(t, 2)
 	for i := range Limit {
 		f.hosts[0].RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 	}
 	f.writePending(0)
-	for h, l := range f.hosts {
-		l.Expire(testTime.Add(Retention-time.Second), h == 0)
-		if l.RefusedFor(testFingerprint(1), testTime.Add(Retention-time.Second)) != time.Second || len(l.Pending()) > 0 {
-			t.Errorf("host %d forgets early", h)
+	for h, tracker := range f.hosts {
+		tracker.Expire(testTime.Add(Retention-time.Second), h == 0)
+		if tracker.RefusedFor(testFingerprint(1), testTime.Add(Retention-time.Second)) != time.Second || len(tracker.Pending()) > 0 {
+			t.Errorf("host %d expires crashes early", h)
 		}
-		l.Expire(testTime.Add(Retention), h == 0)
-		if l.HasCrashes() || l.RefusedFor(testFingerprint(1), testTime.Add(Retention)) > 0 {
-			t.Errorf("host %d still knows of it a day later", h)
+		tracker.Expire(testTime.Add(Retention), h == 0)
+		if tracker.HasCrashes() || tracker.RefusedFor(testFingerprint(1), testTime.Add(Retention)) > 0 {
+			t.Errorf("host %d still has crashes after Retention", h)
 		}
 	}
 	if a, b := len(f.hosts[0].Pending()), len(f.hosts[1].Pending()); a != Limit || b != 0 {
-		t.Errorf("%d and %d records are to be deleted", a, b)
+		t.Errorf("%d and %d records to delete", a, b)
 	}
 	f.writePending(0)
 	for key, data := range f.records {
@@ -197,21 +198,20 @@
 	}
 }
 
-// What a look at a request costs while any end is known: 0.7 us and 288 bytes,
-// on one of five cores.
+// BenchmarkRefused measures the check of one request while there are crashes.
 func BenchmarkRefused(b *testing.B) {
-	l := NewTracker(nil)
+	tracker := NewTracker(nil)
 	for i := range 1000 {
-		l.RecordCrash(Crash{testFingerprint(i), "s1", testTime})
+		tracker.RecordCrash(Crash{testFingerprint(i), "s1", testTime})
 	}
-	ask := Request{Method: "GET", Host: "a.example", URI: "/job/1234?page=2", Key: 28264}
+	req := Request{Method: "GET", Host: "a.example", URI: "/job/1234?page=2", Key: 28264}
 	b.ReportAllocs()
 	for b.Loop() {
-		l.RefusedFor(ask.Fingerprint(), testTime)
+		tracker.RefusedFor(req.Fingerprint(), testTime)
 	}
 }
 
-// A host whose clock is behind the writer's takes an end to be seen just now.
+// A record's time is ahead of the reading host's clock: it must be read as now.
 func TestFutureCrashTimeIsReadAsNow(t *testing.T) {
 	key, data, err := Change{Crash: Crash{testFingerprint(1), "s", testTime}}.Encode(testTime.Add(time.Minute))
 	if err != nil {
@@ -219,13 +219,13 @@
 	}
 	for _, c := range []struct{ now, want time.Time }{{testTime.Add(time.Hour), testTime}, {testTime.Add(-time.Hour), testTime.Add(-time.Hour)}} {
 		if got, err := Decode(key, data, c.now); err != nil || !got.At.Equal(c.want) {
-			t.Errorf("read at %v: seen at %v, %v", c.now, got.At, err)
+			t.Errorf("decoded at %v: crash at %v, %v", c.now, got.At, err)
 		}
 	}
 }
 
-// A record that another writer left, or that cannot be read, is refused; one
-// that was written is read back as it was.
+// Encoded records decode to the same change. Records from other writers that are malformed
+// are rejected, and so are changes whose key is too long.
 func TestRecordsRoundTripOrAreRejected(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	p.Property("read back", prop.ForAll(func(server string, ms int64, forget bool) bool {
@@ -243,13 +243,13 @@
 	p.TestingRun(t)
 	long := Change{Crash: Crash{testFingerprint(1), strings.Repeat("s", metastore.MaxKey), testTime}}
 	if key, _, err := long.Encode(testTime); err == nil {
-		t.Errorf("a key of %d bytes is written", len(key))
+		t.Errorf("a key of %d bytes is accepted", len(key))
 	}
 	good := string(testFingerprint(1)) + "/s"
 	for key, data := range map[string]string{"": "{}", "s": `{"at_ms":1}`, "abc/s": `{"at_ms":1}`, string(testFingerprint(1)) + "/": `{"at_ms":1}`,
 		good: "{}", good + "1": `{"at_ms":"1"}`, good + "2": `{"at_ms":-1}`, good + "3": "\xff"} {
 		if c, err := Decode(key, []byte(data), testTime); err == nil {
-			t.Errorf("%q %q is taken for %+v", key, data, c)
+			t.Errorf("%q %q is decoded as %+v", key, data, c)
 		}
 	}
 }
--- a/internal/crashes/trial.go
+++ b/internal/crashes/trial.go
@@ -3,47 +3,47 @@
 import "time"
 
 const (
-	// firstTrialDelay is how long after the last end under a refused content it is
-	// tried again: after a common loss its servers are back by then. The pause
-	// doubles with each try.
+	// firstTrialDelay is the time from the last crash under a refused fingerprint to its
+	// first trial: servers lost to a common cause are back by then. The second trial
+	// follows 3*firstTrialDelay later; the interval doubles with each further one, up
+	// to maxTrialInterval.
 	firstTrialDelay  = 10 * time.Second
 	maxTrialInterval = 2 * time.Hour
 )
 
-// trial is when a refused content is tried next, and the pause after that.
+// trial is the schedule of a refused fingerprint's trials: the time of the next one and
+// the interval after it.
 type trial struct {
 	next     time.Time
 	interval time.Duration
 }
 
-// AllowTrial reports whether one request of a refused content may be sent now, to see
-// whether it still ends its servers: an answer to it clears the content on every
-// host. Without it a content that was refused for what it had not done stayed so
-// for a day, since nothing was sent any more that could have been answered. Of
-// all hosts that share what they see one tries, so that a content that does end
-// its servers ends a dozen more in a day.
-func (l *Tracker) AllowTrial(c Fingerprint, now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.trialsAllowed == nil || !l.trialsAllowed() {
+// AllowTrial reports whether one request with a refused fingerprint may be sent now; its
+// success lifts the refusal on all hosts. Without trials a mistaken refusal lasts a day.
+// Of the hosts that share crashes only one sends trials: a fingerprint that does crash
+// its servers then crashes about a dozen more a day.
+func (t *Tracker) AllowTrial(fp Fingerprint, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.trialsAllowed == nil || !t.trialsAllowed() {
 		return false
 	}
-	t, tried := l.trials[c]
-	if !tried {
-		for _, at := range l.crashes[c] {
-			if due := at.Add(firstTrialDelay); due.After(t.next) {
-				t.next = due
+	schedule, scheduled := t.trials[fp]
+	if !scheduled {
+		for _, at := range t.crashes[fp] {
+			if due := at.Add(firstTrialDelay); due.After(schedule.next) {
+				schedule.next = due
 			}
 		}
-		t.interval = 3 * firstTrialDelay
+		schedule.interval = 3 * firstTrialDelay
 	}
-	if now.Before(t.next) {
+	if now.Before(schedule.next) {
 		return false
 	}
-	l.trials[c] = trial{now.Add(t.interval), min(2*t.interval, maxTrialInterval)}
+	t.trials[fp] = trial{now.Add(schedule.interval), min(2*schedule.interval, maxTrialInterval)}
 	return true
 }
 
-// AllowTrialsIf has this host try refused contents while allowed says so. It must be
-// called before the ledger is used.
-func (l *Tracker) AllowTrialsIf(allowed func() bool) { l.trialsAllowed = allowed }
+// AllowTrialsIf lets this host send trial requests while allowed returns true. It must be
+// called before the tracker is used.
+func (t *Tracker) AllowTrialsIf(allowed func() bool) { t.trialsAllowed = allowed }
