--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -1,5 +1,5 @@
-// Package decay keeps sums whose parts fade with time, for rates and means
-// that follow what happened lately.
+// Package decay keeps exponentially decaying sums, for rates and means of recent
+// events.
 package decay
 
 import (
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Sum is a sum whose parts fade with a time constant. The same constant is
-// passed to every call.
+// Sum is an exponentially decaying sum. All calls must pass the same time constant
+// tau. The zero value is empty.
 type Sum struct {
 	sum       float64
 	updatedAt time.Time
 }
 
-// Add adds x at now.
+// Add adds x to the sum at now.
 func (s *Sum) Add(x float64, tau time.Duration, now time.Time) {
 	s.sum = s.Value(tau, now) + x
 	s.updatedAt = now
 }
 
-// Value returns what is left of the sum at now.
+// Value returns the decayed sum at now.
 func (s *Sum) Value(tau time.Duration, now time.Time) float64 {
 	if s.sum == 0 {
 		return 0
@@ -28,8 +28,8 @@
 	return s.sum * math.Exp(-now.Sub(s.updatedAt).Seconds()/tau.Seconds())
 }
 
-// EffectiveWindow is the time, in seconds, over which a sum that began age ago has
-// gathered: its value divided by it is a rate.
+// EffectiveWindow returns the effective length, in seconds, of the window of a sum that
+// began age ago: the sum's value divided by it is the rate per second.
 func EffectiveWindow(tau, age time.Duration) float64 {
 	return tau.Seconds() * (1 - math.Exp(-age.Seconds()/tau.Seconds()))
 }
--- a/internal/worktime/worktime.go
+++ b/internal/worktime/worktime.go
@@ -1,5 +1,5 @@
-// Package worktime estimates how long upstreams work on a request, from how
-// long their answers take.
+// Package worktime estimates how long upstreams work on a request, without
+// queueing, from the latencies of their responses.
 package worktime
 
 import (
@@ -11,58 +11,58 @@
 )
 
 const (
-	// timeConstant is the time constant of an upstream's answers.
+	// timeConstant is the time constant of the decaying sums of responses.
 	timeConstant = 8 * time.Second
-	// priorWeight is how many answers the typical work time counts for beside an
-	// upstream's own.
+	// priorWeight is the weight of the typical work time in an estimate, in responses.
 	priorWeight = 4.0
-	// minSpeed and fastest bound the speeds told, relative to the typical.
+	// minSpeed and maxSpeed bound an upstream's estimated speed, relative to the typical
+	// one.
 	minSpeed, maxSpeed = 0.15, 2.0
-	// defaultWorkTimeS is assumed of a service before any answer was seen, in seconds;
-	// only the proportions matter then.
+	// defaultWorkTimeS is the work time, in seconds, assumed for a service without
+	// measurements. Only the proportions between its upstreams matter then.
 	defaultWorkTimeS = 0.2
 )
 
+// responseSums are the decaying number of an upstream's responses and the sum of their
+// latencies, in seconds.
 type responseSums struct{ count, latency decay.Sum }
 
-// Estimator is not safe for concurrent use.
+// Estimator estimates work times by upstream. It is not safe for concurrent use.
 type Estimator struct {
 	byID    map[string]*responseSums
 	started time.Time
 }
 
-// New returns an estimator that hears of answers from now on.
+// New returns an empty estimator whose measurements start at now.
 func New(now time.Time) *Estimator {
 	return &Estimator{byID: map[string]*responseSums{}, started: now}
 }
 
-// Add takes in so many answers of an upstream that took so many seconds
-// together.
-func (e *Estimator) Add(id string, answers, seconds float64, now time.Time) {
+// Add adds a number of responses of an upstream, and the sum of their latencies in
+// seconds.
+func (e *Estimator) Add(id string, responses, seconds float64, now time.Time) {
 	s := e.byID[id]
 	if s == nil {
 		s = &responseSums{}
 		e.byID[id] = s
 	}
-	s.count.Add(answers, timeConstant, now)
+	s.count.Add(responses, timeConstant, now)
 	s.latency.Add(seconds, timeConstant, now)
 }
 
-// Estimate returns the seconds that an upstream works on a request, typical being
-// the usual time of its service.
-//
-// What callers see is longer where requests queue. With L the mean latency
-// and N the mean number of requests at the upstream, which by Little's law
-// is the latency summed over a second, the work takes L if N is within its
-// slots, and L·slots/N otherwise.
+// Estimate returns the estimated work time of an upstream, in seconds: the mean of its own
+// observed time and the typical time of its service, weighted by the number of responses,
+// and bounded by minSpeed and maxSpeed.
 func (e *Estimator) Estimate(u *catalogue.Upstream, typical float64, now time.Time) float64 {
-	own, n := e.observed(u, now)
-	t := (own*n + typical*priorWeight) / (n + priorWeight)
+	observed, n := e.observed(u, now)
+	t := (observed*n + typical*priorWeight) / (n + priorWeight)
 	return min(max(t, typical/maxSpeed), typical/minSpeed)
 }
 
-// observed returns an upstream's work time by its own answers, and how many there
-// are.
+// observed returns an upstream's work time by its own responses, in seconds, and their
+// decayed number; zeros if there are too few. The mean latency L includes queueing. With
+// N the mean number of requests at the upstream, by Little's law the latency summed per
+// second, the work time is L if N is at most the number of slots, else L*slots/N.
 func (e *Estimator) observed(u *catalogue.Upstream, now time.Time) (float64, float64) {
 	s := e.byID[u.ID]
 	if s == nil {
@@ -73,11 +73,12 @@
 	if n < 1 {
 		return 0, 0
 	}
-	atOnce := total / decay.EffectiveWindow(timeConstant, now.Sub(e.started))
-	return total / n * min(1, float64(u.Slots)/atOnce), n
+	concurrency := total / decay.EffectiveWindow(timeConstant, now.Sub(e.started))
+	return total / n * min(1, float64(u.Slots)/concurrency), n
 }
 
-// Median returns the median work time of the upstreams of a service.
+// Median returns the median of the upstreams' observed work times, in seconds, or
+// defaultWorkTimeS if none has enough responses.
 func (e *Estimator) Median(ups []*catalogue.Upstream, now time.Time) float64 {
 	var all []float64
 	for _, u := range ups {
@@ -92,7 +93,7 @@
 	return all[len(all)/2]
 }
 
-// Prune forgets upstreams that keep does not know.
+// Prune drops upstreams that keep rejects.
 func (e *Estimator) Prune(keep func(id string) bool) {
 	for id := range e.byID {
 		if !keep(id) {
