--- /dev/null
+++ b/internal/balance/load.go
@@ -0,0 +1,60 @@
+package balance
+
+import "time"
+
+// peerLoadTTL is how long the other hosts' load counts. It is updated three times a
+// second; after a second without an update the host that aggregates the reports is
+// gone, and this host's own measurements are more accurate.
+const peerLoadTTL = time.Second
+
+// LoadStats is one host's load on an upstream.
+type LoadStats struct {
+	ID string
+	// InFlight is the host's number of requests in flight.
+	InFlight int
+	// Answered is the number of responses since the host's last report, Latency the
+	// sum of their latencies.
+	Answered int
+	Latency  time.Duration
+}
+
+// PeerLoad is the load of the data centre's other hosts on an upstream.
+type PeerLoad struct {
+	ID string
+	// InFlight is the other hosts' number of requests in flight.
+	InFlight int
+	// WorkTime is the estimated time that the upstream works on a request, without
+	// queueing.
+	WorkTime time.Duration
+}
+
+// FlushLoadStats returns this host's load on the upstreams that Pick has returned, and
+// resets their counts of responses. It leaves out upstreams without load.
+func (p *Picker) FlushLoadStats() []LoadStats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var out []LoadStats
+	for id, st := range p.states {
+		stats := LoadStats{ID: id, InFlight: st.limiter.InFlight(), Answered: st.answered, Latency: st.totalLatency}
+		if !st.picked || (stats.InFlight == 0 && stats.Answered == 0) {
+			continue
+		}
+		out = append(out, stats)
+		st.answered, st.totalLatency = 0, 0
+	}
+	return out
+}
+
+// SetPeerLoads stores the load of the data centre's other hosts on each upstream. It
+// skips entries without an ID, which stand for upstreams whose load is unknown.
+func (p *Picker) SetPeerLoads(loads []PeerLoad, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, load := range loads {
+		if load.ID == "" {
+			continue
+		}
+		st := p.state(load.ID)
+		st.peerLoad, st.peerLoadAt = load, now
+	}
+}
--- a/internal/balance/subset_test.go
+++ b/internal/balance/subset_test.go
@@ -16,31 +16,31 @@
 	return ups
 }
 
-// Seventy-nine hosts use a part each of 115 upstreams: none is left out, none is
-// used by several times as many hosts as another, and one that goes changes one of
-// a host's at most, so that what the host knows of the others stays of use.
-func TestSubsetsCoverAllAndChangeLittle(t *testing.T) {
+// 79 hosts use a subset each of 115 upstreams. Every upstream is used by between a third
+// and three times the mean number of hosts, and the removal of one upstream changes at
+// most one of a host's subset: its measurements of the others stay valid.
+func TestSubsetsCoverAllUpstreamsAndAreStable(t *testing.T) {
 	ups := manyUpstreams(115)
 	users := map[string]int{}
 	for h := range 79 {
 		host := fmt.Sprint("host", h)
-		all := subset(host, ups, nearSubset)
+		all := subset(host, ups, localSubsetSize)
 		in := map[string]bool{}
 		for _, u := range all {
 			in[u.ID] = true
 			users[u.ID]++
 		}
 		changed := 0
-		for _, u := range subset(host, ups[1:], nearSubset) {
+		for _, u := range subset(host, ups[1:], localSubsetSize) {
 			if !in[u.ID] {
 				changed++
 			}
 		}
-		if len(all) != nearSubset || changed > 1 {
-			t.Errorf("%s uses %d, %d of them new after one has gone", host, len(all), changed)
+		if len(all) != localSubsetSize || changed > 1 {
+			t.Errorf("%s uses %d upstreams, %d of them new after the removal of one", host, len(all), changed)
 		}
 	}
-	mean := 79 * nearSubset / len(ups)
+	mean := 79 * localSubsetSize / len(ups)
 	for _, u := range ups {
 		if n := users[u.ID]; n < mean/3 || n > mean*3 {
 			t.Errorf("%s is used by %d hosts, the mean is %d", u.ID, n, mean)
@@ -48,38 +48,38 @@
 	}
 }
 
-// All upstreams that a host uses fail, while others of the service do not. Its
-// callers are sent to those.
-func TestOthersAreUsedWhereNoneOfTheSubsetWillDo(t *testing.T) {
-	b, ups, now := NewPicker("h"), manyUpstreams(100), time.Now()
+// All upstreams of a host's subset are ejected. Pick must return upstreams of the service
+// that are outside the subset.
+func TestPickFallsBackOutsideTheSubset(t *testing.T) {
+	p, ups, now := NewPicker("h"), manyUpstreams(100), time.Now()
 	c := Criteria{LocalDataCentre: "dc"}
-	b.Pick(ups, c, now)
+	p.Pick(ups, c, now)
 	mine := map[string]bool{}
-	for _, id := range b.Subset().IDs {
+	for _, id := range p.Subset().IDs {
 		mine[id] = true
-		for range ejectAfter {
-			b.Done(id, Failed, 0, now)
+		for range ejectionThreshold {
+			p.Done(id, Failed, 0, now)
 		}
 	}
-	if len(mine) != nearSubset {
-		t.Fatalf("uses %d", len(mine))
+	if len(mine) != localSubsetSize {
+		t.Fatalf("the subset has %d upstreams", len(mine))
 	}
 	for range 20 {
-		if u := b.Pick(ups, c, now); u == nil || mine[u.ID] {
-			t.Fatalf("%v is chosen", u)
+		if u := p.Pick(ups, c, now); u == nil || mine[u.ID] {
+			t.Fatalf("picked %v", u)
 		}
 	}
 }
 
-// An order of any length names each place once.
-func TestOrderNamesEachPlaceOnce(t *testing.T) {
+// A permutation of any length yields each index once.
+func TestPermutationVisitsEachIndexOnce(t *testing.T) {
 	for n := range 200 {
 		seen := make([]bool, n)
-		o := newOrder(n)
+		o := newPermutation(n)
 		for range n {
 			at := o.next()
 			if seen[at] {
-				t.Fatalf("%d of %d twice", at, n)
+				t.Fatalf("index %d of %d is yielded twice", at, n)
 			}
 			seen[at] = true
 		}
--- /dev/null
+++ b/internal/crashes/correlation.go
@@ -0,0 +1,49 @@
+package crashes
+
+import "time"
+
+const (
+	// correlationWindow is the largest distance in time between failures that count as
+	// one event.
+	correlationWindow = time.Second
+	// minCorrelatedServers is the number of servers from which failures at one moment
+	// count as correlated. Independent broken sends affect fewer servers a second.
+	minCorrelatedServers = 4
+	// maxFailures bounds the failures that are kept. A network cut of a data centre
+	// breaks some hundreds of sends at one host.
+	maxFailures = 2048
+	// failureRetention is how long failures are kept: until the entries of servers that
+	// crashed at the same moment have expired.
+	failureRetention = 10 * time.Second
+)
+
+// failureWindow holds recent crashes and broken sends, to recognise correlated failures.
+// The package comment says why they do not count.
+type failureWindow struct{ failures []Crash }
+
+// add appends a failure and drops those that are too old or too many.
+func (w *failureWindow) add(failure Crash) {
+	for len(w.failures) > 0 && (len(w.failures) >= maxFailures || failure.At.Sub(w.failures[0].At) > failureRetention) {
+		w.failures = w.failures[1:]
+	}
+	w.failures = append(w.failures, failure)
+}
+
+// isCorrelated reports whether the crash is one of many failures with a common cause:
+// failures within correlationWindow affect at least minCorrelatedServers servers, and no
+// more than half of these had a failure with the crash's fingerprint.
+func (w *failureWindow) isCorrelated(crash Crash) bool {
+	servers := map[string]bool{}
+	for _, failure := range w.failures {
+		if distance := failure.At.Sub(crash.At); distance <= correlationWindow && distance >= -correlationWindow {
+			servers[failure.Server] = servers[failure.Server] || failure.Fingerprint == crash.Fingerprint
+		}
+	}
+	matching := 0
+	for _, sameFingerprint := range servers {
+		if sameFingerprint {
+			matching++
+		}
+	}
+	return len(servers) >= minCorrelatedServers && 2*matching <= len(servers)
+}
--- /dev/null
+++ b/internal/crashes/tracker.go
@@ -0,0 +1,325 @@
+package crashes
+
+import (
+	"maps"
+	"slices"
+	"sync"
+	"time"
+)
+
+const (
+	// Limit is the number of servers whose crashes refuse a fingerprint. One or two may
+	// be chance: a crash also breaks the other requests on the server, and a retry of
+	// one may meet a second crash. A higher limit costs all other callers, as the keys
+	// of each crashed server are unserved until its grant expires, some three seconds.
+	Limit = 3
+	// Retention is how long a crash counts. A fingerprint is allowed again a day later:
+	// the servers may run a version by then that survives it; if not, it crashes at most
+	// Limit servers a day.
+	Retention = 24 * time.Hour
+	// maxFingerprints bounds the fingerprints that are tracked. Beyond it the one with
+	// the fewest crashes is evicted.
+	maxFingerprints = 4096
+)
+
+// Crash is the crash of a server while it ran a request.
+type Crash struct {
+	Fingerprint Fingerprint
+	// Server is the ID of the incarnation that crashed.
+	Server string
+	// At is when the crash was observed.
+	At time.Time
+}
+
+// Change is a crash that is added to or deleted from the records that all hosts share.
+type Change struct {
+	Crash
+	// Deleted is set if the crash no longer counts.
+	Deleted bool
+}
+
+type crashKey struct {
+	fingerprint Fingerprint
+	server      string
+}
+
+// Tracker holds the crashes that one host has observed itself or read from other hosts'
+// records. It is safe for concurrent use.
+type Tracker struct {
+	// onRefused is called for each fingerprint that becomes refused.
+	onRefused func(Fingerprint)
+
+	mu sync.Mutex
+	// crashes holds the times of crashes by fingerprint, then by server.
+	crashes map[Fingerprint]map[string]time.Time
+	// pending holds this host's changes that are not written yet.
+	pending  map[crashKey]Change
+	pendingC chan struct{}
+	// recent holds recent failures, to recognise crashes with a common cause.
+	recent failureWindow
+	// trialsAllowed reports whether this host sends trial requests; trials holds their
+	// schedule.
+	trialsAllowed func() bool
+	trials        map[Fingerprint]trial
+}
+
+// NewTracker returns a tracker without crashes. It calls onRefused, unless nil, for each
+// fingerprint that becomes refused, by a crash that this host observed or read.
+func NewTracker(onRefused func(Fingerprint)) *Tracker {
+	if onRefused == nil {
+		onRefused = func(Fingerprint) {}
+	}
+	return &Tracker{onRefused: onRefused, crashes: map[Fingerprint]map[string]time.Time{}, pending: map[crashKey]Change{}, pendingC: make(chan struct{}, 1),
+		trials: map[Fingerprint]trial{}}
+}
+
+// RecordCrash records a crash that this host observed. It returns how many servers have
+// crashed under the fingerprint.
+func (t *Tracker) RecordCrash(crash Crash) int {
+	t.mu.Lock()
+	t.recent.add(crash)
+	count, isNew := t.add(crash)
+	if isNew {
+		t.enqueue(Change{Crash: crash})
+	}
+	t.mu.Unlock()
+	t.notifyIfRefused(crash.Fingerprint, count, isNew)
+	return count
+}
+
+// RecordBrokenSend records a broken send whose server is not known to have crashed. It
+// does not count as a crash, but shows which crashes are correlated failures.
+func (t *Tracker) RecordBrokenSend(broken Crash) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.recent.add(broken)
+}
+
+func (t *Tracker) notifyIfRefused(fp Fingerprint, count int, isNew bool) {
+	if isNew && count == Limit {
+		t.onRefused(fp)
+	}
+}
+
+// RecordSuccess records that a server ran a request with the fingerprint and responded,
+// and deletes the fingerprint's crashes. Without it a page that many callers read is
+// refused because it often runs on the servers that another request crashes. It reports
+// whether there were crashes.
+func (t *Tracker) RecordSuccess(fp Fingerprint) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	times := t.crashes[fp]
+	for server, at := range times {
+		t.enqueue(Change{Crash: Crash{fp, server, at}, Deleted: true})
+	}
+	delete(t.crashes, fp)
+	delete(t.trials, fp)
+	return len(times) > 0
+}
+
+// HasCrashes reports whether there are any crashes. Without them the fingerprints of
+// requests need not be computed.
+func (t *Tracker) HasCrashes() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.crashes) > 0
+}
+
+// IsSuspect reports whether a server has crashed under the fingerprint and no request
+// with it has succeeded since.
+func (t *Tracker) IsSuspect(fp Fingerprint) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.crashes[fp]) > 0
+}
+
+// RefusedFor returns for how much longer a fingerprint is refused; zero if it is not.
+func (t *Tracker) RefusedFor(fp Fingerprint, now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	times := make([]time.Time, 0, len(t.crashes[fp]))
+	for _, at := range t.crashes[fp] {
+		times = append(times, at)
+	}
+	if len(times) < Limit {
+		return 0
+	}
+	// The refusal ends when fewer than Limit crashes are within Retention.
+	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
+	return max(times[Limit-1].Add(Retention).Sub(now), 0)
+}
+
+// RefusedFingerprints returns the refused fingerprints, sorted.
+func (t *Tracker) RefusedFingerprints(now time.Time) []Fingerprint {
+	t.mu.Lock()
+	var all []Fingerprint
+	for fp := range t.crashes {
+		all = append(all, fp)
+	}
+	t.mu.Unlock()
+	all = slices.DeleteFunc(all, func(fp Fingerprint) bool { return t.RefusedFor(fp, now) == 0 })
+	slices.Sort(all)
+	return all
+}
+
+// Counts returns the number of fingerprints with crashes, and how many of them are
+// refused.
+func (t *Tracker) Counts() (known, refused int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, times := range t.crashes {
+		if len(times) >= Limit {
+			refused++
+		}
+	}
+	return len(t.crashes), refused
+}
+
+// CrashedServers returns the servers that have crashed under the fingerprint, sorted.
+func (t *Tracker) CrashedServers(fp Fingerprint) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var out []string
+	for server := range t.crashes[fp] {
+		out = append(out, server)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// Apply applies a change that was read, written by this host or another. It ignores a
+// crash whose deletion by this host is not written yet.
+func (t *Tracker) Apply(c Change) {
+	t.mu.Lock()
+	count, isNew := 0, false
+	if c.Deleted {
+		t.remove(c.Fingerprint, c.Server)
+	} else if !t.pending[crashKey{c.Fingerprint, c.Server}].Deleted {
+		count, isNew = t.add(c.Crash)
+	}
+	t.mu.Unlock()
+	t.notifyIfRefused(c.Fingerprint, count, isNew)
+}
+
+// Replace replaces all crashes by the given ones, and applies this host's pending
+// changes again.
+func (t *Tracker) Replace(crashes []Crash) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	clear(t.crashes)
+	for _, crash := range crashes {
+		t.add(crash)
+	}
+	for k, c := range t.pending {
+		if c.Deleted {
+			t.remove(k.fingerprint, k.server)
+		} else {
+			t.add(c.Crash)
+		}
+	}
+}
+
+// Expire removes crashes that are older than Retention. If publish is set, it also
+// enqueues their deletion from the shared records.
+func (t *Tracker) Expire(now time.Time, publish bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for fp, times := range t.crashes {
+		for server, at := range times {
+			if now.Sub(at) < Retention {
+				continue
+			}
+			t.remove(fp, server)
+			if publish {
+				t.enqueue(Change{Crash: Crash{fp, server, at}, Deleted: true})
+			}
+		}
+	}
+}
+
+// Pending returns the changes that are not written yet. It first drops crashes that
+// proved to be correlated, so it should be called only once the failures of the same
+// moment are recorded.
+func (t *Tracker) Pending() []Change {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := make([]Change, 0, len(t.pending))
+	for k, c := range t.pending {
+		if !c.Deleted && t.recent.isCorrelated(c.Crash) {
+			delete(t.pending, k)
+			t.remove(k.fingerprint, k.server)
+			continue
+		}
+		out = append(out, c)
+	}
+	return out
+}
+
+// PendingC returns a channel that receives a value when there are changes to write.
+func (t *Tracker) PendingC() <-chan struct{} { return t.pendingC }
+
+// MarkWritten records that the changes have been written.
+func (t *Tracker) MarkWritten(changes []Change) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, c := range changes {
+		k := crashKey{c.Fingerprint, c.Server}
+		if t.pending[k] == c {
+			delete(t.pending, k)
+		}
+	}
+}
+
+// add returns how many servers have crashed under the fingerprint, and whether this
+// crash is new.
+func (t *Tracker) add(crash Crash) (count int, isNew bool) {
+	if t.crashes[crash.Fingerprint] == nil {
+		if len(t.crashes) >= maxFingerprints {
+			t.evict(t.evictionVictim())
+		}
+		t.crashes[crash.Fingerprint] = map[string]time.Time{}
+	}
+	_, known := t.crashes[crash.Fingerprint][crash.Server]
+	t.crashes[crash.Fingerprint][crash.Server] = crash.At
+	return len(t.crashes[crash.Fingerprint]), !known
+}
+
+// evictionVictim returns the fingerprint with the fewest crashes; of several, the one
+// whose last crash is the oldest.
+func (t *Tracker) evictionVictim() (victim Fingerprint) {
+	fewest, oldest := 0, time.Time{}
+	for fp, times := range t.crashes {
+		last := slices.MaxFunc(slices.Collect(maps.Values(times)), time.Time.Compare)
+		if victim == "" || len(times) < fewest || (len(times) == fewest && last.Before(oldest)) {
+			victim, fewest, oldest = fp, len(times), last
+		}
+	}
+	return victim
+}
+
+// evict drops a fingerprint with its pending changes. Records of it that are already
+// written stay until they expire.
+func (t *Tracker) evict(fp Fingerprint) {
+	for server := range t.crashes[fp] {
+		delete(t.pending, crashKey{fp, server})
+	}
+	delete(t.crashes, fp)
+	delete(t.trials, fp)
+}
+
+func (t *Tracker) remove(fp Fingerprint, server string) {
+	delete(t.crashes[fp], server)
+	if len(t.crashes[fp]) == 0 {
+		delete(t.crashes, fp)
+		delete(t.trials, fp)
+	}
+}
+
+// enqueue adds a change to the pending ones and wakes the writer.
+func (t *Tracker) enqueue(c Change) {
+	t.pending[crashKey{c.Fingerprint, c.Server}] = c
+	select {
+	case t.pendingC <- struct{}{}:
+	default: // a wake-up is already queued
+	}
+}
