--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// server is an upstream with slots and a queue, in virtual time.
-type server struct {
-	mu     sync.Mutex
-	busy   int
-	queue  []chan struct{}
-	slots  int
-	length int
-	work   time.Duration
+// simUpstream is an upstream with slots and a queue, in virtual time.
+type simUpstream struct {
+	mu         sync.Mutex
+	busy       int
+	queue      []chan struct{}
+	slots      int
+	queueLimit int
+	workTime   time.Duration
 }
 
 // serve works on a request; it reports false if there is no room.
-func (s *server) serve() bool {
+func (s *simUpstream) serve() bool {
 	s.mu.Lock()
 	if s.busy >= s.slots {
-		if len(s.queue) >= s.length {
+		if len(s.queue) >= s.queueLimit {
 			s.mu.Unlock()
 			return false
 		}
@@ -35,7 +35,7 @@
 		s.busy++
 		s.mu.Unlock()
 	}
-	time.Sleep(s.work)
+	time.Sleep(s.workTime)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue) > 0 {
@@ -47,19 +47,19 @@
 	return true
 }
 
-// result counts what callers got.
-type result struct {
+// simResult counts what callers got.
+type simResult struct {
 	mu                   sync.Mutex
 	inTime, late, failed int
 	refusedAfter         []time.Duration
 }
 
-const objective = 600 * time.Millisecond
+const latencyObjective = 600 * time.Millisecond
 
-// play sends perSecond requests a second for d through each of the hosts to
+// simulate sends perSecond requests a second for d through each of the hosts to
 // one server, with admission or without.
-func play(hosts int, perSecond float64, d time.Duration, s *server, admit bool) *result {
-	res := &result{}
+func simulate(hosts int, perSecond float64, d time.Duration, s *simUpstream, admit bool) *simResult {
+	res := &simResult{}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var wg sync.WaitGroup
 	limiters := make([]*Limiter, hosts)
@@ -69,17 +69,17 @@
 	for start := time.Now(); time.Since(start) < d; {
 		time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 		l := limiters[rng.IntN(hosts)]
-		wg.Go(func() { one(l, s, admit, ShareOf(s.slots, 0, hosts), res) })
+		wg.Go(func() { simulateRequest(l, s, admit, ShareOf(s.slots, 0, hosts), res) })
 	}
 	wg.Wait()
 	return res
 }
 
-func one(l *Limiter, s *server, admit bool, share Share, res *result) {
+func simulateRequest(l *Limiter, s *simUpstream, admit bool, share Share, res *simResult) {
 	start := time.Now()
 	var t *Ticket
 	if admit {
-		t = l.Acquire(context.Background(), objective/2, share)
+		t = l.Acquire(context.Background(), latencyObjective/2, share)
 		if t == nil {
 			res.mu.Lock()
 			defer res.mu.Unlock()
@@ -95,7 +95,7 @@
 	switch {
 	case !ok:
 		v = Full
-	case took > objective*8/10:
+	case took > latencyObjective*8/10:
 		v = Late
 	}
 	if t != nil {
@@ -106,7 +106,7 @@
 	switch {
 	case !ok:
 		res.failed++
-	case time.Since(start) > objective:
+	case time.Since(start) > latencyObjective:
 		res.late++
 	default:
 		res.inTime++
@@ -117,18 +117,18 @@
 // as they come, the upstream's queue stays full and nearly every answer is
 // late. With limits most of what it works on is answered in time, and who is
 // refused is refused soon.
-func TestOverloadIsServedInTime(t *testing.T) {
+func TestOverloadedUpstreamAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// 3 slots at 150 ms serve 20 a second.
-		plain := play(12, 27, time.Minute, &server{slots: 3, length: 12, work: 150 * time.Millisecond}, false)
-		limited := play(12, 27, time.Minute, &server{slots: 3, length: 12, work: 150 * time.Millisecond}, true)
+		plain := simulate(12, 27, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, false)
+		limited := simulate(12, 27, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, true)
 		t.Logf("without limits: %d in time, %d late, %d refused", plain.inTime, plain.late, plain.failed)
 		t.Logf("with limits: %d in time, %d late, %d refused", limited.inTime, limited.late, limited.failed)
 		if limited.inTime < 900 || limited.inTime < 2*plain.inTime {
 			t.Errorf("%d of at most 1200 in time; %d without limits", limited.inTime, plain.inTime)
 		}
 		for _, d := range limited.refusedAfter {
-			if d > objective/2 {
+			if d > latencyObjective/2 {
 				t.Fatalf("refused only after %v", d)
 			}
 		}
@@ -139,9 +139,9 @@
 // sees one request in forty seconds. If every host's limit could shrink to a
 // quarter only, as a dozen hosts' may, each of their requests would be let
 // through, and the upstream's queue of sixty would stay full.
-func TestOverloadOfALargeFleetIsServedInTime(t *testing.T) {
+func TestOverloadedUpstreamOfALargeFleetAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := play(1000, 27, 4*time.Minute, &server{slots: 3, length: 60, work: 150 * time.Millisecond}, true)
+		r := simulate(1000, 27, 4*time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
 		t.Logf("%d in time, %d late, %d refused", r.inTime, r.late, r.failed)
 		if r.inTime < 1000 {
 			t.Errorf("%d of at most 4800 in time, %d late", r.inTime, r.late)
@@ -150,9 +150,9 @@
 }
 
 // The same fleet lets a load through that the upstream can carry.
-func TestUsualLoadOfALargeFleetIsLetThrough(t *testing.T) {
+func TestNormalLoadOfALargeFleetIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := play(91, 12, time.Minute, &server{slots: 3, length: 60, work: 150 * time.Millisecond}, true)
+		r := simulate(91, 12, time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
 		if total := r.inTime + r.late + r.failed; r.failed > total/100 {
 			t.Errorf("%d of %d refused", r.failed, total)
 		}
@@ -160,9 +160,9 @@
 }
 
 // Under a load that the upstream can carry nobody is refused.
-func TestUsualLoadIsLetThrough(t *testing.T) {
+func TestNormalLoadIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := play(12, 12, time.Minute, &server{slots: 3, length: 12, work: 150 * time.Millisecond}, true)
+		r := simulate(12, 12, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, true)
 		if total := r.inTime + r.late + r.failed; r.failed > total/100 {
 			t.Errorf("%d of %d refused", r.failed, total)
 		}
@@ -170,15 +170,15 @@
 }
 
 // After an overload has passed, the limits grow back within seconds.
-func TestLimitsRecover(t *testing.T) {
+func TestLimitRecoversAfterOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter()
 		for range 20 {
 			tk := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
-			time.Sleep(calm)
+			time.Sleep(minDecreaseInterval)
 			tk.Done(Full, 0)
 		}
-		if l.limit != leastLimit {
+		if l.limit != minLimit {
 			t.Fatalf("limit %v after 20 refusals", l.limit)
 		}
 		start := time.Now()
@@ -194,7 +194,7 @@
 }
 
 // A caller that leaves while it waits gives its turn to the next one.
-func TestWaiterThatLeavesLosesNoTurn(t *testing.T) {
+func TestCancelledWaiterPassesOnItsTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter()
 		first := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -8,7 +8,7 @@
 
 // The state of a connection is told while another goroutine waits to read from
 // it, as net/http does for the end of a caller's connection.
-func TestAt(t *testing.T) {
+func TestConnState(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -15,67 +15,67 @@
 }
 
 const (
-	// leastBurst is how many requests at least may be sent at once after a pause.
-	leastBurst = 1.0
-	// burst is that number for higher rates, as the time in which the rate brings
+	// minBurst is how many requests at least may be sent at once after a pause.
+	minBurst = 1.0
+	// burstWindow is that number for higher rates, as the time in which the rate brings
 	// as many.
-	burst = 250 * time.Millisecond
-	// unusedFor is how long after its last use a bucket is kept. By then it is full
+	burstWindow = 250 * time.Millisecond
+	// bucketIdleTimeout is how long after its last use a bucket is kept. By then it is full
 	// again.
-	unusedFor = 30 * time.Second
+	bucketIdleTimeout = 30 * time.Second
 	// maxBuckets is how many buckets are kept at most.
 	maxBuckets = 4096
 )
 
 // bucket holds the leave that has gathered for one upstream.
 type bucket struct {
-	requests float64
-	at       time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
 // Allocator divides upstreams' limits among the hosts that ask. It is safe for
 // concurrent use.
 type Allocator struct {
-	mu sync.Mutex
-	by map[string]*bucket
+	mu      sync.Mutex
+	buckets map[string]*bucket
 }
 
 // NewAllocator returns an allocator that has given no leave yet.
-func NewAllocator() *Allocator { return &Allocator{by: map[string]*bucket{}} }
+func NewAllocator() *Allocator { return &Allocator{buckets: map[string]*bucket{}} }
 
 // Take gives leave for up to want requests to an upstream that takes perSecond. A
 // new bucket holds one request only: another allocator may have emptied its own
 // just before.
 func (a *Allocator) Take(upstream string, perSecond float64, want int, now time.Time) Permit {
 	if perSecond <= 0 {
-		return Permit{Wait: longest}
+		return Permit{Wait: maxInterval}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	b := a.by[upstream]
+	b := a.buckets[upstream]
 	if b == nil {
 		a.prune(now)
-		b = &bucket{requests: 1, at: now}
-		a.by[upstream] = b
+		b = &bucket{tokens: 1, updatedAt: now}
+		a.buckets[upstream] = b
 	}
-	b.requests = min(b.requests+perSecond*now.Sub(b.at).Seconds(), max(leastBurst, perSecond*burst.Seconds()))
-	b.at = now
-	n := min(int(b.requests), want)
-	b.requests -= float64(n)
+	b.tokens = min(b.tokens+perSecond*now.Sub(b.updatedAt).Seconds(), max(minBurst, perSecond*burstWindow.Seconds()))
+	b.updatedAt = now
+	n := min(int(b.tokens), want)
+	b.tokens -= float64(n)
 	if n == 0 {
-		return Permit{Wait: time.Duration((1 - b.requests) / perSecond * float64(time.Second))}
+		return Permit{Wait: time.Duration((1 - b.tokens) / perSecond * float64(time.Second))}
 	}
 	return Permit{Requests: n}
 }
 
 // prune forgets buckets that nobody uses any more.
 func (a *Allocator) prune(now time.Time) {
-	if len(a.by) >= maxBuckets {
-		clear(a.by)
+	if len(a.buckets) >= maxBuckets {
+		clear(a.buckets)
 	}
-	for id, b := range a.by {
-		if now.Sub(b.at) > unusedFor {
-			delete(a.by, id)
+	for id, b := range a.buckets {
+		if now.Sub(b.updatedAt) > bucketIdleTimeout {
+			delete(a.buckets, id)
 		}
 	}
 }
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -22,7 +22,7 @@
 // BenchmarkLimiterClosed is a host's cost of each request whose upstream has been
 // found closed.
 func BenchmarkLimiterClosed(b *testing.B) {
-	l := NewLimiter(reported, func(context.Context, string, float64, int) (Permit, error) { return Permit{Wait: time.Hour}, nil })
+	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (Permit, error) { return Permit{Wait: time.Hour}, nil })
 	for b.Loop() {
 		l.Take(b.Context(), "u", 5)
 	}
--- a/internal/ratelimit/bounds.go
+++ b/internal/ratelimit/bounds.go
@@ -14,19 +14,19 @@
 
 // maxOvershoot is the greatest probability, in any one window, that hosts which
 // each keep to their own share exceed the bound together.
-const maxOvershoot = 1e-5
+const maxExcessProbability = 1e-5
 
 // UncoordinatedRate returns the highest rate, in requests a second, at which independent hosts
 // may send together to an upstream that takes perSecond.
 func (b Bounds) UncoordinatedRate(perSecond float64) float64 {
 	window := b.Window.Seconds()
 	most := int(perSecond*window*b.Factor + b.Slack)
-	if poissonTail(perSecond*window, most) <= maxOvershoot {
+	if poissonTail(perSecond*window, most) <= maxExcessProbability {
 		return perSecond
 	}
 	low, high := 0.0, perSecond
-	for range rateSteps {
-		if mid := (low + high) / 2; poissonTail(mid*window, most) <= maxOvershoot {
+	for range bisectionSteps {
+		if mid := (low + high) / 2; poissonTail(mid*window, most) <= maxExcessProbability {
 			low = mid
 		} else {
 			high = mid
@@ -36,12 +36,12 @@
 }
 
 // rateSteps halve the rate's uncertainty to a thousandth.
-const rateSteps = 10
+const bisectionSteps = 10
 
 // poissonTail is the probability of more than most events where so many are
 // expected.
 func poissonTail(expected float64, most int) float64 {
-	if expected > largeMean {
+	if expected > normalApproximationMean {
 		return normalTail(expected, most)
 	}
 	term, sum := math.Exp(-expected), 0.0
@@ -54,7 +54,7 @@
 
 // largeMean is the mean above which exp(-mean) underflows soon and the normal
 // approximation is close.
-const largeMean = 500.0
+const normalApproximationMean = 500.0
 
 func normalTail(expected float64, most int) float64 {
 	return math.Erfc((float64(most)+0.5-expected)/math.Sqrt(2*expected)) / 2
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 // reported are the bounds of a limit that an upstream reports.
-var reported = Bounds{Factor: 1.5, Slack: 5, Window: 4 * time.Second}
+var reportedBounds = Bounds{Factor: 1.5, Slack: 5, Window: 4 * time.Second}
 
 var errUnreachable = errors.New("planner unreachable")
 
@@ -21,13 +21,13 @@
 	limit    float64
 	limiters []*Limiter
 	planner  *Allocator
-	// alone reports whether a host does not reach the planner.
-	alone func(host int) bool
-	sent  []time.Time
+	// cutOff reports whether a host does not reach the planner.
+	cutOff func(host int) bool
+	sent   []time.Time
 }
 
 func newFleetSim(hosts int, limit float64, seed uint64) *fleetSim {
-	s := &fleetSim{rnd: rand.New(rand.NewPCG(seed, 0)), limit: limit, planner: NewAllocator(), alone: func(int) bool { return false }}
+	s := &fleetSim{rnd: rand.New(rand.NewPCG(seed, 0)), limit: limit, planner: NewAllocator(), cutOff: func(int) bool { return false }}
 	for i := range hosts {
 		s.limiters = append(s.limiters, s.newLimiter(i))
 	}
@@ -35,8 +35,8 @@
 }
 
 func (s *fleetSim) newLimiter(host int) *Limiter {
-	l := NewLimiter(reported, func(_ context.Context, upstream string, perSecond float64, want int) (Permit, error) {
-		if s.alone(host) {
+	l := NewLimiter(reportedBounds, func(_ context.Context, upstream string, perSecond float64, want int) (Permit, error) {
+		if s.cutOff(host) {
 			return Permit{}, errUnreachable
 		}
 		return s.planner.Take(upstream, perSecond, want, time.Now()), nil
@@ -60,14 +60,14 @@
 // check reports windows with more requests than the bound.
 func (s *fleetSim) check(t *testing.T) {
 	t.Helper()
-	most := int(s.limit*reported.Window.Seconds()*reported.Factor + reported.Slack)
+	most := int(s.limit*reportedBounds.Window.Seconds()*reportedBounds.Factor + reportedBounds.Slack)
 	first := 0
 	for i, at := range s.sent {
-		for at.Sub(s.sent[first]) >= reported.Window {
+		for at.Sub(s.sent[first]) >= reportedBounds.Window {
 			first++
 		}
 		if n := i - first + 1; n > most {
-			t.Fatalf("%d requests within %v, %d allowed", n, reported.Window, most)
+			t.Fatalf("%d requests within %v, %d allowed", n, reportedBounds.Window, most)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 
 // Hosts that reach the planner must keep to the limit together, also when callers
 // come in bursts after a pause, and must make use of it.
-func TestFleetKeepsAndUsesALimit(t *testing.T) {
+func TestFleetKeepsToAndUsesTheLimit(t *testing.T) {
 	eachFleet(t, func(t *testing.T, s *fleetSim) {
 		const d = 60 * time.Second
 		s.run(t, 7*s.limit, d)
@@ -102,20 +102,20 @@
 
 // While the planner changes, is lost, or is reached by some of the hosts only, and
 // while hosts start again, the shares must still add up to no more than the limit.
-func TestFleetKeepsALimitWithoutItsPlanner(t *testing.T) {
+func TestFleetKeepsToTheLimitWithoutAPlanner(t *testing.T) {
 	eachFleet(t, func(t *testing.T, s *fleetSim) {
 		demand := 7 * s.limit
 		s.run(t, demand, 10*time.Second)
-		s.alone = func(host int) bool { return host%2 == 0 }
+		s.cutOff = func(host int) bool { return host%2 == 0 }
 		s.run(t, demand, 20*time.Second)
-		s.alone = func(int) bool { return true }
+		s.cutOff = func(int) bool { return true }
 		s.run(t, demand, 20*time.Second)
-		s.alone = func(int) bool { return false }
+		s.cutOff = func(int) bool { return false }
 		for range 3 {
 			s.planner = NewAllocator()
 			s.run(t, demand, 10*time.Second)
 		}
-		s.alone = func(int) bool { return true }
+		s.cutOff = func(int) bool { return true }
 		for i := range len(s.limiters) / 2 {
 			s.limiters[i] = s.newLimiter(i)
 		}
@@ -126,8 +126,8 @@
 
 // Without an answer of the planner's and a known number of hosts nothing is sent,
 // and the caller is told when to come back.
-func TestHostThatKnowsNothingSendsNothing(t *testing.T) {
-	l := NewLimiter(reported, func(context.Context, string, float64, int) (Permit, error) { return Permit{}, errUnreachable })
+func TestHostWithoutPlannerOrHostCountSendsNothing(t *testing.T) {
+	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (Permit, error) { return Permit{}, errUnreachable })
 	for range 10 {
 		if ok, wait := l.Take(t.Context(), "u", 5); ok || wait <= 0 {
 			t.Fatalf("sent: %v, wait %v", ok, wait)
@@ -136,13 +136,13 @@
 }
 
 // Buckets of upstreams that nobody asks for any more are dropped.
-func TestAllocatorForgets(t *testing.T) {
+func TestAllocatorPrunesIdleBuckets(t *testing.T) {
 	a, now := NewAllocator(), time.Unix(1000, 0)
 	for i := range 100 {
 		a.Take(fmt.Sprint(i), 1, 1, now)
 	}
-	a.Take("new", 1, 1, now.Add(2*unusedFor))
-	if len(a.by) != 1 {
-		t.Errorf("%d buckets kept, want 1", len(a.by))
+	a.Take("new", 1, 1, now.Add(2*bucketIdleTimeout))
+	if len(a.buckets) != 1 {
+		t.Errorf("%d buckets kept, want 1", len(a.buckets))
 	}
 }
--- a/internal/ratelimit/gate.go
+++ b/internal/ratelimit/interval.go
@@ -12,8 +12,8 @@
 // may be sent at a random time within the first gap, so that independent hosts do
 // not begin together. Its zero value is of an upstream that never had a limit.
 type IntervalLimiter struct {
-	// until is the end of the limit that next was drawn for.
-	until, next time.Time
+	// limitUntil is the end of the limit that next was drawn for.
+	limitUntil, nextAllowed time.Time
 }
 
 // Allows reports whether a request may be sent at now to an upstream whose limit
@@ -22,13 +22,13 @@
 	if !now.Before(until) {
 		return true
 	}
-	if !now.Before(g.until) {
+	if !now.Before(g.limitUntil) {
 		// Another limit. Its end may change a little with each report, which does
 		// not begin a new one.
-		g.next = now.Add(time.Duration(rand.Float64() * float64(share.gap())))
+		g.nextAllowed = now.Add(time.Duration(rand.Float64() * float64(share.interval())))
 	}
-	g.until = until
-	return !now.Before(g.next)
+	g.limitUntil = until
+	return !now.Before(g.nextAllowed)
 }
 
 // Take counts a request that is sent now, and reports whether it may be.
@@ -37,15 +37,15 @@
 		return false
 	}
 	if now.Before(until) {
-		g.next = now.Add(share.gap())
+		g.nextAllowed = now.Add(share.interval())
 	}
 	return true
 }
 
 // longest bounds the gap between a host's requests.
-const longest = time.Hour
+const maxInterval = time.Hour
 
-// gap is the least time between two requests.
-func (s HostRate) gap() time.Duration {
-	return time.Duration(min(float64(time.Second)/float64(s), float64(longest)))
+// interval is the least time between two requests.
+func (s HostRate) interval() time.Duration {
+	return time.Duration(min(float64(time.Second)/float64(s), float64(maxInterval)))
 }
--- a/internal/ratelimit/gate_test.go
+++ b/internal/ratelimit/interval_test.go
@@ -54,7 +54,7 @@
 
 // A gate is shut for a host that has no share, and open where nothing is cold or
 // nothing bounds it.
-func TestGate(t *testing.T) {
+func TestIntervalLimiter(t *testing.T) {
 	now := time.Now()
 	cold := now.Add(time.Second)
 	for _, c := range []struct {
@@ -70,14 +70,14 @@
 }
 
 // The rate leaves room for chance, and is never over what the upstream takes.
-func TestRate(t *testing.T) {
+func TestUncoordinatedRate(t *testing.T) {
 	for _, c := range []struct {
 		bounds    Bounds
 		perSecond float64
 	}{{Bounds{1.5, 8, time.Second}, 4.4}, {Bounds{1, 0, time.Second}, 4}, {Bounds{1, 0, time.Second}, 0.5}, {Bounds{2, 100, time.Second}, 10}} {
 		rate := c.bounds.UncoordinatedRate(c.perSecond)
 		tail := poissonTail(rate, int(c.perSecond*c.bounds.Factor+c.bounds.Slack))
-		if rate > c.perSecond || tail > maxOvershoot || math.IsNaN(rate) {
+		if rate > c.perSecond || tail > maxExcessProbability || math.IsNaN(rate) {
 			t.Errorf("%+v at %v a second: rate %v, chance of too many %v", c.bounds, c.perSecond, rate, tail)
 		}
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -30,20 +30,20 @@
 
 // kept is how many records of a stream are kept for hosts that are behind;
 // those further behind get the newest of each key.
-const kept = 512
+const maxRecentRecords = 512
 
 // Streams are the streams that are relayed.
 var Streams = []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams, metastore.StreamOwnership, metastore.StreamCrashes}
 
 type stream struct {
-	known  bool
-	next   int64
-	newest map[string]metastore.Record
-	recent []metastore.Record
+	initialized bool
+	nextOffset  int64
+	newest      map[string]metastore.Record
+	recent      []metastore.Record
 	// tables are the decoded records of the ownership stream.
-	tables tables
-	// wanted is set while a change did not apply to what this host has.
-	wanted bool
+	tables tablesByKey
+	// needsFullTables is set while a change did not apply to what this host has.
+	needsFullTables bool
 	// currentAt is when the log service last said that next is its end.
 	currentAt time.Time
 }
@@ -51,17 +51,17 @@
 // Replica is a copy of the streams. It is safe for concurrent use.
 type Replica struct {
 	mu      sync.Mutex
-	by      map[metastore.Stream]*stream
+	streams map[metastore.Stream]*stream
 	changed chan struct{}
-	// brokenAt is when the log service last failed this host.
-	brokenAt time.Time
+	// logFailedAt is when the log service last failed this host.
+	logFailedAt time.Time
 }
 
 // NewReplica returns an empty copy. Nothing is known of the log service before.
 func NewReplica() *Replica {
-	c := &Replica{by: map[metastore.Stream]*stream{}, changed: make(chan struct{}), brokenAt: time.Now()}
+	c := &Replica{streams: map[metastore.Stream]*stream{}, changed: make(chan struct{}), logFailedAt: time.Now()}
 	for _, s := range Streams {
-		c.by[s] = &stream{next: -1, newest: map[string]metastore.Record{}}
+		c.streams[s] = &stream{nextOffset: -1, newest: map[string]metastore.Record{}}
 	}
 	return c
 }
@@ -71,7 +71,7 @@
 func (c *Replica) NextOffset(s metastore.Stream) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.by[s].next
+	return c.streams[s].nextOffset
 }
 
 // FetchOffset is Next as it is told to the host that is followed: -1 if this one
@@ -79,10 +79,10 @@
 func (c *Replica) FetchOffset(s metastore.Stream) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.by[s].wanted {
+	if c.streams[s].needsFullTables {
 		return -1
 	}
-	return c.by[s].next
+	return c.streams[s].nextOffset
 }
 
 // Apply takes a batch in and returns the part of it that is new, or nil. A
@@ -91,33 +91,33 @@
 func (c *Replica) Apply(b Batch) *Batch {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	st := c.by[b.Stream]
+	st := c.streams[b.Stream]
 	if b.Reset {
-		if st.known && b.NextOffset < st.next {
+		if st.initialized && b.NextOffset < st.nextOffset {
 			return nil
 		}
 		st.reset(b)
-		c.wake()
+		c.notify()
 		return &b
 	}
 	fresh := b.Records
-	for len(fresh) > 0 && fresh[0].Offset < st.next {
+	for len(fresh) > 0 && fresh[0].Offset < st.nextOffset {
 		fresh = fresh[1:]
 	}
-	if !st.known || len(fresh) == 0 || fresh[0].Offset != st.next {
+	if !st.initialized || len(fresh) == 0 || fresh[0].Offset != st.nextOffset {
 		return nil
 	}
 	st.add(fresh)
 	if b.Stream == metastore.StreamOwnership {
 		st.recent = nil // only the newest is of use
 	}
-	c.wake()
-	return &Batch{Stream: b.Stream, Records: fresh, NextOffset: st.next}
+	c.notify()
+	return &Batch{Stream: b.Stream, Records: fresh, NextOffset: st.nextOffset}
 }
 
 func (st *stream) reset(b Batch) {
-	st.known, st.wanted = true, false
-	st.next = b.NextOffset
+	st.initialized, st.needsFullTables = true, false
+	st.nextOffset = b.NextOffset
 	st.recent = nil
 	clear(st.newest)
 	for _, r := range b.Records {
@@ -132,15 +132,15 @@
 		} else {
 			st.newest[r.Key] = r
 		}
-		st.next = r.Offset + 1
+		st.nextOffset = r.Offset + 1
 	}
 	st.recent = append(st.recent, recs...)
-	if n := len(st.recent) - kept; n > 0 {
+	if n := len(st.recent) - maxRecentRecords; n > 0 {
 		st.recent = append([]metastore.Record(nil), st.recent[n:]...)
 	}
 }
 
-func (c *Replica) wake() {
+func (c *Replica) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -149,7 +149,7 @@
 func (c *Replica) MarkCurrent(s metastore.Stream, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if st := c.by[s]; at.After(st.currentAt) {
+	if st := c.streams[s]; at.After(st.currentAt) {
 		st.currentAt = at
 	}
 }
@@ -162,7 +162,7 @@
 	defer c.mu.Unlock()
 	oldest := time.Duration(0)
 	for _, s := range []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams} {
-		oldest = max(oldest, now.Sub(c.by[s].currentAt))
+		oldest = max(oldest, now.Sub(c.streams[s].currentAt))
 	}
 	return oldest
 }
@@ -171,21 +171,21 @@
 func (c *Replica) CurrentAt(s metastore.Stream) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.by[s].currentAt
+	return c.streams[s].currentAt
 }
 
 // RecordLogFailure notes that the log service failed this host at the time.
 func (c *Replica) RecordLogFailure(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.brokenAt = at
+	c.logFailedAt = at
 }
 
 // LogReachableFor returns for how long the log service has not failed this host.
 func (c *Replica) LogReachableFor(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.brokenAt)
+	return now.Sub(c.logFailedAt)
 }
 
 // Fetch returns what a host at the given positions lacks. It waits up to
@@ -194,7 +194,7 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
-		out, changed := c.lacking(positions)
+		out, changed := c.missing(positions)
 		if len(out) > 0 {
 			return out
 		}
@@ -208,33 +208,33 @@
 	}
 }
 
-func (c *Replica) lacking(positions map[metastore.Stream]int64) ([]Batch, <-chan struct{}) {
+func (c *Replica) missing(positions map[metastore.Stream]int64) ([]Batch, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Batch
 	for _, s := range Streams {
-		st := c.by[s]
+		st := c.streams[s]
 		at, asked := positions[s]
-		if asked && st.known && at < st.next {
-			out = append(out, st.from(s, at))
+		if asked && st.initialized && at < st.nextOffset {
+			out = append(out, st.since(s, at))
 		}
 	}
 	return out, c.changed
 }
 
-// from returns the records from offset at on, or the newest of each key if
+// since returns the records from offset at on, or the newest of each key if
 // those are no longer all kept. Of the ownership stream only the newest is of
 // use, and each holds a whole table, so that what changed in it is returned
 // where its host's table is known.
-func (st *stream) from(s metastore.Stream, at int64) Batch {
-	b := Batch{Stream: s, NextOffset: st.next}
+func (st *stream) since(s metastore.Stream, at int64) Batch {
+	b := Batch{Stream: s, NextOffset: st.nextOffset}
 	if s == metastore.StreamOwnership {
-		if b.Changes = st.changes(at); b.Changes != nil {
+		if b.Changes = st.changesSince(at); b.Changes != nil {
 			return b
 		}
 		st.encodeNewest()
 	}
-	first := st.next - int64(len(st.recent))
+	first := st.nextOffset - int64(len(st.recent))
 	if at >= first && at >= 0 && s != metastore.StreamOwnership {
 		b.Records = append(b.Records, st.recent[at-first:]...)
 		return b
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -16,7 +16,7 @@
 
 const ups = metastore.StreamUpstreams
 
-func record(offset int64, key, value string) metastore.Record {
+func newRecord(offset int64, key, value string) metastore.Record {
 	r := metastore.Record{Key: key, Offset: offset}
 	if value != "" {
 		r.Value = []byte(value)
@@ -24,12 +24,12 @@
 	return r
 }
 
-// content returns what a copy believes, by key.
-func content(c *Replica) map[string]string {
+// valuesByKey returns what a copy believes, by key.
+func valuesByKey(c *Replica) map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[string]string{}
-	for k, r := range c.by[ups].newest {
+	for k, r := range c.streams[ups].newest {
 		out[k] = string(r.Value)
 	}
 	return out
@@ -38,7 +38,7 @@
 // A host follows the planner's copy while the log grows, forgets its history
 // and while batches from two sources overlap, repeat and come out of order.
 // Whenever it has caught up it believes what the log says.
-func TestFollowersCopyEndsAsTheLog(t *testing.T) {
+func TestFollowerConvergesToTheLog(t *testing.T) {
 	params := gopter.DefaultTestParameters()
 	params.MinSuccessfulTests = 100
 	p := gopter.NewProperties(params)
@@ -56,7 +56,7 @@
 				if rng.IntN(3) > 0 {
 					value = fmt.Sprint(rng.IntN(1000))
 				}
-				r := record(int64(len(log)), key, value)
+				r := newRecord(int64(len(log)), key, value)
 				log = append(log, r)
 				delete(truth, key)
 				if value != "" {
@@ -71,7 +71,7 @@
 			case 4: // the planner lost the history and read the newest
 				var recs []metastore.Record
 				for k, v := range truth {
-					recs = append(recs, record(0, k, v))
+					recs = append(recs, newRecord(0, k, v))
 				}
 				hub.Apply(Batch{Stream: ups, Reset: true, Records: recs, NextOffset: int64(len(log))})
 			default:
@@ -83,7 +83,7 @@
 		for _, b := range hub.Fetch(context.Background(), map[metastore.Stream]int64{ups: follower.NextOffset(ups)}, time.Nanosecond) {
 			follower.Apply(b)
 		}
-		if got := content(follower); fmt.Sprint(got) != fmt.Sprint(truth) {
+		if got := valuesByKey(follower); fmt.Sprint(got) != fmt.Sprint(truth) {
 			return fmt.Sprintf("believes %v, the log says %v", got, truth), nil
 		}
 		return "", nil
@@ -92,12 +92,12 @@
 }
 
 // A host that waits is answered as soon as something is new.
-func TestSinceWakesUp(t *testing.T) {
+func TestFetchReturnsWhenRecordsArrive(t *testing.T) {
 	c := NewReplica()
 	c.Apply(Batch{Stream: ups, Reset: true, NextOffset: 5})
 	go func() {
 		time.Sleep(20 * time.Millisecond)
-		c.Apply(Batch{Stream: ups, Records: []metastore.Record{record(5, "u1", "x")}, NextOffset: 6})
+		c.Apply(Batch{Stream: ups, Records: []metastore.Record{newRecord(5, "u1", "x")}, NextOffset: 6})
 	}()
 	start := time.Now()
 	got := c.Fetch(context.Background(), map[metastore.Stream]int64{ups: 5}, 5*time.Second)
@@ -108,11 +108,11 @@
 
 // A host that is further behind than the records kept gets the newest of
 // each key.
-func TestFarBehindGetsTheNewest(t *testing.T) {
+func TestFetchBeyondRecentRecordsResets(t *testing.T) {
 	c := NewReplica()
 	c.Apply(Batch{Stream: ups, Reset: true, NextOffset: 0})
-	for i := range int64(kept + 10) {
-		c.Apply(Batch{Stream: ups, Records: []metastore.Record{record(i, "u1", fmt.Sprint(i))}, NextOffset: i + 1})
+	for i := range int64(maxRecentRecords + 10) {
+		c.Apply(Batch{Stream: ups, Records: []metastore.Record{newRecord(i, "u1", fmt.Sprint(i))}, NextOffset: i + 1})
 	}
 	got := c.Fetch(context.Background(), map[metastore.Stream]int64{ups: 3}, time.Nanosecond)
 	if len(got) != 1 || !got[0].Reset || len(got[0].Records) != 1 {
@@ -139,12 +139,12 @@
 }
 
 // A host that is several ownership records behind is sent the newest only.
-func TestOwnershipIsSentOnce(t *testing.T) {
+func TestFetchSendsOnlyTheNewestOwnershipRecord(t *testing.T) {
 	c, follower := NewReplica(), NewReplica()
 	own := metastore.StreamOwnership
 	c.Apply(Batch{Stream: own, Reset: true, NextOffset: 0})
 	for i := range int64(5) {
-		c.Apply(Batch{Stream: own, Records: []metastore.Record{record(i, "svc", fmt.Sprint("table ", i))}, NextOffset: i + 1})
+		c.Apply(Batch{Stream: own, Records: []metastore.Record{newRecord(i, "svc", fmt.Sprint("table ", i))}, NextOffset: i + 1})
 	}
 	got := c.Fetch(context.Background(), map[metastore.Stream]int64{own: 1}, time.Nanosecond)
 	if len(got) != 1 || len(got[0].Records) != 1 || string(got[0].Records[0].Value) != "table 4" {
--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -18,21 +18,21 @@
 // keptTables is how many tables of a service are kept to tell changes from. A
 // host that follows asks three times a second, and a planner records seven
 // tables a second at most for load.
-const keptTables = 16
+const maxTableVersions = 16
 
-// tables are decoded records of the ownership stream, by key.
-type tables map[string]*versions
+// tablesByKey are decoded records of the ownership stream, by key.
+type tablesByKey map[string]*tableVersions
 
-// versions are the last tables of one service.
-type versions struct {
-	// byAge is in the order of offsets.
-	byAge []version
-	// made caches the changes to the newest by the offset of their base: all
+// tableVersions are the last tables of one service.
+type tableVersions struct {
+	// byOffset is in the order of offsets.
+	byOffset []tableVersion
+	// encodedChanges caches the changes to the newest by the offset of their base: all
 	// followers of a host ask for the same few.
-	made map[int64][]byte
+	encodedChanges map[int64][]byte
 }
 
-type version struct {
+type tableVersion struct {
 	offset int64
 	table  *ownership.Table
 }
@@ -42,24 +42,24 @@
 func (c *Replica) KeepTable(offset int64, t *ownership.Table) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.by[metastore.StreamOwnership].keepTable(offset, t)
+	c.streams[metastore.StreamOwnership].keepTable(offset, t)
 }
 
 func (st *stream) keepTable(offset int64, t *ownership.Table) {
 	if st.tables == nil {
-		st.tables = tables{}
+		st.tables = tablesByKey{}
 	}
 	v := st.tables[t.Service]
 	if v == nil {
-		v = &versions{}
+		v = &tableVersions{}
 		st.tables[t.Service] = v
 	}
-	if n := len(v.byAge); n > 0 && v.byAge[n-1].offset >= offset {
+	if n := len(v.byOffset); n > 0 && v.byOffset[n-1].offset >= offset {
 		return
 	}
-	v.byAge = append(v.byAge, version{offset, t})
-	v.byAge = v.byAge[max(len(v.byAge)-keptTables, 0):]
-	v.made = map[int64][]byte{}
+	v.byOffset = append(v.byOffset, tableVersion{offset, t})
+	v.byOffset = v.byOffset[max(len(v.byOffset)-maxTableVersions, 0):]
+	v.encodedChanges = map[int64][]byte{}
 }
 
 // ApplyTables takes in tables that changes made, with the offsets of their
@@ -68,17 +68,17 @@
 func (c *Replica) ApplyTables(next int64, made map[int64]*ownership.Table) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	st := c.by[metastore.StreamOwnership]
-	if !st.known || next <= st.next {
+	st := c.streams[metastore.StreamOwnership]
+	if !st.initialized || next <= st.nextOffset {
 		return false
 	}
 	for offset, t := range made {
 		st.newest[t.Service] = metastore.Record{Key: t.Service, Offset: offset}
 		st.keepTable(offset, t)
 	}
-	st.next = next
+	st.nextOffset = next
 	st.recent = nil
-	c.wake()
+	c.notify()
 	return true
 }
 
@@ -88,18 +88,18 @@
 func (c *Replica) RequestFullTables() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.by[metastore.StreamOwnership].wanted = true
+	c.streams[metastore.StreamOwnership].needsFullTables = true
 }
 
-// changes returns what turns the tables of a host that has read up to at into
+// changesSince returns what turns the tables of a host that has read up to at into
 // the newest, or nil if those it has are not known.
-func (st *stream) changes(at int64) []Change {
+func (st *stream) changesSince(at int64) []Change {
 	var out []Change
 	for key, r := range st.newest {
 		if r.Offset < at {
 			continue
 		}
-		data := st.tables[key].change(at, r.Offset)
+		data := st.tables[key].changeSince(at, r.Offset)
 		if data == nil {
 			return nil
 		}
@@ -108,30 +108,30 @@
 	return out
 }
 
-// change returns what turns the last table before offset at into that at
+// changeSince returns what turns the last table before offset at into that at
 // offset to, or nil if either is not kept.
-func (v *versions) change(at, to int64) []byte {
-	if v == nil || len(v.byAge) == 0 {
+func (v *tableVersions) changeSince(at, to int64) []byte {
+	if v == nil || len(v.byOffset) == 0 {
 		return nil
 	}
-	newest := v.byAge[len(v.byAge)-1]
-	var base *version
-	for i := range v.byAge {
-		if v.byAge[i].offset < at {
-			base = &v.byAge[i]
+	newest := v.byOffset[len(v.byOffset)-1]
+	var base *tableVersion
+	for i := range v.byOffset {
+		if v.byOffset[i].offset < at {
+			base = &v.byOffset[i]
 		}
 	}
 	if base == nil || newest.offset != to {
 		return nil
 	}
-	if data, ok := v.made[base.offset]; ok {
+	if data, ok := v.encodedChanges[base.offset]; ok {
 		return data
 	}
 	data, err := ownership.Diff(base.table, newest.table).Encode()
 	if err != nil {
 		return nil // the whole table is sent instead
 	}
-	v.made[base.offset] = data
+	v.encodedChanges[base.offset] = data
 	return data
 }
 
@@ -139,10 +139,10 @@
 func (st *stream) encodeNewest() {
 	for key, r := range st.newest {
 		v := st.tables[key]
-		if r.Value != nil || v == nil || len(v.byAge) == 0 || v.byAge[len(v.byAge)-1].offset != r.Offset {
+		if r.Value != nil || v == nil || len(v.byOffset) == 0 || v.byOffset[len(v.byOffset)-1].offset != r.Offset {
 			continue
 		}
-		data, err := v.byAge[len(v.byAge)-1].table.Encode()
+		data, err := v.byOffset[len(v.byOffset)-1].table.Encode()
 		if err != nil {
 			continue // followers read the log service themselves
 		}
--- a/internal/relay/tables_test.go
+++ b/internal/relay/tables_test.go
@@ -14,21 +14,21 @@
 // tableHost is a host's copy of the ownership stream with the table in force,
 // as the control loop keeps it.
 type tableHost struct {
-	copy  *Replica
-	table *ownership.Table
-	// whole counts the bytes of whole tables taken in, changed those of
+	replica *Replica
+	table   *ownership.Table
+	// fullBytes counts the bytes of whole tables taken in, changed those of
 	// changes.
-	whole, changed int
+	fullBytes, changeBytes int
 }
 
-// take takes a batch in as a host does.
-func (h *tableHost) take(t *testing.T, b Batch) {
+// apply takes a batch in as a host does.
+func (h *tableHost) apply(t *testing.T, b Batch) {
 	t.Helper()
 	if len(b.Changes) > 0 {
-		h.change(t, b)
+		h.applyChanges(t, b)
 		return
 	}
-	fresh := h.copy.Apply(b)
+	fresh := h.replica.Apply(b)
 	if fresh == nil {
 		return
 	}
@@ -37,37 +37,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.whole += len(r.Value)
+		h.fullBytes += len(r.Value)
 		if h.table == nil || got.MaxFencingToken > h.table.MaxFencingToken {
 			h.table = got
 		}
-		h.copy.KeepTable(r.Offset, got)
+		h.replica.KeepTable(r.Offset, got)
 	}
 }
 
-func (h *tableHost) change(t *testing.T, b Batch) {
+func (h *tableHost) applyChanges(t *testing.T, b Batch) {
 	t.Helper()
 	for _, c := range b.Changes {
-		h.changed += len(c.Data)
+		h.changeBytes += len(c.Data)
 		parsed, err := ownership.DecodeDelta(c.Data)
 		if err != nil {
 			t.Fatal(err)
 		}
 		next, err := parsed.Apply(h.table)
 		if err != nil {
-			h.copy.RequestFullTables()
+			h.replica.RequestFullTables()
 			return
 		}
-		if h.copy.ApplyTables(b.NextOffset, map[int64]*ownership.Table{c.Offset: next}) {
+		if h.replica.ApplyTables(b.NextOffset, map[int64]*ownership.Table{c.Offset: next}) {
 			h.table = next
 		}
 	}
 }
 
-// ask is one call of h to the host that it follows.
-func (h *tableHost) ask(from *tableHost) []Batch {
-	at := map[metastore.Stream]int64{metastore.StreamOwnership: h.copy.FetchOffset(metastore.StreamOwnership)}
-	return from.copy.Fetch(context.Background(), at, time.Nanosecond)
+// fetch is one call of h to the host that it follows.
+func (h *tableHost) fetch(from *tableHost) []Batch {
+	at := map[metastore.Stream]int64{metastore.StreamOwnership: h.replica.FetchOffset(metastore.StreamOwnership)}
+	return from.replica.Fetch(context.Background(), at, time.Nanosecond)
 }
 
 // A planner records a table several times a second; a relay follows it, and a
@@ -75,24 +75,24 @@
 // single records from the log service in between. Once all have asked without
 // loss they have the planner's table: with a wrong one, keys would be sent to
 // an upstream that does not own them for good.
-func TestTablesArriveThroughChanges(t *testing.T) {
+func TestTablesConvergeThroughChanges(t *testing.T) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		planner, relay, host := &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}
-		planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
+		planner, relay, host := &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}
+		planner.replica.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
 		table := ownership.NewTable("s")
 		var late []Batch
 		follow := func(h, from *tableHost, loss bool) {
-			for _, b := range h.ask(from) {
+			for _, b := range h.fetch(from) {
 				switch n := rng.IntN(10); {
 				case loss && n == 0: // the answer is lost
 				case loss && n == 1:
 					late = append(late, b)
 				case loss && n == 2:
-					h.take(t, b)
-					h.take(t, b)
+					h.apply(t, b)
+					h.apply(t, b)
 				default:
-					h.take(t, b)
+					h.apply(t, b)
 				}
 			}
 		}
@@ -106,8 +106,8 @@
 			record := Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1,
 				Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}}
 			planner.table = table
-			planner.copy.KeepTable(offset, table)
-			planner.copy.Apply(record)
+			planner.replica.KeepTable(offset, table)
+			planner.replica.Apply(record)
 			if rng.IntN(3) > 0 {
 				follow(relay, planner, true)
 			}
@@ -115,10 +115,10 @@
 				follow(host, relay, true)
 			}
 			if rng.IntN(20) == 0 {
-				host.take(t, record)
+				host.apply(t, record)
 			}
 			if len(late) > 0 && rng.IntN(4) == 0 {
-				host.take(t, late[0])
+				host.apply(t, late[0])
 				late = late[1:]
 			}
 		}
@@ -137,15 +137,15 @@
 // A host of 300 is sent the changes of a table of 900 ranges, seven a second.
 // Sent whole, at 10 KB each, they would take more than the 26 KB a second that
 // a host may spend on control; sent as changes they take a few hundred bytes.
-func TestSteadyFollowersAreSentChangesOnly(t *testing.T) {
-	planner, host := &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}
+func TestFollowersAreSentOnlyChanges(t *testing.T) {
+	planner, host := &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}
 	table := ownership.NewTable("s")
 	var moves []ownership.Move
 	for i := range 900 {
 		moves = append(moves, ownership.Move{From: i * 72, To: i*72 + 71, NewOwner: fmt.Sprintf("i-%010x", i*7919), HandoverToken: fmt.Sprintf("%016x", i*104729)})
 	}
 	table = table.Apply(moves)
-	planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
+	planner.replica.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
 	const records = 20
 	first := 0
 	for offset := range int64(records) {
@@ -154,19 +154,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		planner.copy.KeepTable(offset, table)
-		planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1, Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}})
-		for _, b := range host.ask(planner) {
-			host.take(t, b)
+		planner.replica.KeepTable(offset, table)
+		planner.replica.Apply(Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1, Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}})
+		for _, b := range host.fetch(planner) {
+			host.apply(t, b)
 		}
 		if offset == 0 {
-			first = host.whole
+			first = host.fullBytes
 		}
 	}
-	if host.whole != first {
-		t.Errorf("%d bytes of whole tables after the first", host.whole-first)
+	if host.fullBytes != first {
+		t.Errorf("%d bytes of whole tables after the first", host.fullBytes-first)
 	}
-	if per := host.changed / (records - 1); per > 700 {
+	if per := host.changeBytes / (records - 1); per > 700 {
 		t.Errorf("a change of one range takes %d bytes", per)
 	}
 	if host.table.Digest() != table.Digest() {
