--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,12 +1,11 @@
-// Package admission decides whether a request is sent to an upstream now,
-// waits a little, or is refused at once.
+// Package admission limits a host's concurrent requests to each upstream: a
+// request is sent now, waits for a short time, or is refused at once.
 //
-// Each host keeps a limit on its own requests under way to each upstream.
-// Hosts do not tell each other what they send; the upstream's answers tell
-// them: while answers come in time the limit grows, when they come late or
-// the upstream is full it shrinks. Under overload the hosts together keep the
-// upstream's queue so short that what it serves is served in time, instead
-// of everything late.
+// Each host adapts its limits on its own, without exchanging them with other
+// hosts. The limit of an upstream increases while responses arrive in time and
+// decreases when they are late or the upstream is full. Under overload this
+// keeps the upstream's queue short, so that requests which it accepts are
+// answered in time instead of all of them late.
 package admission
 
 import (
@@ -18,103 +17,110 @@
 )
 
 const (
-	// initialLimit allows a dozen hosts a burst at once; an upstream has 3 to
-	// 6 slots.
+	// initialLimit lets a dozen hosts send a burst at once; an upstream has
+	// 3 to 6 slots.
 	initialLimit = 4.0
-	// leastLimit: below one, requests to the upstream are spaced out. A
-	// dozen hosts at a limit of one each keep 12 requests at an upstream of
-	// 3 slots, three times what it can work on. It is the floor of a dozen
-	// hosts; see ShareOf for more.
+	// minLimit is the minimum in a fleet of a dozen hosts; see ShareOf for
+	// larger ones. Below 1, requests are spaced out in time; a dozen hosts
+	// with a limit of 1 each would keep 12 requests at an upstream of 3 slots.
 	minLimit = 0.25
 	maxLimit = 32.0
-	// limitIncrease is added to the limit for each answer in time, shared among
-	// the requests under way, so that it grows by growth in one round trip.
-	// Hosts of a larger fleet, whose floors are lower, add less in
-	// proportion.
+	// limitIncrease is the limit's increase per round trip; each response in
+	// time adds its part of it. Hosts of a larger fleet, whose minimum is
+	// lower, add proportionally less.
 	limitIncrease = 0.5
-	// lateDecrease and fullFactor shrink the limit.
+	// lateDecrease and fullDecrease are the factors by which a Late and a
+	// Full signal decrease the limit.
 	lateDecrease = 0.85
 	fullDecrease = 0.7
-	// minDecreaseInterval is the least time between two cuts: answers under way when the
-	// limit was cut say nothing of the new one.
+	// minDecreaseInterval is the minimum time between two decreases: requests
+	// already in flight at a decrease don't reflect the new limit.
 	minDecreaseInterval = 150 * time.Millisecond
-	// initialLatency is assumed before the first answer.
+	// initialLatency is assumed before the first response.
 	initialLatency = 150 * time.Millisecond
-	// startRateTau is the time constant of the rate of a host's requests to
-	// an upstream. One host of a large fleet sends one in several seconds.
-	startRateTau     = 10 * time.Second
+	// startRateTau is the time constant over which requests started are
+	// averaged. A host of a large fleet may send an upstream only one request
+	// in several seconds.
+	startRateTau = 10 * time.Second
+	// latencySmoothing is the weight of a new sample in the mean latency.
 	latencySmoothing = 0.2
 )
 
-// Signal is what an end says of the upstream.
+// Signal is what the outcome of a request shows of the upstream's load.
 type Signal int
 
 const (
-	// InTime means an answer came soon enough.
+	// InTime means that the response arrived in time.
 	InTime Signal = iota
-	// Late means an answer came too late to be worth its full value.
+	// Late means that the response arrived too close to its latency objective
+	// or after it.
 	Late
-	// Full means the upstream refused for want of room.
+	// Full means that the upstream had no room for the request.
 	Full
-	// NoSignal means the end says nothing of the upstream's load.
+	// NoSignal means that the outcome shows nothing of the upstream's load.
 	NoSignal
 )
 
-// Limiter bounds this host's requests under way to one upstream.
+// Limiter limits this host's concurrent requests to one upstream. It is safe
+// for concurrent use.
 type Limiter struct {
 	mu    sync.Mutex
 	limit float64
 	share Share
-	// firstStart is when the first request started, starts counts those
-	// since, fading with startMemory.
+	// firstStart is when the first request started; recentStarts counts the
+	// starts since then, decaying with startRateTau.
 	firstStart   time.Time
 	recentStarts decay.Sum
 	inFlight     int
-	latency      time.Duration
-	decreasedAt  time.Time
-	// nextStart spaces requests out while the limit is below one.
-	nextStart     time.Time
-	waiters       []chan struct{}
+	// latency is the smoothed response time of the upstream.
+	latency     time.Duration
+	decreasedAt time.Time
+	// nextStart is the earliest start of the next request while the limit is
+	// below 1.
+	nextStart time.Time
+	// waiters are the requests that wait for their turn, oldest first.
+	waiters []chan struct{}
+	// wakeScheduled is set while a timer is pending that calls wakeWaiters.
 	wakeScheduled bool
 }
 
-// NewLimiter returns a limiter of an upstream not heard of before.
+// NewLimiter returns a limiter for an upstream of which nothing is known.
 func NewLimiter() *Limiter {
 	return &Limiter{limit: initialLimit, share: Share{MaxLimit: maxLimit, MinLimit: minLimit}, latency: initialLatency}
 }
 
-// Share is a host's part of an upstream that a fleet shares.
+// Share is the range of a host's limit for an upstream that all hosts of a
+// fleet send to.
 type Share struct {
-	// MaxLimit bounds its requests under way, Least is how far its limit may
-	// shrink.
+	// MaxLimit and MinLimit bound the host's requests in flight.
 	MaxLimit, MinLimit float64
 }
 
-// uneven is how much more than its even part of an upstream's connections a
-// host may use: callers are not spread evenly over hosts, nor is a busy key.
-// On a day of heavy load an even part earned 0.51 of the worth, twice that
-// 0.66 without a connection reset, four times that 0.67 with 88 resets.
+// connectionSkew is the factor by which a host may exceed an equal share of an
+// upstream's connections, since callers and busy keys are spread unevenly over
+// the hosts. With a factor of 1 too many requests are refused; with 4 the hosts
+// exceed the upstream's connections, so that it resets some.
 const connectionSkew = 2
 
-// floors is how many requests for each slot all hosts at their floors keep
-// under way together. Lower ones refuse sooner but recover too slowly: a host
-// of a large fleet hears of an upstream once in several seconds. On a heavy
-// day of 91 hosts the keyed class earned 0.67 of its worth with 8, 0.52 to
-// 0.57 with 1 and 0.56 with 3.
+// minLimitRequestsPerSlot is the number of requests in flight per upstream slot
+// when all hosts are at their minimum limit. Lower values shed load sooner but
+// recover too slowly: a host of a large fleet gets a response of an upstream
+// only once in several seconds.
 const minLimitRequestsPerSlot = 8
 
-// ShareOf returns the share of one of so many hosts in an upstream that works
-// on slots requests at once and takes so many connections from all hosts
-// together, 0 for any number.
+// ShareOf returns a host's share of an upstream with the given number of
+// slots, which accepts connections from all hosts together; 0 connections
+// means no limit.
 //
-// An upstream resets connections beyond its number, and with them requests
-// that may have run: callers would see 502. A host opens a connection only
-// while all it has are in use, so bounding the requests under way suffices;
-// that half of all hosts are at the bound of one upstream together, the
-// limits prevent.
+// An upstream resets connections above that number, and the requests on them
+// may have been executed: callers would get a 502. A host opens a connection
+// only while all its others are in use, so limiting the requests in flight
+// limits the connections. The hosts' MaxLimits add up to more than the
+// connections, but the adaptive limits keep half of all hosts from reaching
+// theirs at once.
 //
-// All hosts at their floors together keep floors times the upstream's slots
-// under way, whatever the fleet's size.
+// The sum of all hosts' minimum limits is at most minLimitRequestsPerSlot times
+// the slots, whatever the size of the fleet.
 func ShareOf(slots, connections, hosts int) Share {
 	s := Share{MaxLimit: maxLimit, MinLimit: min(minLimit, minLimitRequestsPerSlot*float64(slots)/float64(hosts))}
 	if connections > 0 {
@@ -123,7 +129,7 @@
 	return s
 }
 
-// Ticket is the leave to send one request. Done must be called on it.
+// Ticket admits one request. Its Done must be called when the request ends.
 type Ticket struct {
 	limiter *Limiter
 	// limitInUse is how much of the limit was in use when the request started.
@@ -131,8 +137,9 @@
 }
 
 // Acquire returns a ticket, or nil if the request would wait longer than
-// patience or ctx ends. It refuses at once where the wait is foreseeable.
-func (l *Limiter) Acquire(ctx context.Context, patience time.Duration, share Share) *Ticket {
+// maxWait or ctx ends. It returns nil without waiting if the expected wait is
+// longer than maxWait.
+func (l *Limiter) Acquire(ctx context.Context, maxWait time.Duration, share Share) *Ticket {
 	now := time.Now()
 	l.mu.Lock()
 	l.setShare(share)
@@ -140,22 +147,23 @@
 		defer l.mu.Unlock()
 		return l.start(now)
 	}
-	if l.expectedWait(now) > patience {
+	if l.expectedWait(now) > maxWait {
 		l.mu.Unlock()
 		return nil
 	}
-	ch := make(chan struct{}, 1)
-	l.waiters = append(l.waiters, ch)
+	turn := make(chan struct{}, 1)
+	l.waiters = append(l.waiters, turn)
 	l.wakeWaiters(now)
 	l.mu.Unlock()
-	return l.await(ctx, ch, patience)
+	return l.await(ctx, turn, maxWait)
 }
 
-func (l *Limiter) await(ctx context.Context, ch chan struct{}, patience time.Duration) *Ticket {
-	t := time.NewTimer(patience)
+// await waits until wakeWaiters signals turn, maxWait has passed or ctx ends.
+func (l *Limiter) await(ctx context.Context, turn chan struct{}, maxWait time.Duration) *Ticket {
+	t := time.NewTimer(maxWait)
 	defer t.Stop()
 	select {
-	case <-ch:
+	case <-turn:
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return &Ticket{limiter: l, limitInUse: l.limitInUse(time.Now())}
@@ -165,18 +173,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i, w := range l.waiters {
-		if w == ch {
+		if w == turn {
 			l.waiters = append(l.waiters[:i], l.waiters[i+1:]...)
 			return nil
 		}
 	}
-	// It was let through just now; the ticket is given back unused.
+	// wakeWaiters admitted it at the same moment: the slot is given back unused.
 	l.inFlight--
 	l.wakeWaiters(time.Now())
 	return nil
 }
 
-// setShare adopts the share. A limit that was never used starts in proportion.
+// setShare adopts the share. Before the first request it also scales the initial
+// limit, so that each host of a large fleet starts with less.
 func (l *Limiter) setShare(s Share) {
 	if l.firstStart.IsZero() {
 		l.limit = max(initialLimit*s.scale(), 1)
@@ -184,26 +193,26 @@
 	l.share = s
 }
 
-// scale is how much less than a dozen hosts' floor the share's is.
+// scale is the ratio of the share's minimum limit to that of a dozen hosts.
 func (s Share) scale() float64 { return s.MinLimit / minLimit }
 
-// InFlight returns how many requests are under way.
+// InFlight returns the number of requests in flight.
 func (l *Limiter) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inFlight
 }
 
-// State is what a limiter decides by, for logs.
+// State is a snapshot of a limiter, for logs.
 type State struct {
 	Limit             float64
 	InFlight, Waiting int
 	Latency           time.Duration
-	// ExpectedWait is how long one more request would wait for its turn.
+	// ExpectedWait is how long a further request would wait for its turn.
 	ExpectedWait time.Duration
 }
 
-// State returns the limiter's present state.
+// State returns the limiter's current state.
 func (l *Limiter) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,6 +223,7 @@
 	return s
 }
 
+// hasRoom reports whether a request may start at now.
 func (l *Limiter) hasRoom(now time.Time) bool {
 	if l.limit < 1 {
 		return l.inFlight == 0 && !now.Before(l.nextStart)
@@ -221,15 +231,15 @@
 	return float64(l.inFlight+1) <= l.effectiveLimit()
 }
 
-// effectiveLimit is how many requests may be under way now.
+// effectiveLimit is the limit, bounded by the host's share.
 func (l *Limiter) effectiveLimit() float64 { return min(l.limit, l.share.MaxLimit) }
 
+// start admits a request at now.
 func (l *Limiter) start(now time.Time) *Ticket {
 	l.recordStart(now)
 	return &Ticket{limiter: l, limitInUse: l.limitInUse(now)}
 }
 
-// recordStart counts a request that starts now.
 func (l *Limiter) recordStart(now time.Time) {
 	l.inFlight++
 	if l.firstStart.IsZero() {
@@ -238,10 +248,11 @@
 	l.recentStarts.Add(1, startRateTau, now)
 }
 
-// limitInUse is how much of the limit is in use: the requests under way or, where
-// that is one now and then, how many there are on the mean, which by Little's
-// law is their rate times their latency. A host of a large fleet that cut its
-// limit from one would have to cut it a dozen times before it sent less.
+// limitInUse is how much of the limit is in use: the number of requests in flight
+// or, if that is at most 1, their mean, which by Little's law is the rate of
+// starts times the latency. A host of a large fleet seldom has a request in
+// flight: if each counted as 1, it would take a dozen decreases before the host
+// sent less.
 func (l *Limiter) limitInUse(now time.Time) float64 {
 	if l.inFlight > 1 {
 		return float64(l.inFlight)
@@ -250,7 +261,7 @@
 	return min(l.recentStarts.Value(startRateTau, now)*l.latency.Seconds()/span, 1)
 }
 
-// expectedWait is how long one more request would wait for its turn.
+// expectedWait estimates how long a further request would wait for its turn.
 func (l *Limiter) expectedWait(now time.Time) time.Duration {
 	wait := time.Duration(float64(len(l.waiters)+1) / l.effectiveLimit() * float64(l.latency))
 	if l.limit < 1 && l.inFlight == 0 {
@@ -259,14 +270,14 @@
 	return wait
 }
 
-// wakeWaiters lets through the waiters that have room now, and looks again when
-// spaced-out requests may start.
+// wakeWaiters admits the waiters that have room now. If requests are spaced out,
+// it schedules itself for the time of the next start.
 func (l *Limiter) wakeWaiters(now time.Time) {
 	for len(l.waiters) > 0 && l.hasRoom(now) {
-		ch := l.waiters[0]
+		turn := l.waiters[0]
 		l.waiters = l.waiters[1:]
 		l.recordStart(now)
-		ch <- struct{}{}
+		turn <- struct{}{}
 	}
 	if len(l.waiters) == 0 || l.inFlight > 0 || l.wakeScheduled {
 		return
@@ -280,18 +291,19 @@
 	})
 }
 
-// Done ends a request that took this long at the upstream.
-func (t *Ticket) Done(v Signal, took time.Duration) {
+// Done ends a request that took elapsed at the upstream, and adapts the limit
+// according to signal.
+func (t *Ticket) Done(signal Signal, elapsed time.Duration) {
 	l, now := t.limiter, time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
-	switch v {
+	switch signal {
 	case InTime:
-		l.observeLatency(took)
+		l.observeLatency(elapsed)
 		l.limit = min(l.limit+limitIncrease*l.share.scale()/max(l.limit, 1), maxLimit)
 	case Late:
-		l.observeLatency(took)
+		l.observeLatency(elapsed)
 		l.decrease(lateDecrease, t.limitInUse, now)
 	case Full:
 		l.decrease(fullDecrease, t.limitInUse, now)
@@ -303,16 +315,18 @@
 	l.wakeWaiters(now)
 }
 
-func (l *Limiter) observeLatency(took time.Duration) {
-	l.latency += time.Duration(latencySmoothing * float64(took-l.latency))
+// observeLatency adds a sample to the smoothed latency.
+func (l *Limiter) observeLatency(elapsed time.Duration) {
+	l.latency += time.Duration(latencySmoothing * float64(elapsed-l.latency))
 }
 
-// decrease shrinks the limit from what was really used of it, since a limit that
-// was not used up says nothing.
-func (l *Limiter) decrease(factor, used float64, now time.Time) {
+// decrease multiplies the part of the limit that was in use by factor: a limit
+// that wasn't used up shows nothing of the upstream's capacity. It does nothing
+// within minDecreaseInterval of the previous decrease.
+func (l *Limiter) decrease(factor, inUse float64, now time.Time) {
 	if now.Sub(l.decreasedAt) < minDecreaseInterval {
 		return
 	}
 	l.decreasedAt = now
-	l.limit = max(min(l.limit, used)*factor, l.share.MinLimit)
+	l.limit = max(min(l.limit, inUse)*factor, l.share.MinLimit)
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// simUpstream is an upstream with slots and a queue, in virtual time.
+// simUpstream simulates an upstream with slots and a bounded queue.
 type simUpstream struct {
 	mu         sync.Mutex
 	busy       int
@@ -19,7 +19,7 @@
 	workTime   time.Duration
 }
 
-// serve works on a request; it reports false if there is no room.
+// serve executes a request; it reports false if slots and queue are full.
 func (s *simUpstream) serve() bool {
 	s.mu.Lock()
 	if s.busy >= s.slots {
@@ -27,10 +27,10 @@
 			s.mu.Unlock()
 			return false
 		}
-		ch := make(chan struct{})
-		s.queue = append(s.queue, ch)
+		turn := make(chan struct{})
+		s.queue = append(s.queue, turn)
 		s.mu.Unlock()
-		<-ch
+		<-turn
 	} else {
 		s.busy++
 		s.mu.Unlock()
@@ -47,7 +47,7 @@
 	return true
 }
 
-// simResult counts what callers got.
+// simResult counts the outcomes that callers got.
 type simResult struct {
 	mu                   sync.Mutex
 	inTime, late, failed int
@@ -56,8 +56,8 @@
 
 const latencyObjective = 600 * time.Millisecond
 
-// simulate sends perSecond requests a second for d through each of the hosts to
-// one server, with admission or without.
+// simulate sends perSecond requests a second for d through random hosts to one
+// upstream, with admission or without.
 func simulate(hosts int, perSecond float64, d time.Duration, s *simUpstream, admit bool) *simResult {
 	res := &simResult{}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -75,6 +75,7 @@
 	return res
 }
 
+// simulateRequest sends one request through l and records its outcome.
 func simulateRequest(l *Limiter, s *simUpstream, admit bool, share Share, res *simResult) {
 	start := time.Now()
 	var t *Ticket
@@ -90,16 +91,16 @@
 	}
 	sent := time.Now()
 	ok := s.serve()
-	took := time.Since(sent)
-	v := InTime
+	elapsed := time.Since(sent)
+	signal := InTime
 	switch {
 	case !ok:
-		v = Full
-	case took > latencyObjective*8/10:
-		v = Late
+		signal = Full
+	case elapsed > latencyObjective*8/10:
+		signal = Late
 	}
 	if t != nil {
-		t.Done(v, took)
+		t.Done(signal, elapsed)
 	}
 	res.mu.Lock()
 	defer res.mu.Unlock()
@@ -113,10 +114,9 @@
 	}
 }
 
-// Twelve hosts send one upstream a third more than it can work on. Sent on
-// as they come, the upstream's queue stays full and nearly every answer is
-// late. With limits most of what it works on is answered in time, and who is
-// refused is refused soon.
+// Twelve hosts send one upstream a third more than its capacity. Without limits
+// its queue stays full and nearly every response is late. With limits most
+// requests that it executes are answered in time, and refusals come early.
 func TestOverloadedUpstreamAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// 3 slots at 150 ms serve 20 a second.
@@ -125,75 +125,79 @@
 		t.Logf("without limits: %d in time, %d late, %d refused", plain.inTime, plain.late, plain.failed)
 		t.Logf("with limits: %d in time, %d late, %d refused", limited.inTime, limited.late, limited.failed)
 		if limited.inTime < 900 || limited.inTime < 2*plain.inTime {
-			t.Errorf("%d of at most 1200 in time; %d without limits", limited.inTime, plain.inTime)
+			t.Errorf("%d of at most 1200 requests answered in time; %d without limits", limited.inTime, plain.inTime)
 		}
 		for _, d := range limited.refusedAfter {
 			if d > latencyObjective/2 {
-				t.Fatalf("refused only after %v", d)
+				t.Fatalf("request refused only after %v, want at most half of the latency objective", d)
 			}
 		}
 	})
 }
 
-// A thousand hosts send one upstream a third more than it can work on: each
-// sees one request in forty seconds. If every host's limit could shrink to a
-// quarter only, as a dozen hosts' may, each of their requests would be let
-// through, and the upstream's queue of sixty would stay full.
+// A thousand hosts send one upstream a third more than its capacity; each gets
+// one request in forty seconds. If their limits could decrease only to that of a
+// dozen hosts, 0.25, every request would be admitted and the upstream's queue of
+// 60 would stay full.
 func TestOverloadedUpstreamOfALargeFleetAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := simulate(1000, 27, 4*time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
 		t.Logf("%d in time, %d late, %d refused", r.inTime, r.late, r.failed)
 		if r.inTime < 1000 {
-			t.Errorf("%d of at most 4800 in time, %d late", r.inTime, r.late)
+			t.Errorf("%d of at most 4800 requests answered in time, %d late", r.inTime, r.late)
 		}
 	})
 }
 
-// The same fleet lets a load through that the upstream can carry.
+// In a large fleet, too, a load within the upstream's capacity is admitted: the
+// lower limits of its hosts must not refuse requests.
 func TestNormalLoadOfALargeFleetIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := simulate(91, 12, time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
 		if total := r.inTime + r.late + r.failed; r.failed > total/100 {
-			t.Errorf("%d of %d refused", r.failed, total)
+			t.Errorf("%d of %d requests refused, want at most 1%%", r.failed, total)
 		}
 	})
 }
 
-// Under a load that the upstream can carry nobody is refused.
+// A load within the upstream's capacity is admitted: limits must not refuse
+// requests because of random bursts.
 func TestNormalLoadIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := simulate(12, 12, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, true)
 		if total := r.inTime + r.late + r.failed; r.failed > total/100 {
-			t.Errorf("%d of %d refused", r.failed, total)
+			t.Errorf("%d of %d requests refused, want at most 1%%", r.failed, total)
 		}
 	})
 }
 
-// After an overload has passed, the limits grow back within seconds.
+// After an overload the limit must increase again within seconds, or the host
+// would go on refusing requests.
 func TestLimitRecoversAfterOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter()
 		for range 20 {
-			tk := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
+			ticket := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
 			time.Sleep(minDecreaseInterval)
-			tk.Done(Full, 0)
+			ticket.Done(Full, 0)
 		}
 		if l.limit != minLimit {
-			t.Fatalf("limit %v after 20 refusals", l.limit)
+			t.Fatalf("limit %v after 20 Full signals, want the minimum", l.limit)
 		}
 		start := time.Now()
 		for l.limit < 2 {
-			tk := l.Acquire(context.Background(), 10*time.Second, ShareOf(3, 0, 1))
+			ticket := l.Acquire(context.Background(), 10*time.Second, ShareOf(3, 0, 1))
 			time.Sleep(100 * time.Millisecond)
-			tk.Done(InTime, 100*time.Millisecond)
+			ticket.Done(InTime, 100*time.Millisecond)
 		}
 		if d := time.Since(start); d > 3*time.Second {
-			t.Errorf("grown back only after %v", d)
+			t.Errorf("limit recovered only after %v", d)
 		}
 	})
 }
 
-// A caller that leaves while it waits gives its turn to the next one.
+// A caller that cancels while it waits must not keep its place among the waiters,
+// or the next waiter would never get its turn.
 func TestCancelledWaiterPassesOnItsTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter()
@@ -202,7 +206,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			if l.Acquire(ctx, time.Minute, ShareOf(3, 0, 1)) != nil {
-				t.Error("a caller that left got a turn")
+				t.Error("a cancelled caller got a ticket")
 			}
 		}()
 		time.Sleep(time.Millisecond)
@@ -212,11 +216,11 @@
 		cancel()
 		synctest.Wait()
 		first.Done(InTime, 100*time.Millisecond)
-		if tk := <-got; tk == nil {
-			t.Fatal("the next waiter got no turn")
+		if ticket := <-got; ticket == nil {
+			t.Fatal("the next waiter got no ticket")
 		}
 		if n := l.InFlight(); n != 1 {
-			t.Errorf("%d under way, want 1", n)
+			t.Errorf("%d requests in flight, want 1", n)
 		}
 	})
 }
