--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -248,11 +248,10 @@
 	l.recentStarts.Add(1, startRateTau, now)
 }
 
-// limitInUse is how much of the limit is in use: the number of requests in flight
-// or, if that is at most 1, their mean, which by Little's law is the rate of
-// starts times the latency. A host of a large fleet seldom has a request in
-// flight: if each counted as 1, it would take a dozen decreases before the host
-// sent less.
+// limitInUse is how much of the limit is in use: the requests in flight or, if
+// there is at most one, their mean number, by Little's law the rate of starts
+// times the latency. Counting a rare request of a large fleet's host as 1 would
+// take a dozen decreases before the host sent less.
 func (l *Limiter) limitInUse(now time.Time) float64 {
 	if l.inFlight > 1 {
 		return float64(l.inFlight)
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// Permit is the allocator's answer to a host that asks for leave to send.
+// Permit is the allocator's answer to a host that requests permits.
 type Permit struct {
-	// Requests is how many may be sent, within grantFor; 0 for none.
+	// Requests is the number of requests that may be sent within permitTTL; 0 if
+	// none.
 	Requests int
-	// Wait is how long it is until the next leave can be given, if there is none
-	// now.
+	// Wait is the time until the next permit is due if Requests is 0.
 	Wait time.Duration
 }
 
 const (
-	// minBurst is how many requests at least may be sent at once after a pause.
+	// minBurst is the minimum number of requests that may be sent at once after an
+	// idle period.
 	minBurst = 1.0
-	// burstWindow is that number for higher rates, as the time in which the rate brings
-	// as many.
+	// burstWindow is the time whose requests, at the limit, may be sent at once after
+	// an idle period.
 	burstWindow = 250 * time.Millisecond
-	// bucketIdleTimeout is how long after its last use a bucket is kept. By then it is full
-	// again.
+	// bucketIdleTimeout is how long an unused bucket is kept. By then it is full
+	// again, so deleting it loses nothing.
 	bucketIdleTimeout = 30 * time.Second
-	// maxBuckets is how many buckets are kept at most.
+	// maxBuckets bounds the memory that buckets take.
 	maxBuckets = 4096
 )
 
-// bucket holds the leave that has gathered for one upstream.
+// bucket is the token bucket of one upstream.
 type bucket struct {
 	tokens    float64
 	updatedAt time.Time
 }
 
-// Allocator divides upstreams' limits among the hosts that ask. It is safe for
-// concurrent use.
+// Allocator divides the rate limits of upstreams among the hosts that request
+// permits. It is safe for concurrent use.
 type Allocator struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
 }
 
-// NewAllocator returns an allocator that has given no leave yet.
+// NewAllocator returns an allocator that has issued no permits.
 func NewAllocator() *Allocator { return &Allocator{buckets: map[string]*bucket{}} }
 
-// Take gives leave for up to want requests to an upstream that takes perSecond. A
-// new bucket holds one request only: another allocator may have emptied its own
-// just before.
+// Take issues permits for up to want requests to an upstream with a limit of
+// perSecond. A new bucket holds a single token: the previous planner may have
+// emptied its own bucket just before.
 func (a *Allocator) Take(upstream string, perSecond float64, want int, now time.Time) Permit {
 	if perSecond <= 0 {
 		return Permit{Wait: maxInterval}
@@ -68,7 +69,7 @@
 	return Permit{Requests: n}
 }
 
-// prune forgets buckets that nobody uses any more.
+// prune deletes idle buckets, or all of them if there are too many.
 func (a *Allocator) prune(now time.Time) {
 	if len(a.buckets) >= maxBuckets {
 		clear(a.buckets)
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkAllocatorTake is the planner's cost of one request to an upstream with a
-// limit, without the call that carries it.
+// BenchmarkAllocatorTake measures the planner's cost per permit request, without the
+// call that carries it.
 func BenchmarkAllocatorTake(b *testing.B) {
 	a, ids := NewAllocator(), make([]string, 256)
 	for i := range ids {
@@ -19,8 +19,8 @@
 	}
 }
 
-// BenchmarkLimiterClosed is a host's cost of each request whose upstream has been
-// found closed.
+// BenchmarkLimiterClosed measures a host's cost per request while the planner denies
+// permits for its upstream.
 func BenchmarkLimiterClosed(b *testing.B) {
 	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (Permit, error) { return Permit{Wait: time.Hour}, nil })
 	for b.Loop() {
--- a/internal/ratelimit/bounds.go
+++ b/internal/ratelimit/bounds.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Bounds are the sheet's: in any Window an upstream may get the requests that its
-// rate allows in that time, times Factor, plus Slack.
+// Bounds describe how far an upstream's load may exceed its rate limit: in any
+// Window it may receive the requests that the limit allows in that time, times
+// Factor, plus Slack.
 type Bounds struct {
 	Factor, Slack float64
 	Window        time.Duration
 }
 
-// maxOvershoot is the greatest probability, in any one window, that hosts which
-// each keep to their own share exceed the bound together.
+// maxExcessProbability is the highest probability, for any one window, that hosts
+// which each keep to their own share exceed the bounds together.
 const maxExcessProbability = 1e-5
 
-// UncoordinatedRate returns the highest rate, in requests a second, at which independent hosts
-// may send together to an upstream that takes perSecond.
+// UncoordinatedRate returns the highest rate, in requests a second, at which
+// independent hosts together may send to an upstream with a limit of perSecond.
 func (b Bounds) UncoordinatedRate(perSecond float64) float64 {
 	window := b.Window.Seconds()
-	most := int(perSecond*window*b.Factor + b.Slack)
-	if poissonTail(perSecond*window, most) <= maxExcessProbability {
+	maxRequests := int(perSecond*window*b.Factor + b.Slack)
+	if poissonTail(perSecond*window, maxRequests) <= maxExcessProbability {
 		return perSecond
 	}
 	low, high := 0.0, perSecond
 	for range bisectionSteps {
-		if mid := (low + high) / 2; poissonTail(mid*window, most) <= maxExcessProbability {
+		if mid := (low + high) / 2; poissonTail(mid*window, maxRequests) <= maxExcessProbability {
 			low = mid
 		} else {
 			high = mid
@@ -35,27 +36,28 @@
 	return low
 }
 
-// rateSteps halve the rate's uncertainty to a thousandth.
+// bisectionSteps reduces the uncertainty of the rate to a thousandth.
 const bisectionSteps = 10
 
-// poissonTail is the probability of more than most events where so many are
-// expected.
-func poissonTail(expected float64, most int) float64 {
+// poissonTail returns the probability of more than maxRequests requests where the
+// mean is expected.
+func poissonTail(expected float64, maxRequests int) float64 {
 	if expected > normalApproximationMean {
-		return normalTail(expected, most)
+		return normalTail(expected, maxRequests)
 	}
 	term, sum := math.Exp(-expected), 0.0
-	for n := 0; n <= most; n++ {
+	for n := 0; n <= maxRequests; n++ {
 		sum += term
 		term *= expected / float64(n+1)
 	}
 	return 1 - sum
 }
 
-// largeMean is the mean above which exp(-mean) underflows soon and the normal
-// approximation is close.
+// normalApproximationMean is the mean above which the normal approximation is
+// used: it is close there, and exp(-mean) underflows at larger means.
 const normalApproximationMean = 500.0
 
-func normalTail(expected float64, most int) float64 {
-	return math.Erfc((float64(most)+0.5-expected)/math.Sqrt(2*expected)) / 2
+// normalTail is poissonTail's approximation for large means.
+func normalTail(expected float64, maxRequests int) float64 {
+	return math.Erfc((float64(maxRequests)+0.5-expected)/math.Sqrt(2*expected)) / 2
 }
--- a/internal/ratelimit/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,12 +1,14 @@
-// Package ratelimit keeps all hosts of a fleet together to a rate of requests that
-// an upstream takes: one that it reports, or that of its slow start.
+// Package ratelimit limits the rate of requests that all hosts of a fleet
+// together send to an upstream: to the limit that the upstream reports, or to
+// that of its slow start.
 //
-// No host sees what the others send. The planner's Allocator therefore hands out
-// leave to send, request by request at low rates and a few at a time at higher
-// ones; a Limiter asks it on behalf of its host. Only requests to upstreams with a
-// limit cost a call, and a host that was turned down does not ask again before the
-// next leave is due.
+// No host sees what the others send. For a reported limit the planner's
+// Allocator therefore issues permits, one at a time at low rates and a few at
+// once at higher ones; each host's Limiter requests them. Only requests to
+// upstreams with a limit cost a call, and a host that was denied a permit asks
+// again only when the next one is due.
 //
-// A host that reaches no planner falls back to a share of its own, see Gate: a
-// part of an equal share, since others may go on with the planner's leave.
+// A host that can't reach the planner falls back to an IntervalLimiter at part
+// of an equal share of the limit: the other hosts may still get permits from
+// the planner. In an upstream's slow start every host uses an IntervalLimiter.
 package ratelimit
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -10,24 +10,25 @@
 	"time"
 )
 
-// reported are the bounds of a limit that an upstream reports.
+// reportedBounds are the bounds for a rate limit that an upstream reports.
 var reportedBounds = Bounds{Factor: 1.5, Slack: 5, Window: 4 * time.Second}
 
 var errUnreachable = errors.New("planner unreachable")
 
-// fleetSim is a fleet of hosts whose callers ask for one upstream with a limit.
+// fleetSim simulates the hosts of a fleet, which send to one upstream with a rate
+// limit.
 type fleetSim struct {
-	rnd      *rand.Rand
+	rng      *rand.Rand
 	limit    float64
 	limiters []*Limiter
 	planner  *Allocator
-	// cutOff reports whether a host does not reach the planner.
+	// cutOff reports whether a host can't reach the planner.
 	cutOff func(host int) bool
 	sent   []time.Time
 }
 
 func newFleetSim(hosts int, limit float64, seed uint64) *fleetSim {
-	s := &fleetSim{rnd: rand.New(rand.NewPCG(seed, 0)), limit: limit, planner: NewAllocator(), cutOff: func(int) bool { return false }}
+	s := &fleetSim{rng: rand.New(rand.NewPCG(seed, 0)), limit: limit, planner: NewAllocator(), cutOff: func(int) bool { return false }}
 	for i := range hosts {
 		s.limiters = append(s.limiters, s.newLimiter(i))
 	}
@@ -44,36 +45,36 @@
 	return l
 }
 
-// run has callers ask demand times a second, on hosts at random, for a time.
+// run simulates demand requests a second, at random hosts, for d.
 func (s *fleetSim) run(t *testing.T, demand float64, d time.Duration) {
 	for _, l := range s.limiters {
 		l.SetHostCount(len(s.limiters))
 	}
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		time.Sleep(time.Duration(s.rnd.ExpFloat64() / demand * float64(time.Second)))
-		if ok, _ := s.limiters[s.rnd.IntN(len(s.limiters))].Take(t.Context(), "u", s.limit); ok {
+		time.Sleep(time.Duration(s.rng.ExpFloat64() / demand * float64(time.Second)))
+		if ok, _ := s.limiters[s.rng.IntN(len(s.limiters))].Take(t.Context(), "u", s.limit); ok {
 			s.sent = append(s.sent, time.Now())
 		}
 	}
 }
 
-// check reports windows with more requests than the bound.
+// check fails the test if any window has more requests than the bounds allow.
 func (s *fleetSim) check(t *testing.T) {
 	t.Helper()
-	most := int(s.limit*reportedBounds.Window.Seconds()*reportedBounds.Factor + reportedBounds.Slack)
+	maxRequests := int(s.limit*reportedBounds.Window.Seconds()*reportedBounds.Factor + reportedBounds.Slack)
 	first := 0
 	for i, at := range s.sent {
 		for at.Sub(s.sent[first]) >= reportedBounds.Window {
 			first++
 		}
-		if n := i - first + 1; n > most {
-			t.Fatalf("%d requests within %v, %d allowed", n, reportedBounds.Window, most)
+		if n := i - first + 1; n > maxRequests {
+			t.Fatalf("%d requests within %v, %d allowed", n, reportedBounds.Window, maxRequests)
 		}
 	}
 }
 
-// eachFleet runs a simulation for fleets and limits of several sizes.
-func eachFleet(t *testing.T, run func(t *testing.T, s *fleetSim)) {
+// forEachFleet runs a simulation for several numbers of hosts and limits.
+func forEachFleet(t *testing.T, run func(t *testing.T, s *fleetSim)) {
 	for _, hosts := range []int{1, 10, 79, 300} {
 		for _, limit := range []float64{0.1, 1, 1.6, 8, 60} {
 			t.Run(fmt.Sprint(hosts, " hosts, limit ", limit), func(t *testing.T) {
@@ -83,14 +84,14 @@
 	}
 }
 
-// Hosts that reach the planner must keep to the limit together, also when callers
-// come in bursts after a pause, and must make use of it.
+// Hosts that reach the planner must keep to the limit together, also when requests
+// come in bursts after an idle period, and must use at least 80% of it.
 func TestFleetKeepsToAndUsesTheLimit(t *testing.T) {
-	eachFleet(t, func(t *testing.T, s *fleetSim) {
+	forEachFleet(t, func(t *testing.T, s *fleetSim) {
 		const d = 60 * time.Second
 		s.run(t, 7*s.limit, d)
-		if n, aim := float64(len(s.sent)), 0.8*s.limit*d.Seconds(); n < aim {
-			t.Errorf("%v requests sent while callers asked for seven times the limit; aim %v", n, aim)
+		if n, want := float64(len(s.sent)), 0.8*s.limit*d.Seconds(); n < want {
+			t.Errorf("%v requests sent at a demand of seven times the limit, want at least %v", n, want)
 		}
 		for range 5 {
 			time.Sleep(20 * time.Second)
@@ -100,10 +101,12 @@
 	})
 }
 
-// While the planner changes, is lost, or is reached by some of the hosts only, and
-// while hosts start again, the shares must still add up to no more than the limit.
+// The hosts must keep to the limit while the planner changes, is lost or is reached
+// by only some of them, and while hosts restart. They would exceed it if fallback
+// shares and permits added up to more than the limit, if a new planner began with
+// full buckets, or if restarted hosts sent their first requests at once.
 func TestFleetKeepsToTheLimitWithoutAPlanner(t *testing.T) {
-	eachFleet(t, func(t *testing.T, s *fleetSim) {
+	forEachFleet(t, func(t *testing.T, s *fleetSim) {
 		demand := 7 * s.limit
 		s.run(t, demand, 10*time.Second)
 		s.cutOff = func(host int) bool { return host%2 == 0 }
@@ -124,18 +127,19 @@
 	})
 }
 
-// Without an answer of the planner's and a known number of hosts nothing is sent,
-// and the caller is told when to come back.
+// A host that can't reach the planner and doesn't know the number of hosts has no
+// share: it must send nothing, and return when to retry.
 func TestHostWithoutPlannerOrHostCountSendsNothing(t *testing.T) {
 	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (Permit, error) { return Permit{}, errUnreachable })
 	for range 10 {
 		if ok, wait := l.Take(t.Context(), "u", 5); ok || wait <= 0 {
-			t.Fatalf("sent: %v, wait %v", ok, wait)
+			t.Fatalf("allowed: %v, wait %v; want a denial with a wait", ok, wait)
 		}
 	}
 }
 
-// Buckets of upstreams that nobody asks for any more are dropped.
+// Buckets of upstreams that hosts no longer send to must be deleted, or the
+// allocator would grow with every upstream that ever had a limit.
 func TestAllocatorPrunesIdleBuckets(t *testing.T) {
 	a, now := NewAllocator(), time.Unix(1000, 0)
 	for i := range 100 {
--- a/internal/ratelimit/interval_test.go
+++ b/internal/ratelimit/interval_test.go
@@ -8,68 +8,70 @@
 )
 
 // Independent hosts must not exceed a cold upstream's rate limit together, whether
-// there is one or thousands, and must use at least half of it.
+// there is one or thousands, and must use at least half of it. They exceed it if
+// their first requests coincide or their shares leave no room for random bursts.
 func TestColdUpstreamRateLimitHoldsAcrossHosts(t *testing.T) {
 	const (
 		upstreams = 40
 		perSecond = 4.4
-		lasts     = 3 * time.Second
+		coldFor   = 3 * time.Second
 		step      = 5 * time.Millisecond
 	)
 	b := Bounds{Factor: 1.5, Slack: 8, Window: time.Second}
-	most := int(perSecond*b.Factor + b.Slack)
+	maxRequests := int(perSecond*b.Factor + b.Slack)
 	for _, hosts := range []int{1, 12, 79, 300, 3300} {
 		t.Run(fmt.Sprint(hosts, " hosts"), func(t *testing.T) {
-			served := 0
+			sentTotal := 0
 			for range upstreams {
 				start := time.Now()
-				gates := make([]IntervalLimiter, hosts)
-				share := HostRate(b.UncoordinatedRate(perSecond) / float64(hosts))
+				limiters := make([]IntervalLimiter, hosts)
+				rate := HostRate(b.UncoordinatedRate(perSecond) / float64(hosts))
 				var sent []time.Time
-				for now := start; now.Before(start.Add(lasts)); now = now.Add(step) {
-					for i := range gates {
-						if gates[i].Take(share, start.Add(lasts), now) {
+				for now := start; now.Before(start.Add(coldFor)); now = now.Add(step) {
+					for i := range limiters {
+						if limiters[i].Take(rate, start.Add(coldFor), now) {
 							sent = append(sent, now)
 						}
 					}
 				}
-				served += len(sent)
+				sentTotal += len(sent)
 				first := 0
 				for i, at := range sent {
 					for at.Sub(sent[first]) >= time.Second {
 						first++
 					}
-					if n := i - first + 1; n > most {
-						t.Errorf("%d requests within a second, %d allowed", n, most)
+					if n := i - first + 1; n > maxRequests {
+						t.Errorf("%d requests within a second, %d allowed", n, maxRequests)
 					}
 				}
 			}
-			capacity := perSecond * lasts.Seconds() * upstreams
-			if got := float64(served); got < capacity/2 || got > capacity*1.1 {
-				t.Errorf("%v requests served in all, the upstreams take %v", got, capacity)
+			capacity := perSecond * coldFor.Seconds() * upstreams
+			if got := float64(sentTotal); got < capacity/2 || got > capacity*1.1 {
+				t.Errorf("%v requests sent in all, the upstreams take %v", got, capacity)
 			}
 		})
 	}
 }
 
-// A gate is shut for a host that has no share, and open where nothing is cold or
-// nothing bounds it.
+// A host whose share is zero must send nothing while a limit holds. Without a limit,
+// or with an unbounded share, no request may be held back.
 func TestIntervalLimiter(t *testing.T) {
 	now := time.Now()
 	cold := now.Add(time.Second)
 	for _, c := range []struct {
-		share HostRate
-		until time.Time
-		want  bool
+		rate       HostRate
+		limitUntil time.Time
+		want       bool
 	}{{0, cold, false}, {0, now, true}, {HostRate(math.Inf(1)), cold, true}} {
-		var g IntervalLimiter
-		if got := g.Take(c.share, c.until, now); got != c.want {
-			t.Errorf("share %v, cold for %v: %v", c.share, c.until.Sub(now), got)
+		var l IntervalLimiter
+		if got := l.Take(c.rate, c.limitUntil, now); got != c.want {
+			t.Errorf("rate %v, limit for another %v: allowed %v", c.rate, c.limitUntil.Sub(now), got)
 		}
 	}
 }
 
-// The rate leaves room for chance, and is never over what the upstream takes.
+// The rate never exceeds the limit, and is low enough that random bursts of
+// independent hosts stay within the bounds.
 func TestUncoordinatedRate(t *testing.T) {
 	for _, c := range []struct {
 		bounds    Bounds
@@ -78,7 +80,7 @@
 		rate := c.bounds.UncoordinatedRate(c.perSecond)
 		tail := poissonTail(rate, int(c.perSecond*c.bounds.Factor+c.bounds.Slack))
 		if rate > c.perSecond || tail > maxExcessProbability || math.IsNaN(rate) {
-			t.Errorf("%+v at %v a second: rate %v, chance of too many %v", c.bounds, c.perSecond, rate, tail)
+			t.Errorf("bounds %+v, limit %v a second: rate %v, probability of exceeding the bounds %v", c.bounds, c.perSecond, rate, tail)
 		}
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -8,38 +8,42 @@
 )
 
 const (
-	// permitCallTimeout bounds a question to the allocator; undisturbed it is answered in
-	// a few milliseconds.
+	// permitCallTimeout bounds a call for permits, which normally takes a few
+	// milliseconds.
 	permitCallTimeout = 150 * time.Millisecond
-	// permitRetryInterval is the pause after a question that was not answered.
+	// permitRetryInterval is the time between calls after one has failed.
 	permitRetryInterval = 500 * time.Millisecond
-	// permitTTL is how long leave may be used.
+	// permitTTL is how long permits may be used after they were received.
 	permitTTL = 500 * time.Millisecond
-	// permitBatchSpan is the time for which a host asks for leave at once.
+	// permitBatchSpan is the time for which a host requests permits in one call, at
+	// an equal share of the limit.
 	permitBatchSpan = 200 * time.Millisecond
-	// fallbackShare is the part of its equal share that a host takes which does not
-	// reach the allocator.
+	// fallbackShare is the part of its equal share of the limit that a host uses when
+	// it can't reach the allocator; the others may still get permits.
 	fallbackShare = 0.5
-	// minDenyTime and mostWait bound the time for which a host does not ask again.
+	// minDenyTime and maxDenyTime bound the time for which requests are denied before
+	// the allocator is called again.
 	minDenyTime = time.Millisecond
 	maxDenyTime = time.Second
 )
 
-// PermitFunc asks the allocator for leave for up to want requests to an upstream that
-// takes perSecond.
+// PermitFunc requests permits from the allocator for up to want requests to an
+// upstream with a limit of perSecond. Its error means that the allocator could not
+// be reached.
 type PermitFunc func(ctx context.Context, upstream string, perSecond float64, want int) (Permit, error)
 
-// upstreamState is what a host may send to one upstream.
+// upstreamState is the state of one upstream's limit on this host.
 type upstreamState struct {
-	// permits requests may be sent until grantEnds.
+	// permits is the number of unused permits; they expire at permitsExpireAt.
 	permits         int
 	permitsExpireAt time.Time
-	// deniedUntil is when the allocator is to be asked again.
+	// deniedUntil is the time until which requests are denied without a call.
 	deniedUntil time.Time
-	fallback    IntervalLimiter
+	// fallback limits requests while the allocator is unreachable.
+	fallback IntervalLimiter
 }
 
-// Limiter keeps one host to its part of upstreams' limits. It is safe for
+// Limiter keeps one host to its part of the rate limits of upstreams. It is safe for
 // concurrent use.
 type Limiter struct {
 	bounds         Bounds
@@ -47,56 +51,59 @@
 
 	mu        sync.Mutex
 	upstreams map[string]*upstreamState
-	// hosts is how many share the upstreams; 0 if that is not known.
+	// hosts is the number of hosts that share the upstreams; 0 if unknown.
 	hosts int
-	// fallbackUntil is when the allocator is to be asked again after it did not answer.
+	// fallbackUntil is the time until which the allocator, after a failed call, is not
+	// called again.
 	fallbackUntil time.Time
 }
 
-// NewLimiter returns a limiter that asks for leave with ask. The bounds are for
-// hosts that get no answer.
-func NewLimiter(b Bounds, ask PermitFunc) *Limiter {
-	return &Limiter{bounds: b, requestPermits: ask, upstreams: map[string]*upstreamState{}}
+// NewLimiter returns a limiter that gets permits with requestPermits. The bounds
+// apply while those calls fail.
+func NewLimiter(b Bounds, requestPermits PermitFunc) *Limiter {
+	return &Limiter{bounds: b, requestPermits: requestPermits, upstreams: map[string]*upstreamState{}}
 }
 
-// SetHostCount tells how many hosts share the upstreams; 0 if that is not known.
+// SetHostCount sets the number of hosts that share the upstreams; 0 if unknown.
 func (l *Limiter) SetHostCount(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hosts = n
 }
 
+// state returns the upstream's state; l.mu must be held.
 func (l *Limiter) state(id string) *upstreamState {
-	a := l.upstreams[id]
-	if a == nil {
-		a = &upstreamState{}
-		l.upstreams[id] = a
+	u := l.upstreams[id]
+	if u == nil {
+		u = &upstreamState{}
+		l.upstreams[id] = u
 	}
-	return a
+	return u
 }
 
-// RetryAfter returns for how long requests to the upstream would certainly be turned
-// down; 0 if one may be tried.
+// RetryAfter returns for how long requests to the upstream will certainly be denied;
+// 0 if they may be allowed.
 func (l *Limiter) RetryAfter(id string, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if a := l.upstreams[id]; a != nil {
-		return max(a.deniedUntil.Sub(now), 0)
+	if u := l.upstreams[id]; u != nil {
+		return max(u.deniedUntil.Sub(now), 0)
 	}
 	return 0
 }
 
-// Take reports whether a request may be sent now to an upstream that takes
-// perSecond, and if not, how long it is until one may be.
+// Take reports whether a request may be sent now to an upstream with a limit of
+// perSecond, and counts it. If not, wait is the time until the next may be allowed,
+// or 0 if ctx has ended.
 func (l *Limiter) Take(ctx context.Context, id string, perSecond float64) (ok bool, wait time.Duration) {
 	now := time.Now()
 	ok, wait, want := l.takeLocal(id, perSecond, now)
 	if ok || want == 0 {
 		return ok, wait
 	}
-	asking, cancel := context.WithTimeout(ctx, permitCallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, permitCallTimeout)
 	defer cancel()
-	g, err := l.requestPermits(asking, id, perSecond, want)
+	p, err := l.requestPermits(callCtx, id, perSecond, want)
 	if ctx.Err() != nil {
 		return false, 0
 	}
@@ -107,59 +114,62 @@
 		l.fallbackUntil = now.Add(permitRetryInterval)
 		return l.takeFallback(l.state(id), perSecond, now)
 	}
-	return l.state(id).applyPermit(g, now)
+	return l.state(id).applyPermit(p, now)
 }
 
-// takeLocal takes leave that the host has already, or as much of its own share as
-// it may have without the allocator. If it has neither and may ask, it returns for
-// how many requests.
+// takeLocal decides without a call where it can: by permits that the host holds, by
+// an earlier denial, or by the fallback. Otherwise it returns in want the number of
+// permits to request, which is 0 if it has decided.
 func (l *Limiter) takeLocal(id string, perSecond float64, now time.Time) (ok bool, wait time.Duration, want int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.state(id)
+	u := l.state(id)
 	switch {
-	case a.permits > 0 && now.Before(a.permitsExpireAt):
-		a.permits--
+	case u.permits > 0 && now.Before(u.permitsExpireAt):
+		u.permits--
 		return true, 0, 0
-	case now.Before(a.deniedUntil):
-		return false, a.deniedUntil.Sub(now), 0
+	case now.Before(u.deniedUntil):
+		return false, u.deniedUntil.Sub(now), 0
 	case now.Before(l.fallbackUntil):
-		ok, wait = l.takeFallback(a, perSecond, now)
+		ok, wait = l.takeFallback(u, perSecond, now)
 		return ok, wait, 0
 	}
 	return false, 0, max(int(math.Ceil(perSecond*permitBatchSpan.Seconds()/float64(max(l.hosts, 1)))), 1)
 }
 
-// applyPermit takes in the allocator's answer.
-func (a *upstreamState) applyPermit(g Permit, now time.Time) (ok bool, wait time.Duration) {
-	if g.Requests == 0 {
-		return false, a.deny(g.Wait, now)
+// applyPermit applies the allocator's answer. The current request uses the first
+// permit.
+func (u *upstreamState) applyPermit(p Permit, now time.Time) (ok bool, wait time.Duration) {
+	if p.Requests == 0 {
+		return false, u.deny(p.Wait, now)
 	}
-	a.permits, a.permitsExpireAt = g.Requests-1, now.Add(permitTTL)
+	u.permits, u.permitsExpireAt = p.Requests-1, now.Add(permitTTL)
 	return true, 0
 }
 
-// deny turns requests down for a time, which it returns.
-func (a *upstreamState) deny(wait time.Duration, now time.Time) time.Duration {
+// deny denies further requests for wait, between minDenyTime and maxDenyTime, and
+// returns the time that results.
+func (u *upstreamState) deny(wait time.Duration, now time.Time) time.Duration {
 	wait = min(max(wait, minDenyTime), maxDenyTime)
-	a.deniedUntil = now.Add(wait)
+	u.deniedUntil = now.Add(wait)
 	return wait
 }
 
-// takeFallback takes of the host's own share. Without a known number of hosts there
-// is none, so that a new host cannot exceed the limit.
-func (l *Limiter) takeFallback(a *upstreamState, perSecond float64, now time.Time) (ok bool, wait time.Duration) {
+// takeFallback allows a request at a part of the host's equal share of the limit.
+// With an unknown number of hosts it denies all: a host that has just started could
+// otherwise exceed the limit.
+func (l *Limiter) takeFallback(u *upstreamState, perSecond float64, now time.Time) (ok bool, wait time.Duration) {
 	if l.hosts == 0 {
-		return false, a.deny(permitRetryInterval, now)
+		return false, u.deny(permitRetryInterval, now)
 	}
-	share := HostRate(l.bounds.UncoordinatedRate(perSecond) * fallbackShare / float64(l.hosts))
-	if a.fallback.Take(share, now.Add(maxInterval), now) {
+	rate := HostRate(l.bounds.UncoordinatedRate(perSecond) * fallbackShare / float64(l.hosts))
+	if u.fallback.Take(rate, now.Add(maxInterval), now) {
 		return true, 0
 	}
-	return false, a.deny(a.fallback.nextAllowed.Sub(now), now)
+	return false, u.deny(u.fallback.nextAllowed.Sub(now), now)
 }
 
-// Prune forgets upstreams for which limited is false.
+// Prune deletes the state of upstreams for which limited is false.
 func (l *Limiter) Prune(limited func(id string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
