--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -1,5 +1,5 @@
-// Package peek looks at a connection's socket without taking anything from it
-// and without waiting, also while another goroutine waits to read from it.
+// Package peek inspects a connection's socket without consuming data and without
+// blocking, even while another goroutine reads from the connection.
 package peek
 
 import (
@@ -9,22 +9,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is what a connection has to read.
+// State is the read state of a connection.
 type State int
 
 const (
-	// Unknown means that the connection cannot be looked at.
+	// Unknown means that the connection has no socket to inspect.
 	Unknown State = iota
-	// Idle means that it is open and nothing has arrived.
+	// Idle means that the connection is open and no data is available.
 	Idle
-	// Readable means that bytes have arrived.
+	// Readable means that data is available.
 	Readable
-	// Closed means that the other side closed or reset it.
+	// Closed means that the peer closed or reset the connection, or that it was
+	// closed locally.
 	Closed
 )
 
-// Conn returns the connection's state. It uses Control and not Read, which would
-// wait for a read under way on another goroutine.
+// Conn returns the connection's state. It uses RawConn.Control: RawConn.Read would
+// block until a pending read of another goroutine ends.
 func Conn(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -37,11 +38,11 @@
 	state := Closed
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
-		n, _, rerr := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, recvErr := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
-		case rerr == unix.EAGAIN:
+		case recvErr == unix.EAGAIN:
 			state = Idle
-		case rerr == nil && n > 0:
+		case recvErr == nil && n > 0:
 			state = Readable
 		}
 	})
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// The state of a connection is told while another goroutine waits to read from
-// it, as net/http does for the end of a caller's connection.
+// The state must be right while another goroutine waits to read, as net/http does to
+// detect that a client closes its connection: a call that waited for that read would
+// never see the close in time.
 func TestConnState(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	far, err := net.Dial("tcp4", ln.Addr().String())
+	remote, err := net.Dial("tcp4", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +33,7 @@
 		}
 	}
 	want(Idle)
-	if _, err := far.Write([]byte("xy")); err != nil {
+	if _, err := remote.Write([]byte("xy")); err != nil {
 		t.Fatal(err)
 	}
 	want(Readable)
@@ -44,10 +45,10 @@
 	go func() { _, _ = c.Read(b[:]); close(reading) }()
 	time.Sleep(10 * time.Millisecond)
 	want(Idle)
-	_ = far.Close()
+	_ = remote.Close()
 	<-reading
 	want(Closed)
 	if Conn(struct{ net.Conn }{c}) != Unknown {
-		t.Error("a connection that cannot be looked at has a state")
+		t.Error("a connection without a socket has a state other than Unknown")
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,10 +1,10 @@
-// Package relay keeps a copy of the log's streams for other hosts to read.
+// Package relay keeps a replica of the log's streams for other hosts to read.
 //
-// The log service's calls are priced and limited, and every host reads the
-// same records. The planner therefore reads them for all: the others follow
-// its copy, which costs the service as many calls for a hundred hosts as for
-// one. A copy says how old it is; a host for which it is too old reads the
-// log service itself.
+// Calls to the log service cost money and are limited, and every host reads the
+// same records. The planner therefore reads them for all hosts: the others fetch
+// from its replica, so that the number of calls to the log service doesn't grow
+// with the number of hosts. A replica reports its age; a host for which it is too
+// old reads the log service itself.
 package relay
 
 import (
@@ -15,106 +15,114 @@
 	"github.com/papayatide/papayatide/internal/metastore"
 )
 
-// Batch is what a host needs to bring its copy of a stream up to date.
+// Batch brings a replica of a stream up to date.
 type Batch struct {
 	Stream metastore.Stream
-	// Reset means that Records are the newest of each key and replace what
-	// was read before.
+	// Reset means that Records are the newest of each key and replace all records
+	// read before.
 	Reset   bool
 	Records []metastore.Record
-	// Changes stand in place of records of the ownership stream for a host
-	// that has the tables they were made from.
-	Changes    []Change
+	// Changes replace Records in the ownership stream for a host that has the tables
+	// to which they apply.
+	Changes []Change
+	// NextOffset is the offset of the record after the batch.
 	NextOffset int64
 }
 
-// kept is how many records of a stream are kept for hosts that are behind;
-// those further behind get the newest of each key.
+// maxRecentRecords is the number of records kept per stream for hosts that are
+// behind; a host that is further behind gets the newest record of each key.
 const maxRecentRecords = 512
 
-// Streams are the streams that are relayed.
+// Streams are the streams that a replica keeps.
 var Streams = []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams, metastore.StreamOwnership, metastore.StreamCrashes}
 
+// stream is the replica of one stream.
 type stream struct {
+	// initialized is set once the stream was read as a whole.
 	initialized bool
-	nextOffset  int64
-	newest      map[string]metastore.Record
-	recent      []metastore.Record
+	// nextOffset is the offset of the record to be read next.
+	nextOffset int64
+	// newest are the newest records by key.
+	newest map[string]metastore.Record
+	// recent are the last records, up to nextOffset.
+	recent []metastore.Record
 	// tables are the decoded records of the ownership stream.
 	tables tablesByKey
-	// needsFullTables is set while a change did not apply to what this host has.
+	// needsFullTables is set after a change didn't apply to this host's tables.
 	needsFullTables bool
-	// currentAt is when the log service last said that next is its end.
+	// currentAt is when the log service last confirmed that nextOffset is its end.
 	currentAt time.Time
 }
 
-// Replica is a copy of the streams. It is safe for concurrent use.
+// Replica is a replica of the streams. It is safe for concurrent use.
 type Replica struct {
 	mu      sync.Mutex
 	streams map[metastore.Stream]*stream
+	// changed is closed, and replaced, when a stream changes.
 	changed chan struct{}
-	// logFailedAt is when the log service last failed this host.
+	// logFailedAt is when a call of this host to the log service last failed.
 	logFailedAt time.Time
 }
 
-// NewReplica returns an empty copy. Nothing is known of the log service before.
+// NewReplica returns an empty replica. LogReachableFor counts from now on.
 func NewReplica() *Replica {
-	c := &Replica{streams: map[metastore.Stream]*stream{}, changed: make(chan struct{}), logFailedAt: time.Now()}
+	r := &Replica{streams: map[metastore.Stream]*stream{}, changed: make(chan struct{}), logFailedAt: time.Now()}
 	for _, s := range Streams {
-		c.streams[s] = &stream{nextOffset: -1, newest: map[string]metastore.Record{}}
+		r.streams[s] = &stream{nextOffset: -1, newest: map[string]metastore.Record{}}
 	}
-	return c
+	return r
 }
 
 // NextOffset returns the offset of the record of s to be read next; -1 if nothing
 // was read yet.
-func (c *Replica) NextOffset(s metastore.Stream) int64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.streams[s].nextOffset
-}
-
-// FetchOffset is Next as it is told to the host that is followed: -1 if this one
-// wants everything whole.
-func (c *Replica) FetchOffset(s metastore.Stream) int64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.streams[s].needsFullTables {
+func (r *Replica) NextOffset(s metastore.Stream) int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.streams[s].nextOffset
+}
+
+// FetchOffset returns the offset from which to fetch s from another replica: NextOffset,
+// or -1 if this host needs full tables.
+func (r *Replica) FetchOffset(s metastore.Stream) int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.streams[s].needsFullTables {
 		return -1
 	}
-	return c.streams[s].nextOffset
+	return r.streams[s].nextOffset
 }
 
-// Apply takes a batch in and returns the part of it that is new, or nil. A
-// batch that does not join on to what was read is dropped: it will be read
-// again from the right place.
-func (c *Replica) Apply(b Batch) *Batch {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	st := c.streams[b.Stream]
+// Apply applies a batch and returns the part of it that is new, or nil. A batch that
+// does not continue the replica is dropped: its records are fetched again from the
+// right offset.
+func (r *Replica) Apply(b Batch) *Batch {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	st := r.streams[b.Stream]
 	if b.Reset {
 		if st.initialized && b.NextOffset < st.nextOffset {
 			return nil
 		}
 		st.reset(b)
-		c.notify()
+		r.notify()
 		return &b
 	}
-	fresh := b.Records
-	for len(fresh) > 0 && fresh[0].Offset < st.nextOffset {
-		fresh = fresh[1:]
+	added := b.Records
+	for len(added) > 0 && added[0].Offset < st.nextOffset {
+		added = added[1:]
 	}
-	if !st.initialized || len(fresh) == 0 || fresh[0].Offset != st.nextOffset {
+	if !st.initialized || len(added) == 0 || added[0].Offset != st.nextOffset {
 		return nil
 	}
-	st.add(fresh)
+	st.add(added)
 	if b.Stream == metastore.StreamOwnership {
-		st.recent = nil // only the newest is of use
+		st.recent = nil // only the newest tables are sent
 	}
-	c.notify()
-	return &Batch{Stream: b.Stream, Records: fresh, NextOffset: st.nextOffset}
+	r.notify()
+	return &Batch{Stream: b.Stream, Records: added, NextOffset: st.nextOffset}
 }
 
+// reset replaces the stream with a batch of the newest records.
 func (st *stream) reset(b Batch) {
 	st.initialized, st.needsFullTables = true, false
 	st.nextOffset = b.NextOffset
@@ -125,6 +133,7 @@
 	}
 }
 
+// add appends records that continue the stream.
 func (st *stream) add(recs []metastore.Record) {
 	for _, r := range recs {
 		if r.Value == nil {
@@ -140,61 +149,65 @@
 	}
 }
 
-func (c *Replica) notify() {
-	close(c.changed)
-	c.changed = make(chan struct{})
+// notify wakes the calls of Fetch that wait for a change.
+func (r *Replica) notify() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// MarkCurrent notes that the copy of s was the log's at the time.
-func (c *Replica) MarkCurrent(s metastore.Stream, at time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if st := c.streams[s]; at.After(st.currentAt) {
+// MarkCurrent records that the replica of s was up to date with the log at the given
+// time.
+func (r *Replica) MarkCurrent(s metastore.Stream, at time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if st := r.streams[s]; at.After(st.currentAt) {
 		st.currentAt = at
 	}
 }
 
-// Age returns how long ago the copy was last known to be the log's, of the
-// older of the streams that others write. The ownership stream is written by
-// the planner itself.
-func (c *Replica) Age(now time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	oldest := time.Duration(0)
+// Age returns the time since the replica was last known to be up to date, of the
+// older of the streams of desired states and upstreams. The ownership stream does
+// not count: the planner writes it itself.
+func (r *Replica) Age(now time.Time) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	maxAge := time.Duration(0)
 	for _, s := range []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams} {
-		oldest = max(oldest, now.Sub(c.streams[s].currentAt))
+		maxAge = max(maxAge, now.Sub(r.streams[s].currentAt))
 	}
-	return oldest
+	return maxAge
 }
 
-// CurrentAt returns when the copy of s was last known to be the log's.
-func (c *Replica) CurrentAt(s metastore.Stream) time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.streams[s].currentAt
+// CurrentAt returns when the replica of s was last known to be up to date.
+func (r *Replica) CurrentAt(s metastore.Stream) time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.streams[s].currentAt
 }
 
-// RecordLogFailure notes that the log service failed this host at the time.
-func (c *Replica) RecordLogFailure(at time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.logFailedAt = at
+// RecordLogFailure records that a call of this host to the log service failed at the
+// given time.
+func (r *Replica) RecordLogFailure(at time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.logFailedAt = at
 }
 
-// LogReachableFor returns for how long the log service has not failed this host.
-func (c *Replica) LogReachableFor(now time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return now.Sub(c.logFailedAt)
+// LogReachableFor returns the time since a call of this host to the log service last
+// failed.
+func (r *Replica) LogReachableFor(now time.Time) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return now.Sub(r.logFailedAt)
 }
 
-// Fetch returns what a host at the given positions lacks. It waits up to
-// wait for something.
-func (c *Replica) Fetch(ctx context.Context, positions map[metastore.Stream]int64, wait time.Duration) []Batch {
+// Fetch returns the batches that a host lacks. The positions are its FetchOffset for
+// each stream. If nothing is missing, Fetch waits up to wait for the next change.
+func (r *Replica) Fetch(ctx context.Context, positions map[metastore.Stream]int64, wait time.Duration) []Batch {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
-		out, changed := c.missing(positions)
+		out, changed := r.missing(positions)
 		if len(out) > 0 {
 			return out
 		}
@@ -208,35 +221,37 @@
 	}
 }
 
-func (c *Replica) missing(positions map[metastore.Stream]int64) ([]Batch, <-chan struct{}) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// missing returns the batches that a host at the given positions lacks, and the channel
+// that is closed at the next change.
+func (r *Replica) missing(positions map[metastore.Stream]int64) ([]Batch, <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []Batch
 	for _, s := range Streams {
-		st := c.streams[s]
-		at, asked := positions[s]
-		if asked && st.initialized && at < st.nextOffset {
-			out = append(out, st.since(s, at))
+		st := r.streams[s]
+		offset, requested := positions[s]
+		if requested && st.initialized && offset < st.nextOffset {
+			out = append(out, st.since(s, offset))
 		}
 	}
-	return out, c.changed
+	return out, r.changed
 }
 
-// since returns the records from offset at on, or the newest of each key if
-// those are no longer all kept. Of the ownership stream only the newest is of
-// use, and each holds a whole table, so that what changed in it is returned
-// where its host's table is known.
-func (st *stream) since(s metastore.Stream, at int64) Batch {
+// since returns the records from offset on, or the newest of each key if not all of them
+// are kept any more. An ownership record holds a whole table and only the newest of a key
+// is needed, so that stream gets the changes since the host's tables, if those are known,
+// or else the newest records.
+func (st *stream) since(s metastore.Stream, offset int64) Batch {
 	b := Batch{Stream: s, NextOffset: st.nextOffset}
 	if s == metastore.StreamOwnership {
-		if b.Changes = st.changesSince(at); b.Changes != nil {
+		if b.Changes = st.changesSince(offset); b.Changes != nil {
 			return b
 		}
 		st.encodeNewest()
 	}
 	first := st.nextOffset - int64(len(st.recent))
-	if at >= first && at >= 0 && s != metastore.StreamOwnership {
-		b.Records = append(b.Records, st.recent[at-first:]...)
+	if offset >= first && offset >= 0 && s != metastore.StreamOwnership {
+		b.Records = append(b.Records, st.recent[offset-first:]...)
 		return b
 	}
 	b.Reset = true
--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -5,44 +5,45 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// Change is what a record of the ownership stream differs by from the table
-// that a host has.
+// Change is the difference between a host's table and a newer record of the ownership
+// stream.
 type Change struct {
-	// Key and Offset are the record's.
+	// Key and Offset are those of the record.
 	Key    string
 	Offset int64
 	// Data is an encoded ownership.Change.
 	Data []byte
 }
 
-// keptTables is how many tables of a service are kept to tell changes from. A
-// host that follows asks three times a second, and a planner records seven
-// tables a second at most for load.
+// maxTableVersions is the number of tables kept per service to compute changes from.
+// A host fetches three times a second; for load the planner records at most seven
+// tables a second.
 const maxTableVersions = 16
 
-// tablesByKey are decoded records of the ownership stream, by key.
+// tablesByKey are the decoded records of the ownership stream, by service.
 type tablesByKey map[string]*tableVersions
 
 // tableVersions are the last tables of one service.
 type tableVersions struct {
-	// byOffset is in the order of offsets.
+	// byOffset is ordered by offset, the newest table last.
 	byOffset []tableVersion
-	// encodedChanges caches the changes to the newest by the offset of their base: all
-	// followers of a host ask for the same few.
+	// encodedChanges caches the changes to the newest table by the offset of the table
+	// that they apply to: most followers need the same few.
 	encodedChanges map[int64][]byte
 }
 
+// tableVersion is the table of the ownership record at offset.
 type tableVersion struct {
 	offset int64
 	table  *ownership.Table
 }
 
-// KeepTable notes the table that the ownership record at offset holds. Hosts
-// that follow this one are then sent changes.
-func (c *Replica) KeepTable(offset int64, t *ownership.Table) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.streams[metastore.StreamOwnership].keepTable(offset, t)
+// KeepTable stores the table of the ownership record at offset. Hosts that fetch from
+// this one then get changes instead of whole tables.
+func (r *Replica) KeepTable(offset int64, t *ownership.Table) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.streams[metastore.StreamOwnership].keepTable(offset, t)
 }
 
 func (st *stream) keepTable(offset int64, t *ownership.Table) {
@@ -62,44 +63,44 @@
 	v.encodedChanges = map[int64][]byte{}
 }
 
-// ApplyTables takes in tables that changes made, with the offsets of their
-// records, up to the record before next. It reports false if the copy has got
-// further in the meantime.
-func (c *Replica) ApplyTables(next int64, made map[int64]*ownership.Table) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	st := c.streams[metastore.StreamOwnership]
-	if !st.initialized || next <= st.nextOffset {
+// ApplyTables stores tables that result from changes, by the offsets of their records,
+// and advances the ownership stream to nextOffset. It reports false, and stores nothing,
+// if the stream was never read or has reached nextOffset already.
+func (r *Replica) ApplyTables(nextOffset int64, tables map[int64]*ownership.Table) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	st := r.streams[metastore.StreamOwnership]
+	if !st.initialized || nextOffset <= st.nextOffset {
 		return false
 	}
-	for offset, t := range made {
+	for offset, t := range tables {
 		st.newest[t.Service] = metastore.Record{Key: t.Service, Offset: offset}
 		st.keepTable(offset, t)
 	}
-	st.nextOffset = next
+	st.nextOffset = nextOffset
 	st.recent = nil
-	c.notify()
+	r.notify()
 	return true
 }
 
-// RequestFullTables notes that a change did not apply to the tables that this host
-// has: a change was lost, or its own reading of the log came in between. It
-// asks for whole tables until it gets them.
-func (c *Replica) RequestFullTables() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.streams[metastore.StreamOwnership].needsFullTables = true
+// RequestFullTables records that a change did not apply to this host's tables: an
+// earlier change was lost, or the host read the log service in between. FetchOffset
+// then requests whole tables until they arrive.
+func (r *Replica) RequestFullTables() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.streams[metastore.StreamOwnership].needsFullTables = true
 }
 
-// changesSince returns what turns the tables of a host that has read up to at into
-// the newest, or nil if those it has are not known.
-func (st *stream) changesSince(at int64) []Change {
+// changesSince returns the changes from the tables of a host whose next record is at
+// offset to the newest tables, or nil if that host's tables are not known.
+func (st *stream) changesSince(offset int64) []Change {
 	var out []Change
 	for key, r := range st.newest {
-		if r.Offset < at {
+		if r.Offset < offset {
 			continue
 		}
-		data := st.tables[key].changeSince(at, r.Offset)
+		data := st.tables[key].changeSince(offset, r.Offset)
 		if data == nil {
 			return nil
 		}
@@ -108,20 +109,20 @@
 	return out
 }
 
-// changeSince returns what turns the last table before offset at into that at
-// offset to, or nil if either is not kept.
-func (v *tableVersions) changeSince(at, to int64) []byte {
+// changeSince returns the encoded change from the last table before nextOffset to the
+// newest table, or nil if the former is not kept or the latter is not at newestOffset.
+func (v *tableVersions) changeSince(nextOffset, newestOffset int64) []byte {
 	if v == nil || len(v.byOffset) == 0 {
 		return nil
 	}
 	newest := v.byOffset[len(v.byOffset)-1]
 	var base *tableVersion
 	for i := range v.byOffset {
-		if v.byOffset[i].offset < at {
+		if v.byOffset[i].offset < nextOffset {
 			base = &v.byOffset[i]
 		}
 	}
-	if base == nil || newest.offset != to {
+	if base == nil || newest.offset != newestOffset {
 		return nil
 	}
 	if data, ok := v.encodedChanges[base.offset]; ok {
@@ -135,7 +136,7 @@
 	return data
 }
 
-// encodeNewest fills in the records that came as changes.
+// encodeNewest sets the value of the newest records that were received as changes.
 func (st *stream) encodeNewest() {
 	for key, r := range st.newest {
 		v := st.tables[key]
@@ -144,7 +145,7 @@
 		}
 		data, err := v.byOffset[len(v.byOffset)-1].table.Encode()
 		if err != nil {
-			continue // followers read the log service themselves
+			continue // followers have to get the table from the log service
 		}
 		r.Value = data
 		st.newest[key] = r
--- a/internal/relay/tables_test.go
+++ b/internal/relay/tables_test.go
@@ -11,28 +11,28 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// tableHost is a host's copy of the ownership stream with the table in force,
-// as the control loop keeps it.
+// tableHost is a host's replica of the ownership stream with its current table, as the
+// control loop keeps them.
 type tableHost struct {
 	replica *Replica
 	table   *ownership.Table
-	// fullBytes counts the bytes of whole tables taken in, changed those of
+	// fullBytes counts the bytes received as whole tables, changeBytes those received as
 	// changes.
 	fullBytes, changeBytes int
 }
 
-// apply takes a batch in as a host does.
+// apply applies a batch as a host does.
 func (h *tableHost) apply(t *testing.T, b Batch) {
 	t.Helper()
 	if len(b.Changes) > 0 {
 		h.applyChanges(t, b)
 		return
 	}
-	fresh := h.replica.Apply(b)
-	if fresh == nil {
+	added := h.replica.Apply(b)
+	if added == nil {
 		return
 	}
-	for _, r := range fresh.Records {
+	for _, r := range added.Records {
 		got, err := ownership.Decode(r.Value)
 		if err != nil {
 			t.Fatal(err)
@@ -64,17 +64,17 @@
 	}
 }
 
-// fetch is one call of h to the host that it follows.
+// fetch makes one call of h to the host that it fetches from.
 func (h *tableHost) fetch(from *tableHost) []Batch {
-	at := map[metastore.Stream]int64{metastore.StreamOwnership: h.replica.FetchOffset(metastore.StreamOwnership)}
-	return from.replica.Fetch(context.Background(), at, time.Nanosecond)
+	positions := map[metastore.Stream]int64{metastore.StreamOwnership: h.replica.FetchOffset(metastore.StreamOwnership)}
+	return from.replica.Fetch(context.Background(), positions, time.Nanosecond)
 }
 
-// A planner records a table several times a second; a relay follows it, and a
-// host the relay. Answers get lost, come twice or late, and the hosts read
-// single records from the log service in between. Once all have asked without
-// loss they have the planner's table: with a wrong one, keys would be sent to
-// an upstream that does not own them for good.
+// A planner records a table several times a second; a relay fetches from it and a host
+// from the relay. Answers get lost, repeat or arrive late, and hosts read single records
+// from the log service in between. Once all have fetched without loss they must have the
+// planner's table: a wrong one would send requests to upstreams that don't own their
+// keys, permanently.
 func TestTablesConvergeThroughChanges(t *testing.T) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -128,15 +128,15 @@
 		}
 		for _, h := range []*tableHost{relay, host} {
 			if h.table == nil || h.table.Digest() != table.Digest() {
-				t.Fatalf("seed %d: a host has not the planner's table", seed)
+				t.Fatalf("seed %d: a host does not have the planner's table", seed)
 			}
 		}
 	}
 }
 
-// A host of 300 is sent the changes of a table of 900 ranges, seven a second.
-// Sent whole, at 10 KB each, they would take more than the 26 KB a second that
-// a host may spend on control; sent as changes they take a few hundred bytes.
+// A fleet of 300 hosts has a table of 900 ranges that changes seven times a second. Sent
+// as whole tables of 10 KB, that would exceed the 26 KB a second that a host may use for
+// control traffic; a change takes a few hundred bytes.
 func TestFollowersAreSentOnlyChanges(t *testing.T) {
 	planner, host := &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}
 	table := ownership.NewTable("s")
@@ -164,12 +164,12 @@
 		}
 	}
 	if host.fullBytes != first {
-		t.Errorf("%d bytes of whole tables after the first", host.fullBytes-first)
+		t.Errorf("%d bytes received as whole tables after the first, want 0", host.fullBytes-first)
 	}
 	if per := host.changeBytes / (records - 1); per > 700 {
-		t.Errorf("a change of one range takes %d bytes", per)
+		t.Errorf("a change of one range takes %d bytes, want at most 700", per)
 	}
 	if host.table.Digest() != table.Digest() {
-		t.Error("the host has not the planner's table")
+		t.Error("the host does not have the planner's table")
 	}
 }
