--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// server is an upstream with slots and a queue, in virtual time.
-type server struct {
-	mu     sync.Mutex
-	busy   int
-	queue  []chan struct{}
-	slots  int
-	length int
-	work   time.Duration
+// simUpstream simulates an upstream with slots and a bounded queue.
+type simUpstream struct {
+	mu         sync.Mutex
+	busy       int
+	queue      []chan struct{}
+	slots      int
+	queueLimit int
+	workTime   time.Duration
 }
 
-// serve works on a request; it reports false if there is no room.
-func (s *server) serve() bool {
+// serve executes a request; it reports false if slots and queue are full.
+func (s *simUpstream) serve() bool {
 	s.mu.Lock()
 	if s.busy >= s.slots {
-		if len(s.queue) >= s.length {
+		if len(s.queue) >= s.queueLimit {
 			s.mu.Unlock()
 			return false
 		}
-		ch := make(chan struct{})
-		s.queue = append(s.queue, ch)
+		turn := make(chan struct{})
+		s.queue = append(s.queue, turn)
 		s.mu.Unlock()
-		<-ch
+		<-turn
 	} else {
 		s.busy++
 		s.mu.Unlock()
 	}
-	time.Sleep(s.work)
+	time.Sleep(s.workTime)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.queue) > 0 {
@@ -47,19 +47,19 @@
 	return true
 }
 
-// result counts what callers got.
-type result struct {
+// simResult counts the outcomes that callers got.
+type simResult struct {
 	mu                   sync.Mutex
 	inTime, late, failed int
 	refusedAfter         []time.Duration
 }
 
-const objective = 600 * time.Millisecond
+const latencyObjective = 600 * time.Millisecond
 
-// play sends perSecond requests a second for d through each of the hosts to
-// one server, with admission or without.
-func play(hosts int, perSecond float64, d time.Duration, s *server, admit bool) *result {
-	res := &result{}
+// simulate sends perSecond requests a second for d through random hosts to one
+// upstream, with admission or without.
+func simulate(hosts int, perSecond float64, d time.Duration, s *simUpstream, admit bool) *simResult {
+	res := &simResult{}
 	rng := rand.New(rand.NewPCG(1, 2))
 	var wg sync.WaitGroup
 	limiters := make([]*Limiter, hosts)
@@ -69,17 +69,18 @@
 	for start := time.Now(); time.Since(start) < d; {
 		time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 		l := limiters[rng.IntN(hosts)]
-		wg.Go(func() { one(l, s, admit, ShareOf(s.slots, 0, hosts), res) })
+		wg.Go(func() { simulateRequest(l, s, admit, ShareOf(s.slots, 0, hosts), res) })
 	}
 	wg.Wait()
 	return res
 }
 
-func one(l *Limiter, s *server, admit bool, share Share, res *result) {
+// simulateRequest sends one request through l and records its outcome.
+func simulateRequest(l *Limiter, s *simUpstream, admit bool, share Share, res *simResult) {
 	start := time.Now()
 	var t *Ticket
 	if admit {
-		t = l.Acquire(context.Background(), objective/2, share)
+		t = l.Acquire(context.Background(), latencyObjective/2, share)
 		if t == nil {
 			res.mu.Lock()
 			defer res.mu.Unlock()
@@ -90,111 +91,114 @@
 	}
 	sent := time.Now()
 	ok := s.serve()
-	took := time.Since(sent)
-	v := InTime
+	elapsed := time.Since(sent)
+	signal := InTime
 	switch {
 	case !ok:
-		v = Full
-	case took > objective*8/10:
-		v = Late
+		signal = Full
+	case elapsed > latencyObjective*8/10:
+		signal = Late
 	}
 	if t != nil {
-		t.Done(v, took)
+		t.Done(signal, elapsed)
 	}
 	res.mu.Lock()
 	defer res.mu.Unlock()
 	switch {
 	case !ok:
 		res.failed++
-	case time.Since(start) > objective:
+	case time.Since(start) > latencyObjective:
 		res.late++
 	default:
 		res.inTime++
 	}
 }
 
-// Twelve hosts send one upstream a third more than it can work on. Sent on
-// as they come, the upstream's queue stays full and nearly every answer is
-// late. With limits most of what it works on is answered in time, and who is
-// refused is refused soon.
-func TestOverloadIsServedInTime(t *testing.T) {
+// Twelve hosts send one upstream a third more than its capacity. Without limits
+// its queue stays full and nearly every response is late. With limits most
+// requests that it executes are answered in time, and refusals come early.
+func TestOverloadedUpstreamAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// 3 slots at 150 ms serve 20 a second.
-		plain := play(12, 27, time.Minute, &server{slots: 3, length: 12, work: 150 * time.Millisecond}, false)
-		limited := play(12, 27, time.Minute, &server{slots: 3, length: 12, work: 150 * time.Millisecond}, true)
+		plain := simulate(12, 27, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, false)
+		limited := simulate(12, 27, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, true)
 		t.Logf("without limits: %d in time, %d late, %d refused", plain.inTime, plain.late, plain.failed)
 		t.Logf("with limits: %d in time, %d late, %d refused", limited.inTime, limited.late, limited.failed)
 		if limited.inTime < 900 || limited.inTime < 2*plain.inTime {
-			t.Errorf("%d of at most 1200 in time; %d without limits", limited.inTime, plain.inTime)
+			t.Errorf("%d of at most 1200 requests answered in time; %d without limits", limited.inTime, plain.inTime)
 		}
 		for _, d := range limited.refusedAfter {
-			if d > objective/2 {
-				t.Fatalf("refused only after %v", d)
+			if d > latencyObjective/2 {
+				t.Fatalf("request refused only after %v, want at most half of the latency objective", d)
 			}
 		}
 	})
 }
 
-// A thousand hosts send one upstream a third more than it can work on: each
-// sees one request in forty seconds. If every host's limit could shrink to a
-// quarter only, as a dozen hosts' may, each of their requests would be let
-// through, and the upstream's queue of sixty would stay full.
-func TestOverloadOfALargeFleetIsServedInTime(t *testing.T) {
+// A thousand hosts send one upstream a third more than its capacity; each gets
+// one request in forty seconds. If their limits could decrease only to that of a
+// dozen hosts, 0.25, every request would be admitted and the upstream's queue of
+// 60 would stay full.
+func TestOverloadedUpstreamOfALargeFleetAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := play(1000, 27, 4*time.Minute, &server{slots: 3, length: 60, work: 150 * time.Millisecond}, true)
+		r := simulate(1000, 27, 4*time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
 		t.Logf("%d in time, %d late, %d refused", r.inTime, r.late, r.failed)
 		if r.inTime < 1000 {
-			t.Errorf("%d of at most 4800 in time, %d late", r.inTime, r.late)
+			t.Errorf("%d of at most 4800 requests answered in time, %d late", r.inTime, r.late)
 		}
 	})
 }
 
-// The same fleet lets a load through that the upstream can carry.
-func TestUsualLoadOfALargeFleetIsLetThrough(t *testing.T) {
+// In a large fleet, too, a load within the upstream's capacity is admitted: the
+// lower limits of its hosts must not refuse requests.
+func TestNormalLoadOfALargeFleetIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := play(91, 12, time.Minute, &server{slots: 3, length: 60, work: 150 * time.Millisecond}, true)
+		r := simulate(91, 12, time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
 		if total := r.inTime + r.late + r.failed; r.failed > total/100 {
-			t.Errorf("%d of %d refused", r.failed, total)
+			t.Errorf("%d of %d requests refused, want at most 1%%", r.failed, total)
 		}
 	})
 }
 
-// Under a load that the upstream can carry nobody is refused.
-func TestUsualLoadIsLetThrough(t *testing.T) {
+// A load within the upstream's capacity is admitted: limits must not refuse
+// requests because of random bursts.
+func TestNormalLoadIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := play(12, 12, time.Minute, &server{slots: 3, length: 12, work: 150 * time.Millisecond}, true)
+		r := simulate(12, 12, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, true)
 		if total := r.inTime + r.late + r.failed; r.failed > total/100 {
-			t.Errorf("%d of %d refused", r.failed, total)
+			t.Errorf("%d of %d requests refused, want at most 1%%", r.failed, total)
 		}
 	})
 }
 
-// After an overload has passed, the limits grow back within seconds.
-func TestLimitsRecover(t *testing.T) {
+// After an overload the limit must increase again within seconds, or the host
+// would go on refusing requests.
+func TestLimitRecoversAfterOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter()
 		for range 20 {
-			tk := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
-			time.Sleep(calm)
-			tk.Done(Full, 0)
+			ticket := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
+			time.Sleep(minDecreaseInterval)
+			ticket.Done(Full, 0)
 		}
-		if l.limit != leastLimit {
-			t.Fatalf("limit %v after 20 refusals", l.limit)
+		if l.limit != minLimit {
+			t.Fatalf("limit %v after 20 Full signals, want the minimum", l.limit)
 		}
 		start := time.Now()
 		for l.limit < 2 {
-			tk := l.Acquire(context.Background(), 10*time.Second, ShareOf(3, 0, 1))
+			ticket := l.Acquire(context.Background(), 10*time.Second, ShareOf(3, 0, 1))
 			time.Sleep(100 * time.Millisecond)
-			tk.Done(InTime, 100*time.Millisecond)
+			ticket.Done(InTime, 100*time.Millisecond)
 		}
 		if d := time.Since(start); d > 3*time.Second {
-			t.Errorf("grown back only after %v", d)
+			t.Errorf("limit recovered only after %v", d)
 		}
 	})
 }
 
-// A caller that leaves while it waits gives its turn to the next one.
-func TestWaiterThatLeavesLosesNoTurn(t *testing.T) {
+// A caller that cancels while it waits must not keep its place among the waiters,
+// or the next waiter would never get its turn.
+func TestCancelledWaiterPassesOnItsTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter()
 		first := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
@@ -202,7 +206,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			if l.Acquire(ctx, time.Minute, ShareOf(3, 0, 1)) != nil {
-				t.Error("a caller that left got a turn")
+				t.Error("a cancelled caller got a ticket")
 			}
 		}()
 		time.Sleep(time.Millisecond)
@@ -212,11 +216,11 @@
 		cancel()
 		synctest.Wait()
 		first.Done(InTime, 100*time.Millisecond)
-		if tk := <-got; tk == nil {
-			t.Fatal("the next waiter got no turn")
+		if ticket := <-got; ticket == nil {
+			t.Fatal("the next waiter got no ticket")
 		}
 		if n := l.InFlight(); n != 1 {
-			t.Errorf("%d under way, want 1", n)
+			t.Errorf("%d requests in flight, want 1", n)
 		}
 	})
 }
--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -5,101 +5,102 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// Change is what a record of the ownership stream differs by from the table
-// that a host has.
+// Change is the difference between a host's table and a newer record of the ownership
+// stream.
 type Change struct {
-	// Key and Offset are the record's.
+	// Key and Offset are those of the record.
 	Key    string
 	Offset int64
 	// Data is an encoded ownership.Change.
 	Data []byte
 }
 
-// keptTables is how many tables of a service are kept to tell changes from. A
-// host that follows asks three times a second, and a planner records seven
-// tables a second at most for load.
-const keptTables = 16
+// maxTableVersions is the number of tables kept per service to compute changes from.
+// A host fetches three times a second; for load the planner records at most seven
+// tables a second.
+const maxTableVersions = 16
 
-// tables are decoded records of the ownership stream, by key.
-type tables map[string]*versions
+// tablesByKey are the decoded records of the ownership stream, by service.
+type tablesByKey map[string]*tableVersions
 
-// versions are the last tables of one service.
-type versions struct {
-	// byAge is in the order of offsets.
-	byAge []version
-	// made caches the changes to the newest by the offset of their base: all
-	// followers of a host ask for the same few.
-	made map[int64][]byte
+// tableVersions are the last tables of one service.
+type tableVersions struct {
+	// byOffset is ordered by offset, the newest table last.
+	byOffset []tableVersion
+	// encodedChanges caches the changes to the newest table by the offset of the table
+	// that they apply to: most followers need the same few.
+	encodedChanges map[int64][]byte
 }
 
-type version struct {
+// tableVersion is the table of the ownership record at offset.
+type tableVersion struct {
 	offset int64
 	table  *ownership.Table
 }
 
-// KeepTable notes the table that the ownership record at offset holds. Hosts
-// that follow this one are then sent changes.
-func (c *Replica) KeepTable(offset int64, t *ownership.Table) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.by[metastore.StreamOwnership].keepTable(offset, t)
+// KeepTable stores the table of the ownership record at offset. Hosts that fetch from
+// this one then get changes instead of whole tables.
+func (r *Replica) KeepTable(offset int64, t *ownership.Table) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.streams[metastore.StreamOwnership].keepTable(offset, t)
 }
 
 func (st *stream) keepTable(offset int64, t *ownership.Table) {
 	if st.tables == nil {
-		st.tables = tables{}
+		st.tables = tablesByKey{}
 	}
 	v := st.tables[t.Service]
 	if v == nil {
-		v = &versions{}
+		v = &tableVersions{}
 		st.tables[t.Service] = v
 	}
-	if n := len(v.byAge); n > 0 && v.byAge[n-1].offset >= offset {
+	if n := len(v.byOffset); n > 0 && v.byOffset[n-1].offset >= offset {
 		return
 	}
-	v.byAge = append(v.byAge, version{offset, t})
-	v.byAge = v.byAge[max(len(v.byAge)-keptTables, 0):]
-	v.made = map[int64][]byte{}
+	v.byOffset = append(v.byOffset, tableVersion{offset, t})
+	v.byOffset = v.byOffset[max(len(v.byOffset)-maxTableVersions, 0):]
+	v.encodedChanges = map[int64][]byte{}
 }
 
-// ApplyTables takes in tables that changes made, with the offsets of their
-// records, up to the record before next. It reports false if the copy has got
-// further in the meantime.
-func (c *Replica) ApplyTables(next int64, made map[int64]*ownership.Table) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	st := c.by[metastore.StreamOwnership]
-	if !st.known || next <= st.next {
+// ApplyTables stores tables that result from changes, by the offsets of their records,
+// and advances the ownership stream to nextOffset. It reports false, and stores nothing,
+// if the stream was never read or has reached nextOffset already.
+func (r *Replica) ApplyTables(nextOffset int64, tables map[int64]*ownership.Table) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	st := r.streams[metastore.StreamOwnership]
+	if !st.initialized || nextOffset <= st.nextOffset {
 		return false
 	}
-	for offset, t := range made {
+	for offset, t := range tables {
 		st.newest[t.Service] = metastore.Record{Key: t.Service, Offset: offset}
 		st.keepTable(offset, t)
 	}
-	st.next = next
+	st.nextOffset = nextOffset
 	st.recent = nil
-	c.wake()
+	r.notify()
 	return true
 }
 
-// RequestFullTables notes that a change did not apply to the tables that this host
-// has: a change was lost, or its own reading of the log came in between. It
-// asks for whole tables until it gets them.
-func (c *Replica) RequestFullTables() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.by[metastore.StreamOwnership].wanted = true
+// RequestFullTables records that a change did not apply to this host's tables: an
+// earlier change was lost, or the host read the log service in between. FetchOffset
+// then requests whole tables until they arrive.
+func (r *Replica) RequestFullTables() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.streams[metastore.StreamOwnership].needsFullTables = true
 }
 
-// changes returns what turns the tables of a host that has read up to at into
-// the newest, or nil if those it has are not known.
-func (st *stream) changes(at int64) []Change {
+// changesSince returns the changes from the tables of a host whose next record is at
+// offset to the newest tables, or nil if that host's tables are not known.
+func (st *stream) changesSince(offset int64) []Change {
 	var out []Change
 	for key, r := range st.newest {
-		if r.Offset < at {
+		if r.Offset < offset {
 			continue
 		}
-		data := st.tables[key].change(at, r.Offset)
+		data := st.tables[key].changeSince(offset, r.Offset)
 		if data == nil {
 			return nil
 		}
@@ -108,43 +109,43 @@
 	return out
 }
 
-// change returns what turns the last table before offset at into that at
-// offset to, or nil if either is not kept.
-func (v *versions) change(at, to int64) []byte {
-	if v == nil || len(v.byAge) == 0 {
+// changeSince returns the encoded change from the last table before nextOffset to the
+// newest table, or nil if the former is not kept or the latter is not at newestOffset.
+func (v *tableVersions) changeSince(nextOffset, newestOffset int64) []byte {
+	if v == nil || len(v.byOffset) == 0 {
 		return nil
 	}
-	newest := v.byAge[len(v.byAge)-1]
-	var base *version
-	for i := range v.byAge {
-		if v.byAge[i].offset < at {
-			base = &v.byAge[i]
+	newest := v.byOffset[len(v.byOffset)-1]
+	var base *tableVersion
+	for i := range v.byOffset {
+		if v.byOffset[i].offset < nextOffset {
+			base = &v.byOffset[i]
 		}
 	}
-	if base == nil || newest.offset != to {
+	if base == nil || newest.offset != newestOffset {
 		return nil
 	}
-	if data, ok := v.made[base.offset]; ok {
+	if data, ok := v.encodedChanges[base.offset]; ok {
 		return data
 	}
 	data, err := ownership.Diff(base.table, newest.table).Encode()
 	if err != nil {
 		return nil // the whole table is sent instead
 	}
-	v.made[base.offset] = data
+	v.encodedChanges[base.offset] = data
 	return data
 }
 
-// encodeNewest fills in the records that came as changes.
+// encodeNewest sets the value of the newest records that were received as changes.
 func (st *stream) encodeNewest() {
 	for key, r := range st.newest {
 		v := st.tables[key]
-		if r.Value != nil || v == nil || len(v.byAge) == 0 || v.byAge[len(v.byAge)-1].offset != r.Offset {
+		if r.Value != nil || v == nil || len(v.byOffset) == 0 || v.byOffset[len(v.byOffset)-1].offset != r.Offset {
 			continue
 		}
-		data, err := v.byAge[len(v.byAge)-1].table.Encode()
+		data, err := v.byOffset[len(v.byOffset)-1].table.Encode()
 		if err != nil {
-			continue // followers read the log service themselves
+			continue // followers have to get the table from the log service
 		}
 		r.Value = data
 		st.newest[key] = r
--- a/internal/relay/tables_test.go
+++ b/internal/relay/tables_test.go
@@ -11,88 +11,88 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// tableHost is a host's copy of the ownership stream with the table in force,
-// as the control loop keeps it.
+// tableHost is a host's replica of the ownership stream with its current table, as the
+// control loop keeps them.
 type tableHost struct {
-	copy  *Replica
-	table *ownership.Table
-	// whole counts the bytes of whole tables taken in, changed those of
+	replica *Replica
+	table   *ownership.Table
+	// fullBytes counts the bytes received as whole tables, changeBytes those received as
 	// changes.
-	whole, changed int
+	fullBytes, changeBytes int
 }
 
-// take takes a batch in as a host does.
-func (h *tableHost) take(t *testing.T, b Batch) {
+// apply applies a batch as a host does.
+func (h *tableHost) apply(t *testing.T, b Batch) {
 	t.Helper()
 	if len(b.Changes) > 0 {
-		h.change(t, b)
+		h.applyChanges(t, b)
 		return
 	}
-	fresh := h.copy.Apply(b)
-	if fresh == nil {
+	added := h.replica.Apply(b)
+	if added == nil {
 		return
 	}
-	for _, r := range fresh.Records {
+	for _, r := range added.Records {
 		got, err := ownership.Decode(r.Value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.whole += len(r.Value)
+		h.fullBytes += len(r.Value)
 		if h.table == nil || got.MaxFencingToken > h.table.MaxFencingToken {
 			h.table = got
 		}
-		h.copy.KeepTable(r.Offset, got)
+		h.replica.KeepTable(r.Offset, got)
 	}
 }
 
-func (h *tableHost) change(t *testing.T, b Batch) {
+func (h *tableHost) applyChanges(t *testing.T, b Batch) {
 	t.Helper()
 	for _, c := range b.Changes {
-		h.changed += len(c.Data)
+		h.changeBytes += len(c.Data)
 		parsed, err := ownership.DecodeDelta(c.Data)
 		if err != nil {
 			t.Fatal(err)
 		}
 		next, err := parsed.Apply(h.table)
 		if err != nil {
-			h.copy.RequestFullTables()
+			h.replica.RequestFullTables()
 			return
 		}
-		if h.copy.ApplyTables(b.NextOffset, map[int64]*ownership.Table{c.Offset: next}) {
+		if h.replica.ApplyTables(b.NextOffset, map[int64]*ownership.Table{c.Offset: next}) {
 			h.table = next
 		}
 	}
 }
 
-// ask is one call of h to the host that it follows.
-func (h *tableHost) ask(from *tableHost) []Batch {
-	at := map[metastore.Stream]int64{metastore.StreamOwnership: h.copy.FetchOffset(metastore.StreamOwnership)}
-	return from.copy.Fetch(context.Background(), at, time.Nanosecond)
+// fetch makes one call of h to the host that it fetches from.
+func (h *tableHost) fetch(from *tableHost) []Batch {
+	positions := map[metastore.Stream]int64{metastore.StreamOwnership: h.replica.FetchOffset(metastore.StreamOwnership)}
+	return from.replica.Fetch(context.Background(), positions, time.Nanosecond)
 }
 
-// A planner records a table several times a second; a relay follows it, and a
-// host the relay. Answers get lost, come twice or late, and the hosts read
-// single records from the log service in between. Once all have asked without
-// loss they have the planner's table: with a wrong one, keys would be sent to
-// an upstream that does not own them for good.
-func TestTablesArriveThroughChanges(t *testing.T) {
+// A planner records a table several times a second; a relay fetches from it and a host
+// from the relay. Answers get lost, repeat or arrive late, and hosts read single records
+// from the log service in between. Once all have fetched without loss they must have the
+// planner's table: a wrong one would send requests to upstreams that don't own their
+// keys, permanently.
+func TestTablesConvergeThroughChanges(t *testing.T) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		planner, relay, host := &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}
-		planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
+		planner, relay, host := &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}
+		planner.replica.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
 		table := ownership.NewTable("s")
 		var late []Batch
 		follow := func(h, from *tableHost, loss bool) {
-			for _, b := range h.ask(from) {
+			for _, b := range h.fetch(from) {
 				switch n := rng.IntN(10); {
 				case loss && n == 0: // the answer is lost
 				case loss && n == 1:
 					late = append(late, b)
 				case loss && n == 2:
-					h.take(t, b)
-					h.take(t, b)
+					h.apply(t, b)
+					h.apply(t, b)
 				default:
-					h.take(t, b)
+					h.apply(t, b)
 				}
 			}
 		}
@@ -106,8 +106,8 @@
 			record := Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1,
 				Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}}
 			planner.table = table
-			planner.copy.KeepTable(offset, table)
-			planner.copy.Apply(record)
+			planner.replica.KeepTable(offset, table)
+			planner.replica.Apply(record)
 			if rng.IntN(3) > 0 {
 				follow(relay, planner, true)
 			}
@@ -115,10 +115,10 @@
 				follow(host, relay, true)
 			}
 			if rng.IntN(20) == 0 {
-				host.take(t, record)
+				host.apply(t, record)
 			}
 			if len(late) > 0 && rng.IntN(4) == 0 {
-				host.take(t, late[0])
+				host.apply(t, late[0])
 				late = late[1:]
 			}
 		}
@@ -128,24 +128,24 @@
 		}
 		for _, h := range []*tableHost{relay, host} {
 			if h.table == nil || h.table.Digest() != table.Digest() {
-				t.Fatalf("seed %d: a host has not the planner's table", seed)
+				t.Fatalf("seed %d: a host does not have the planner's table", seed)
 			}
 		}
 	}
 }
 
-// A host of 300 is sent the changes of a table of 900 ranges, seven a second.
-// Sent whole, at 10 KB each, they would take more than the 26 KB a second that
-// a host may spend on control; sent as changes they take a few hundred bytes.
-func TestSteadyFollowersAreSentChangesOnly(t *testing.T) {
-	planner, host := &tableHost{copy: NewReplica()}, &tableHost{copy: NewReplica()}
+// A fleet of 300 hosts has a table of 900 ranges that changes seven times a second. Sent
+// as whole tables of 10 KB, that would exceed the 26 KB a second that a host may use for
+// control traffic; a change takes a few hundred bytes.
+func TestFollowersAreSentOnlyChanges(t *testing.T) {
+	planner, host := &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}
 	table := ownership.NewTable("s")
 	var moves []ownership.Move
 	for i := range 900 {
 		moves = append(moves, ownership.Move{From: i * 72, To: i*72 + 71, NewOwner: fmt.Sprintf("i-%010x", i*7919), HandoverToken: fmt.Sprintf("%016x", i*104729)})
 	}
 	table = table.Apply(moves)
-	planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
+	planner.replica.Apply(Batch{Stream: metastore.StreamOwnership, Reset: true})
 	const records = 20
 	first := 0
 	for offset := range int64(records) {
@@ -154,22 +154,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		planner.copy.KeepTable(offset, table)
-		planner.copy.Apply(Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1, Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}})
-		for _, b := range host.ask(planner) {
-			host.take(t, b)
+		planner.replica.KeepTable(offset, table)
+		planner.replica.Apply(Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1, Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}})
+		for _, b := range host.fetch(planner) {
+			host.apply(t, b)
 		}
 		if offset == 0 {
-			first = host.whole
+			first = host.fullBytes
 		}
 	}
-	if host.whole != first {
-		t.Errorf("%d bytes of whole tables after the first", host.whole-first)
+	if host.fullBytes != first {
+		t.Errorf("%d bytes received as whole tables after the first, want 0", host.fullBytes-first)
 	}
-	if per := host.changed / (records - 1); per > 700 {
-		t.Errorf("a change of one range takes %d bytes", per)
+	if per := host.changeBytes / (records - 1); per > 700 {
+		t.Errorf("a change of one range takes %d bytes, want at most 700", per)
 	}
 	if host.table.Digest() != table.Digest() {
-		t.Error("the host has not the planner's table")
+		t.Error("the host does not have the planner's table")
 	}
 }
