--- a/internal/dispatch/broken.go
+++ b/internal/dispatch/broken.go
@@ -38,7 +38,7 @@
 // askWhetherEnded bounds the question whether an upstream has ended. It is
 // answered in a millisecond or two: a listener that is gone refuses at once.
 // It keeps the caller waiting for its next try.
-const askWhetherEnded = 100 * time.Millisecond
+const crashCheckTimeout = 100 * time.Millisecond
 
 // recordBrokenSend takes note of a send that broke off. Whether the upstream ended
 // under it is asked at once, before the request may be sent again: answers
@@ -48,18 +48,18 @@
 func (d *Dispatcher) recordBrokenSend(ctx context.Context, q *request, u *catalogue.Upstream, took time.Duration) {
 	b := &BrokenSend{ID: q.outbound.ID, Service: q.service.Name, Upstream: u.ID, Key: q.key, FencingToken: q.lastFencingToken,
 		Fingerprint: q.fingerprint(), UpstreamTime: took, Err: q.lastErr}
-	ctx, cancel := context.WithTimeout(ctx, askWhetherEnded)
+	ctx, cancel := context.WithTimeout(ctx, crashCheckTimeout)
 	defer cancel()
 	now := time.Now()
 	b.Crashed = d.client.PortClosed(ctx, upstream.Target{ID: u.ID, Addr: u.Addr})
 	if b.Crashed {
-		d.board.RecordCrash(u.ID, now)
+		d.picker.RecordCrash(u.ID, now)
 		d.feedback.RecordCrash(u.ID, now)
 		b.Crashes = d.crashes.RecordCrash(crashes.Crash{Fingerprint: b.Fingerprint, Server: u.ID, At: now})
 	} else if !u.Leaving {
 		e := crashes.Crash{Fingerprint: b.Fingerprint, Server: u.ID, At: now}
 		d.crashes.RecordBrokenSend(e)
-		d.unresolved.add(e)
+		d.unresolvedSends.add(e)
 	}
 	d.OnBrokenSend(b)
 }
@@ -68,34 +68,34 @@
 	// entryExpiry is how long after a server's end its entry may go: three missed
 	// heartbeats of some 0.9 s, and the way to this host.
 	entryExpiry = 5 * time.Second
-	// unsureMost bounds the breaks that are kept meanwhile. Upstreams that cut
+	// maxUnresolvedSends bounds the breaks that are kept meanwhile. Upstreams that cut
 	// answers short break off some ten a second at a host at most.
-	unsureMost = 256
+	maxUnresolvedSends = 256
 )
 
-// unresolvedSends keeps the breaks of which it is not known yet whether the upstream
+// unresolvedSendList keeps the breaks of which it is not known yet whether the upstream
 // ended. Where a proxy or a balancer stands before the servers it goes on to
 // listen, and a server may be back at once: then the entry of the upstream's
 // life shows its end, by going, or by another life's taking its place.
-type unresolvedSends struct {
-	mu     sync.Mutex
-	breaks []crashes.Crash
+type unresolvedSendList struct {
+	mu    sync.Mutex
+	sends []crashes.Crash
 }
 
-func (s *unresolvedSends) add(e crashes.Crash) {
+func (s *unresolvedSendList) add(e crashes.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.breaks) < unsureMost {
-		s.breaks = append(s.breaks, e)
+	if len(s.sends) < maxUnresolvedSends {
+		s.sends = append(s.sends, e)
 	}
 }
 
 // resolve returns the breaks whose upstream has ended meanwhile, and drops those
 // whose upstream is leaving as planned, or has gone on for long enough.
-func (s *unresolvedSends) resolve(ups *catalogue.Snapshot, now time.Time) (ended []crashes.Crash) {
+func (s *unresolvedSendList) resolve(ups *catalogue.Snapshot, now time.Time) (ended []crashes.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.breaks = slices.DeleteFunc(s.breaks, func(e crashes.Crash) bool {
+	s.sends = slices.DeleteFunc(s.sends, func(e crashes.Crash) bool {
 		u := ups.ByID[e.Server]
 		if u == nil || u.Unlisted {
 			ended = append(ended, e)
@@ -106,8 +106,8 @@
 	return ended
 }
 
-// recordSurvival takes note that an upstream ran the request and answered.
-func (d *Dispatcher) recordSurvival(q *request) {
+// recordSuccess takes note that an upstream ran the request and answered.
+func (d *Dispatcher) recordSuccess(q *request) {
 	if d.crashes.HasCrashes() {
 		d.crashes.RecordSuccess(q.fingerprint())
 	}
@@ -125,10 +125,10 @@
 	}
 	now := time.Now()
 	left := d.crashes.RefusedFor(q.fingerprint(), now)
-	if left > 0 && !q.probe {
-		q.probe = d.crashes.AllowTrial(q.fingerprint(), now)
+	if left > 0 && !q.trial {
+		q.trial = d.crashes.AllowTrial(q.fingerprint(), now)
 	}
-	if q.probe {
+	if q.trial {
 		return 0
 	}
 	return left
@@ -136,14 +136,14 @@
 
 // suspectRate is how many requests of a suspect content all hosts together send a
 // second. Sent as they come, several run on each server by the time it ends.
-const suspectRate = 2.0
+const suspectRatePerSecond = 2.0
 
 // allowSuspect reports whether a request like q may be sent now, and if not, how long
 // it is until one may be. Contents under which a server has ended are sent one at a
 // time until one is answered.
 func (d *Dispatcher) allowSuspect(ctx context.Context, q *request) (ok bool, wait time.Duration) {
-	if !d.crashes.HasCrashes() || q.probe || !d.crashes.IsSuspect(q.fingerprint()) {
+	if !d.crashes.HasCrashes() || q.trial || !d.crashes.IsSuspect(q.fingerprint()) {
 		return true, 0
 	}
-	return d.limits.Take(ctx, "content "+string(q.fingerprint()), suspectRate)
+	return d.rateLimiter.Take(ctx, "content "+string(q.fingerprint()), suspectRatePerSecond)
 }
--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -140,7 +140,7 @@
 // which entries go have not.
 func TestUpstreamsThatGoOnOrLeaveHaveNotEnded(t *testing.T) {
 	now := time.Now()
-	var s unresolvedSends
+	var s unresolvedSendList
 	for _, server := range []string{"on", "leaving", "unlisted", "replaced", "on later gone"} {
 		s.add(crashes.Crash{Fingerprint: "c", Server: server, At: now})
 	}
@@ -189,7 +189,7 @@
 // in chunks the next. It is refused after three ends either way, whether it is
 // small, or streamed and told by its beginning; another upload is not.
 func TestUploadThatEndsItsServersIsRefused(t *testing.T) {
-	for _, size := range []int{100, maxBufferedBody + 1} {
+	for _, size := range []int{100, maxBufferedBodyBytes + 1} {
 		ups, fakes := ending(t, 5)
 		g := newHarness(t, ups...)
 		upload := func(id, begin string, chunked bool) response {
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -9,68 +9,68 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// choose returns the upstream to send to next. A request whose answer would come
+// chooseUpstream returns the upstream to send to next. A request whose answer would come
 // later than its objective, as all hosts' requests there tell, is refused at once:
 // queued, it would make those behind it late as well.
-func (d *Dispatcher) choose(ctx context.Context, q *request) (*catalogue.Upstream, *Refusal) {
+func (d *Dispatcher) chooseUpstream(ctx context.Context, q *request) (*catalogue.Upstream, *Refusal) {
 	if q.key >= 0 {
-		return d.owner(ctx, q)
+		return d.chooseOwner(ctx, q)
 	}
 	v := d.views.Load()
-	c := balance.Criteria{LocalDataCentre: d.home, FarPenalty: q.route.LatencyObjective / 4, Excluded: q.attempted, SlowStart: d.slowStart(q.service),
+	c := balance.Criteria{LocalDataCentre: d.localDataCentre, FarPenalty: q.route.LatencyObjective / 4, Excluded: q.attempted, SlowStart: d.slowStart(q.service),
 		Unavailable: func(id string) bool { wait, _ := d.unavailableFor(id, time.Now()); return wait > 0 }}
 	ups := v.Upstreams.ForService(q.service.Name)
-	u := d.board.Pick(ups, c, time.Now())
+	u := d.picker.Pick(ups, c, time.Now())
 	if u == nil && q.mayHaveRun {
 		// A broken answer says little of the next one; a refusal for want of
 		// room would only be repeated.
 		c.Excluded = nil
-		u = d.board.Pick(ups, c, time.Now())
+		u = d.picker.Pick(ups, c, time.Now())
 	}
 	if u == nil {
-		return nil, d.noneLeft(q, ups, time.Now())
+		return nil, d.noUpstreamRefusal(q, ups, time.Now())
 	}
-	if q.attempts == 0 && d.board.ExpectedLatency(u, time.Now()) > q.route.LatencyObjective {
-		return nil, q.endUnsent(CauseFull, q.retryAfterFull())
+	if q.attempts == 0 && d.picker.ExpectedLatency(u, time.Now()) > q.route.LatencyObjective {
+		return nil, q.refusal(CauseFull, q.retryAfterFull())
 	}
 	return u, nil
 }
 
-// noneLeft ends a request for which none of the upstreams is left.
-func (d *Dispatcher) noneLeft(q *request, ups []*catalogue.Upstream, now time.Time) *Refusal {
+// noUpstreamRefusal ends a request for which none of the upstreams is left.
+func (d *Dispatcher) noUpstreamRefusal(q *request, ups []*catalogue.Upstream, now time.Time) *Refusal {
 	if wait, cause := d.soonestAvailable(ups, now); wait > 0 {
 		return q.unavailableRefusal(wait, cause)
 	}
 	if len(q.attempted) > 0 {
-		return q.giveUp()
+		return q.noRetryRefusal()
 	}
 	if cold := anyCold(ups, now); cold != nil {
 		return q.coldRefusal(cold, now)
 	}
-	return q.endUnsent(CauseNoUpstream, retryNoOwner)
+	return q.refusal(CauseNoUpstream, retryAfterNoOwner)
 }
 
-// owner returns the owner of the request's key, waiting a little for one.
-func (d *Dispatcher) owner(ctx context.Context, q *request) (*catalogue.Upstream, *Refusal) {
+// chooseOwner returns the owner of the request's key, waiting a little for one.
+func (d *Dispatcher) chooseOwner(ctx context.Context, q *request) (*catalogue.Upstream, *Refusal) {
 	for {
 		v := d.views.Load()
 		now := time.Now()
 		u, fence := v.Owner(q.service.Name, q.key)
 		if u != nil && servesOwnedKeys(u, now) && !d.rejectedGrants.recent(q.service.Name, fence, u.ID, now) {
-			if d.board.IsEjected(u.ID, now) {
-				return nil, q.endUnsent(CauseUnreachable, retryNoOwner)
+			if d.picker.IsEjected(u.ID, now) {
+				return nil, q.refusal(CauseUnreachable, retryAfterNoOwner)
 			}
 			if wait, cause := d.unavailableFor(u.ID, now); wait > 0 {
 				return nil, q.unavailableRefusal(wait, cause)
 			}
-			if !d.board.SlowStartAllows(u, d.slowStart(q.service), now) {
+			if !d.picker.SlowStartAllows(u, d.slowStart(q.service), now) {
 				return nil, q.coldRefusal(u, now)
 			}
 			q.lastFencingToken = fence
 			return u, nil
 		}
-		if (u != nil && u.HandingOver() && now.Sub(u.LeaveBy) > handoverGrace) || !q.await(ctx, v) {
-			return nil, q.endUnsent(CauseNoOwner, retryNoOwner)
+		if (u != nil && u.HandingOver() && now.Sub(u.LeaveBy) > handoverGrace) || !q.awaitViewChange(ctx, v) {
+			return nil, q.refusal(CauseNoOwner, retryAfterNoOwner)
 		}
 	}
 }
@@ -94,16 +94,16 @@
 		if u != nil && (fence != q.lastFencingToken || u.ID != q.lastUpstream) {
 			return nil
 		}
-		if !q.await(ctx, v) {
-			return q.endUnsent(CauseMoved, retryMoved)
+		if !q.awaitViewChange(ctx, v) {
+			return q.refusal(CauseMoved, retryAfterMoved)
 		}
 	}
 }
 
-// await waits for a newer view than v. It reports false when the request
+// awaitViewChange waits for a newer view than v. It reports false when the request
 // has waited as long as it should.
-func (q *request) await(ctx context.Context, v *view.View) bool {
-	left := time.Duration(ownerWaitShare*float64(q.route.LatencyObjective)) - q.waited
+func (q *request) awaitViewChange(ctx context.Context, v *view.View) bool {
+	left := time.Duration(ownerWaitShare*float64(q.route.LatencyObjective)) - q.ownerWait
 	if left <= 0 {
 		return false
 	}
@@ -112,7 +112,7 @@
 	defer t.Stop()
 	select {
 	case <-v.Changed():
-		q.waited += time.Since(start)
+		q.ownerWait += time.Since(start)
 		return true
 	case <-t.C:
 	case <-ctx.Done():
--- a/internal/dispatch/closed_test.go
+++ b/internal/dispatch/closed_test.go
@@ -65,7 +65,7 @@
 	f := startUpstream(t, respondWith(http.StatusInternalServerError, "X-Limit: 1"))
 	g := newHarness(t, newUpstream("k1", "keyed", f))
 	asked := 0
-	g.d.limits = ratelimit.NewLimiter(ratelimit.Bounds{}, func(context.Context, string, float64, int) (ratelimit.Permit, error) {
+	g.d.rateLimiter = ratelimit.NewLimiter(ratelimit.Bounds{}, func(context.Context, string, float64, int) (ratelimit.Permit, error) {
 		asked++
 		return ratelimit.Permit{Wait: time.Second}, nil
 	})
--- a/internal/dispatch/cold.go
+++ b/internal/dispatch/cold.go
@@ -14,12 +14,12 @@
 	if s.SlowStart.PerSecond == 0 {
 		return balance.SlowStart{}
 	}
-	return balance.SlowStart{Duration: s.SlowStart.Duration, Share: func() ratelimit.HostRate { return d.coldShare(s.SlowStart.PerSecond) }}
+	return balance.SlowStart{Duration: s.SlowStart.Duration, Share: func() ratelimit.HostRate { return d.coldHostRate(s.SlowStart.PerSecond) }}
 }
 
-// coldShare returns this host's share of a cold upstream that bears perSecond. Without
+// coldHostRate returns this host's share of a cold upstream that bears perSecond. Without
 // a known number of hosts it is zero, so that a new host cannot exceed the limit.
-func (d *Dispatcher) coldShare(perSecond float64) ratelimit.HostRate {
+func (d *Dispatcher) coldHostRate(perSecond float64) ratelimit.HostRate {
 	if !d.hostCountKnown.Load() {
 		return 0
 	}
@@ -29,11 +29,11 @@
 // coldRefusal ends a request for which only an upstream in its slow start is
 // left, and this host's share of it is used up.
 func (q *request) coldRefusal(u *catalogue.Upstream, now time.Time) *Refusal {
-	wait := retryNoOwner
+	wait := retryAfterNoOwner
 	if u.Cold(now) {
 		wait = min(u.SlowUntil.Sub(now), wait)
 	}
-	return q.endUnsent(CauseCold, wait)
+	return q.refusal(CauseCold, wait)
 }
 
 // anyCold returns one of the upstreams that is in its slow start and may be used
--- a/internal/dispatch/crowded_test.go
+++ b/internal/dispatch/crowded_test.go
@@ -17,7 +17,7 @@
 	f := startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	crowd := balance.PeerLoad{ID: "u1", InFlight: 30, WorkTime: testObjective / 4}
-	g.d.board.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now())
+	g.d.picker.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now())
 	start := time.Now()
 	a := g.post("charge.example", "r1")
 	a.want(t, http.StatusServiceUnavailable, "")
@@ -28,9 +28,9 @@
 		t.Errorf("Retry-After %q, %d requests reached the upstream", a.header.Get("Retry-After"), f.runs.Load())
 	}
 	crowd.InFlight = 2
-	g.d.board.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now())
+	g.d.picker.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now())
 	g.post("charge.example", "r2").want(t, http.StatusOK, "")
 	crowd.InFlight = 30
-	g.d.board.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now().Add(-2*time.Second))
+	g.d.picker.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now().Add(-2*time.Second))
 	g.post("charge.example", "r3").want(t, http.StatusOK, "")
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -28,17 +28,17 @@
 const (
 	// retryNoDesired: the first desired state is read within a few
 	// milliseconds of reaching the log service.
-	retryNoDesired = 300 * time.Millisecond
-	// retryLate is told to callers whose time ran out before their request
+	retryAfterNoDesired = 300 * time.Millisecond
+	// retryAfterTimeout is told to callers whose time ran out before their request
 	// could be sent.
-	retryLate = 300 * time.Millisecond
+	retryAfterTimeout = 300 * time.Millisecond
 	// retryMoved: about the time a key takes to change hands.
-	retryMoved = 250 * time.Millisecond
+	retryAfterMoved = 250 * time.Millisecond
 	// retryNoOwner: the keys of a lost upstream get an owner when its lease
 	// has run out, and a cut lasts seconds; who returned after half a second
 	// was mostly refused again. Callers cut it to a third of their time.
-	retryNoOwner = 1500 * time.Millisecond
-	spread       = 0.5
+	retryAfterNoOwner = 1500 * time.Millisecond
+	retryAfterJitter  = 0.5
 )
 
 // maxUnsent bounds the sends of one request that did not leave this host.
@@ -51,21 +51,21 @@
 
 // Dispatcher serves callers. It implements http.Handler.
 type Dispatcher struct {
-	headers        protocol.Headers
-	home           string
-	views          *view.Publisher
-	client         *upstream.Client
-	board          *balance.Picker
-	budget         *budget.Budget
-	splits         *splitter
-	rejectedGrants *rejectedGrants
-	stop           *stopper
-	crashes        *crashes.Tracker
-	unresolved     unresolvedSends
+	headers         protocol.Headers
+	localDataCentre string
+	views           *view.Publisher
+	client          *upstream.Client
+	picker          *balance.Picker
+	retryBudget     *budget.Budget
+	splitter        *splitter
+	rejectedGrants  *rejectedGrants
+	shutdown        *shutdown
+	crashes         *crashes.Tracker
+	unresolvedSends unresolvedSendList
 	// feedback is what upstreams report of themselves, limits keeps to the rate
 	// limits among it.
-	feedback *feedback.Tracker
-	limits   *ratelimit.Limiter
+	feedback    *feedback.Tracker
+	rateLimiter *ratelimit.Limiter
 	// hostCount is how many hosts there are, this one included, and fleetKnown
 	// whether that rests on anybody's word.
 	hostCount      atomic.Int64
@@ -113,8 +113,8 @@
 // ledger refuses are not sent.
 func New(h protocol.Headers, home string, views *view.Publisher, client *upstream.Client, board *balance.Picker, bud *budget.Budget,
 	ledger *crashes.Tracker, reports *feedback.Tracker, limits *ratelimit.Limiter) *Dispatcher {
-	d := &Dispatcher{headers: h, home: home, views: views, client: client, board: board, budget: bud, crashes: ledger, feedback: reports, limits: limits,
-		splits: newSplitter(), rejectedGrants: newRejectedGrants(), stop: newStopper(),
+	d := &Dispatcher{headers: h, localDataCentre: home, views: views, client: client, picker: board, retryBudget: bud, crashes: ledger, feedback: reports, rateLimiter: limits,
+		splitter: newSplitter(), rejectedGrants: newRejectedGrants(), shutdown: newShutdown(),
 		OnRequestDone: func(*RequestSummary) {}, OnBrokenSend: func(*BrokenSend) {}}
 	d.SetHostCount(1, false)
 	return d
@@ -124,14 +124,14 @@
 func (d *Dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
 	end := &RequestSummary{ID: r.Header.Get(d.headers.RequestID), Key: -1}
-	q, ref := d.read(r, arrived)
+	q, ref := d.parseRequest(r, arrived)
 	var res *upstream.Result
 	if ref == nil {
-		d.budget.RecordRequest(q.service.Name, arrived)
-		ctx, cancel := d.stop.context(r.Context(), q.deadline)
+		d.retryBudget.RecordRequest(q.service.Name, arrived)
+		ctx, cancel := d.shutdown.requestContext(r.Context(), q.deadline)
 		res, ref = d.forward(ctx, q, end)
 		cancel()
-		end.describe(q)
+		end.setRequest(q)
 	}
 	v := d.views.Load()
 	end.ViewAge = time.Since(v.UpdatedAt)
@@ -144,22 +144,22 @@
 		ref.write(w, d.headers.RequestID, end.ID)
 	} else {
 		end.Status = res.Status
-		d.answer(w, res)
+		d.writeResponse(w, res)
 	}
 	d.OnRequestDone(end)
 }
 
-func (e *RequestSummary) describe(q *request) {
+func (e *RequestSummary) setRequest(q *request) {
 	e.Route, e.Service, e.Key = q.route.Name, q.service.Name, q.key
 	e.Upstream = cmp.Or(e.Upstream, q.lastUpstream)
 	e.Attempts, e.Err, e.FencingToken = q.attempts, q.lastErr, q.lastFencingToken
 	e.TimeLeft, e.Fingerprint = time.Until(q.deadline), q.cachedFingerprint
 }
 
-// answer passes an upstream's answer on.
-func (d *Dispatcher) answer(w http.ResponseWriter, res *upstream.Result) {
+// writeResponse passes an upstream's answer on.
+func (d *Dispatcher) writeResponse(w http.ResponseWriter, res *upstream.Result) {
 	h := w.Header()
-	for name, values := range endToEnd(res.Header) {
+	for name, values := range endToEndHeaders(res.Header) {
 		h[name] = values
 	}
 	h.Set("Content-Length", strconv.Itoa(len(res.Body)))
@@ -167,8 +167,8 @@
 	_, _ = w.Write(res.Body)
 }
 
-// share is this host's share of an upstream.
-func (d *Dispatcher) share(u *catalogue.Upstream, s *desired.Service) admission.Share {
+// admissionShare is this host's share of an upstream.
+func (d *Dispatcher) admissionShare(u *catalogue.Upstream, s *desired.Service) admission.Share {
 	return admission.ShareOf(u.Slots, s.MaxConns, int(d.hostCount.Load()))
 }
 
@@ -179,26 +179,26 @@
 	if !known {
 		hosts = 0
 	}
-	d.limits.SetHostCount(hosts)
+	d.rateLimiter.SetHostCount(hosts)
 }
 
 // maxQueueWait is how long the request may wait for its turn: what is left of
 // its latency objective less the time the upstream needs.
 func (q *request) maxQueueWait() time.Duration {
-	budget := time.Duration(waitShare*float64(q.route.LatencyObjective)) - time.Since(q.arrived)
+	budget := time.Duration(queueWaitShare*float64(q.route.LatencyObjective)) - time.Since(q.arrived)
 	return min(max(budget, 0), time.Until(q.deadline))
 }
 
 // waitShare is the part of the latency objective that a request may spend
 // waiting for its turn; the rest is for the work itself.
-const waitShare = 0.5
+const queueWaitShare = 0.5
 
-// endNotAdmitted ends a request that would have waited too long.
-func (d *Dispatcher) endNotAdmitted(ctx context.Context, q *request) *Refusal {
+// notAdmittedRefusal ends a request that would have waited too long.
+func (d *Dispatcher) notAdmittedRefusal(ctx context.Context, q *request) *Refusal {
 	if ctx.Err() != nil {
-		return d.endContextDone(ctx, q)
+		return d.contextDoneRefusal(ctx, q)
 	}
-	return q.endUnsent(CauseFull, q.retryAfterFull())
+	return q.refusal(CauseFull, q.retryAfterFull())
 }
 
 // retryAfterFull is when to come back to a full upstream: early enough to be served
@@ -217,60 +217,60 @@
 	if !q.route.Idempotent {
 		return false
 	}
-	return time.Until(d.stop.clampDeadline(q.deadline)) > q.route.LatencyObjective/4
+	return time.Until(d.shutdown.clampDeadline(q.deadline)) > q.route.LatencyObjective/4
 }
 
-// giveUp ends a request that cannot be sent again.
-func (q *request) giveUp() *Refusal {
+// noRetryRefusal ends a request that cannot be sent again.
+func (q *request) noRetryRefusal() *Refusal {
 	if q.attempts == 0 {
-		return q.endUnsent(CauseUnreachable, q.retryAfterFull())
+		return q.refusal(CauseUnreachable, q.retryAfterFull())
 	}
-	return q.endUnsent(CauseFull, q.retryAfterFull())
+	return q.refusal(CauseFull, q.retryAfterFull())
 }
 
-// endUnsent ends a request that has nowhere to be sent.
-func (q *request) endUnsent(c Cause, retryAfter time.Duration) *Refusal {
+// refusal ends a request that has nowhere to be sent.
+func (q *request) refusal(c Cause, retryAfter time.Duration) *Refusal {
 	if q.mayHaveRun {
-		return failed(CauseBrokenSend, http.StatusBadGateway)
+		return refusalWithStatus(CauseBrokenSend, http.StatusBadGateway)
 	}
-	return notRun(c, spreadOut(retryAfter))
+	return notRunRefusal(c, withJitter(retryAfter))
 }
 
-func (q *request) rejectedByUpstream(res *upstream.Result) *Refusal {
+func (q *request) rejectionRefusal(res *upstream.Result) *Refusal {
 	if res.Report.Backoff > 0 && q.key >= 0 {
 		return q.unavailableRefusal(res.Report.Backoff, CauseBackoff)
 	}
 	if res.Misdirected() {
-		return q.endUnsent(CauseMoved, retryMoved)
+		return q.refusal(CauseMoved, retryAfterMoved)
 	}
-	return q.endUnsent(CauseFull, q.retryAfterFull())
+	return q.refusal(CauseFull, q.retryAfterFull())
 }
 
-func spreadOut(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 - spread/2 + spread*rand.Float64()))
+func withJitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 - retryAfterJitter/2 + retryAfterJitter*rand.Float64()))
 }
 
-// endContextDone ends a request whose context is over.
-func (d *Dispatcher) endContextDone(ctx context.Context, q *request) *Refusal {
+// contextDoneRefusal ends a request whose context is over.
+func (d *Dispatcher) contextDoneRefusal(ctx context.Context, q *request) *Refusal {
 	never, sent := CauseTimeoutUnsent, CauseTimeout
 	if errors.Is(ctx.Err(), context.Canceled) {
-		if !d.stop.stopped() {
-			return failed(CauseCallerGone, http.StatusBadGateway)
+		if !d.shutdown.stopped() {
+			return refusalWithStatus(CauseCallerGone, http.StatusBadGateway)
 		}
 		never, sent = CauseStopping, CauseStopping
 	}
 	if q.attempts == 0 || !q.mayHaveRun {
-		return notRun(never, spreadOut(retryLate))
+		return notRunRefusal(never, withJitter(retryAfterTimeout))
 	}
-	return failed(sent, http.StatusGatewayTimeout)
+	return refusalWithStatus(sent, http.StatusGatewayTimeout)
 }
 
 // Prune forgets what no longer matters, and takes in which upstreams have ended.
 func (d *Dispatcher) Prune() {
 	now := time.Now()
 	d.rejectedGrants.prune(now)
-	d.limits.Prune(func(id string) bool { return d.feedback.RateLimit(id) > 0 })
-	for _, e := range d.unresolved.resolve(d.views.Load().Upstreams, now) {
+	d.rateLimiter.Prune(func(id string) bool { return d.feedback.RateLimit(id) > 0 })
+	for _, e := range d.unresolvedSends.resolve(d.views.Load().Upstreams, now) {
 		d.crashes.RecordCrash(e)
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -283,7 +283,7 @@
 	g := newHarness(t)
 	q := &request{route: &desired.Route{MaxAttempts: 2}, outbound: &upstream.Request{}, deadline: time.Now(), attempts: 1, mayHaveRun: true, key: -1}
 	res := &upstream.Result{Outcome: upstream.OutcomeUnknown, Err: fmt.Errorf("answer: %w", os.ErrDeadlineExceeded)}
-	again, ref := g.d.after(context.Background(), q, res)
+	again, ref := g.d.afterSend(context.Background(), q, res)
 	if again || ref == nil || ref.Cause != CauseTimeout || ref.Status != http.StatusGatewayTimeout {
 		t.Errorf("again %v, refusal %+v", again, ref)
 	}
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -15,35 +15,35 @@
 // forward sends the request until it is answered or must end. A failure that an
 // upstream has answered is the caller's answer if no better one came.
 func (d *Dispatcher) forward(ctx context.Context, q *request, end *RequestSummary) (*upstream.Result, *Refusal) {
-	res, ref := d.exchange(ctx, q, end)
+	res, ref := d.sendWithRetries(ctx, q, end)
 	if ref != nil && q.lastResponse != nil {
 		return q.lastResponse, nil
 	}
 	return res, ref
 }
 
-// exchange sends the request until it is answered or must end.
-func (d *Dispatcher) exchange(ctx context.Context, q *request, end *RequestSummary) (*upstream.Result, *Refusal) {
+// sendWithRetries sends the request until it is answered or must end.
+func (d *Dispatcher) sendWithRetries(ctx context.Context, q *request, end *RequestSummary) (*upstream.Result, *Refusal) {
 	for {
 		if ctx.Err() != nil {
-			return nil, d.endContextDone(ctx, q)
+			return nil, d.contextDoneRefusal(ctx, q)
 		}
 		if left := d.refusedFor(q); left > 0 {
-			return nil, q.endUnsent(CauseCrashes, left)
+			return nil, q.refusal(CauseCrashes, left)
 		}
-		u, ref := d.choose(ctx, q)
+		u, ref := d.chooseUpstream(ctx, q)
 		if ref != nil {
 			return nil, ref
 		}
-		limiter := d.board.Limiter(u.ID)
+		limiter := d.picker.Limiter(u.ID)
 		asked := time.Now()
-		ticket := limiter.Acquire(ctx, q.maxQueueWait(), d.share(u, q.service))
+		ticket := limiter.Acquire(ctx, q.maxQueueWait(), d.admissionShare(u, q.service))
 		end.QueueTime += time.Since(asked)
 		if ticket == nil {
 			end.Upstream, end.LimiterState = u.ID, limiter.State()
-			return nil, d.endNotAdmitted(ctx, q)
+			return nil, d.notAdmittedRefusal(ctx, q)
 		}
-		if ok, ref := d.maySend(ctx, q, u); !ok {
+		if ok, ref := d.permitSend(ctx, q, u); !ok {
 			ticket.Done(admission.NoSignal, 0)
 			if ref != nil {
 				return nil, ref
@@ -52,34 +52,34 @@
 		}
 		res, took := d.send(ctx, q, u, ticket)
 		end.UpstreamTime, end.ConnectTime = took, res.ConnectTime
-		again, ref := d.after(ctx, q, res)
+		again, ref := d.afterSend(ctx, q, res)
 		if !again {
 			return res, ref
 		}
 	}
 }
 
-// maySend reports whether the request, whose turn has come, may be sent to the
+// permitSend reports whether the request, whose turn has come, may be sent to the
 // upstream now, and counts it if so. If not, it is refused, or another upstream is to
 // be chosen if there is no refusal.
-func (d *Dispatcher) maySend(ctx context.Context, q *request, u *catalogue.Upstream) (ok bool, ref *Refusal) {
-	if q.abandoned() {
-		return false, failed(CauseCallerGone, http.StatusBadGateway)
+func (d *Dispatcher) permitSend(ctx context.Context, q *request, u *catalogue.Upstream) (ok bool, ref *Refusal) {
+	if q.callerGone() {
+		return false, refusalWithStatus(CauseCallerGone, http.StatusBadGateway)
 	}
-	if d.overtaken(q, u) || d.refusedFor(q) > 0 {
+	if d.upstreamChanged(q, u) || d.refusedFor(q) > 0 {
 		return false, nil
 	}
-	if now := time.Now(); !d.board.TakeSlowStartPermit(u, d.slowStart(q.service), now) {
+	if now := time.Now(); !d.picker.TakeSlowStartPermit(u, d.slowStart(q.service), now) {
 		return false, q.ifKeyed(q.coldRefusal(u, now))
 	}
 	if ok, wait, cause := d.takePermit(ctx, u.ID); !ok {
 		return false, q.ifKeyed(q.unavailableRefusal(wait, cause))
 	}
 	if ok, wait := d.allowSuspect(ctx, q); !ok {
-		return false, q.endUnsent(CauseSuspect, max(wait, q.retryAfterFull()))
+		return false, q.refusal(CauseSuspect, max(wait, q.retryAfterFull()))
 	}
-	if q.attempts > 0 && !d.budget.AllowRetry(q.service.Name, q.urgent, time.Now()) {
-		return false, q.giveUp()
+	if q.attempts > 0 && !d.retryBudget.AllowRetry(q.service.Name, q.urgent, time.Now()) {
+		return false, q.noRetryRefusal()
 	}
 	return true, nil
 }
@@ -93,10 +93,10 @@
 	return ref
 }
 
-// overtaken reports whether the upstream is no longer the one to send to,
+// upstreamChanged reports whether the upstream is no longer the one to send to,
 // after the wait for a turn. A request that waited half a second was sent to
 // an upstream that had left meanwhile.
-func (d *Dispatcher) overtaken(q *request, u *catalogue.Upstream) bool {
+func (d *Dispatcher) upstreamChanged(q *request, u *catalogue.Upstream) bool {
 	v := d.views.Load()
 	if q.key >= 0 {
 		owner, fence := v.Owner(q.service.Name, q.key)
@@ -106,16 +106,16 @@
 	return now == nil || now.Draining()
 }
 
-// after decides what follows a send: another one, the answer (neither), or
+// afterSend decides what follows a send: another one, the answer (neither), or
 // a refusal.
-func (d *Dispatcher) after(ctx context.Context, q *request, res *upstream.Result) (again bool, ref *Refusal) {
+func (d *Dispatcher) afterSend(ctx context.Context, q *request, res *upstream.Result) (again bool, ref *Refusal) {
 	switch res.Outcome {
 	case upstream.Answered:
 		return res.Status >= http.StatusInternalServerError && q.mayRetry() && d.worthRetrying(q), nil
 	case upstream.NotSent:
 		q.unsentAttempts++
 		if q.unsentAttempts >= maxUnsentAttempts || q.key >= 0 {
-			return false, q.giveUp()
+			return false, q.noRetryRefusal()
 		}
 		return true, nil
 	case upstream.NotRun:
@@ -123,10 +123,10 @@
 	}
 	// The connection's deadline is the context's, and may be noticed first.
 	if ctx.Err() != nil || errors.Is(res.Err, os.ErrDeadlineExceeded) {
-		return false, d.endContextDone(ctx, q)
+		return false, d.contextDoneRefusal(ctx, q)
 	}
 	if !q.mayRetry() || !d.worthRetrying(q) {
-		return false, failed(CauseBrokenSend, http.StatusBadGateway)
+		return false, refusalWithStatus(CauseBrokenSend, http.StatusBadGateway)
 	}
 	return true, nil
 }
@@ -138,7 +138,7 @@
 		d.rejectedGrants.record(q.service.Name, q.lastFencingToken, q.lastUpstream, time.Now())
 	}
 	if !q.mayRetry() {
-		return false, q.rejectedByUpstream(res)
+		return false, q.rejectionRefusal(res)
 	}
 	if !keyed {
 		return true, nil
@@ -146,7 +146,7 @@
 	if !res.Misdirected() {
 		// The key has no other owner, and one that is full now is full in a
 		// few milliseconds too.
-		return false, q.rejectedByUpstream(res)
+		return false, q.rejectionRefusal(res)
 	}
 	ref = d.waitForOwnerChange(ctx, q)
 	return ref == nil, ref
--- a/internal/dispatch/fuzz_test.go
+++ b/internal/dispatch/fuzz_test.go
@@ -34,7 +34,7 @@
 		r.Header.Set("X-Key", key)
 		r.Header.Set("X-Timeout-Ms", timeout)
 		r.Header.Set("Connection", connection)
-		q, ref := d.read(r, testArrival)
+		q, ref := d.parseRequest(r, testArrival)
 		if ref != nil {
 			ref.write(httptest.NewRecorder(), testHeaders.RequestID, "id")
 			return
--- a/internal/dispatch/ready_test.go
+++ b/internal/dispatch/ready_test.go
@@ -24,8 +24,8 @@
 			failing := startUpstream(t, respondWith(http.StatusInternalServerError, c.headers...))
 			g := newHarness(t, newUpstream("u1", "plain", failing), newUpstream("k1", "keyed", failing))
 			g.setOwner("k1", 1)
-			g.d.budget.SetLimits(c.limits)
-			g.d.limits = ratelimit.NewLimiter(ratelimit.Bounds{}, permitNone)
+			g.d.retryBudget.SetLimits(c.limits)
+			g.d.rateLimiter = ratelimit.NewLimiter(ratelimit.Bounds{}, permitNone)
 			for _, host := range []string{"read.example", "keyed.example"} {
 				a := g.get(host, "r-"+host)
 				a.want(t, http.StatusInternalServerError, "said")
--- a/internal/dispatch/refuse.go
+++ b/internal/dispatch/refusal.go
@@ -42,13 +42,13 @@
 	RetryAfter time.Duration
 }
 
-// notRun refuses a request that certainly did not run.
-func notRun(c Cause, retryAfter time.Duration) *Refusal {
+// notRunRefusal refuses a request that certainly did not run.
+func notRunRefusal(c Cause, retryAfter time.Duration) *Refusal {
 	return &Refusal{Cause: c, Status: http.StatusServiceUnavailable, RetryAfter: retryAfter}
 }
 
-// failed ends a request that may have run.
-func failed(c Cause, status int) *Refusal { return &Refusal{Cause: c, Status: status} }
+// refusalWithStatus ends a request that may have run.
+func refusalWithStatus(c Cause, status int) *Refusal { return &Refusal{Cause: c, Status: status} }
 
 func (r *Refusal) write(w http.ResponseWriter, requestIDHeader, id string) {
 	h := w.Header()
--- a/internal/dispatch/return_test.go
+++ b/internal/dispatch/return_test.go
@@ -29,7 +29,7 @@
 	if d := told(g.post("charge.example", "r1")); d > testObjective/3 {
 		t.Errorf("full: told %v, the objective is %v", d, testObjective)
 	}
-	if d := told(g.get("keyed.example", "r2")); d < retryNoOwner/2 {
+	if d := told(g.get("keyed.example", "r2")); d < retryAfterNoOwner/2 {
 		t.Errorf("no owner: told %v", d)
 	}
 }
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -18,17 +18,17 @@
 	start := time.Now()
 	res := d.client.Do(ctx, upstream.Target{ID: u.ID, Addr: u.Addr}, q.outbound)
 	took := time.Since(start)
-	judged := judge(ctx, res)
+	judged := sendOutcome(ctx, res)
 	now := time.Now()
-	if d.board.Done(u.ID, judged, took, now) {
+	if d.picker.Done(u.ID, judged, took, now) {
 		d.feedback.RecordCrash(u.ID, now)
 	}
 	if res.Status != 0 && !res.Misdirected() {
 		d.feedback.Record(u.ID, res.Report, start, now)
 	}
-	ticket.Done(verdict(judged, took, q.route.LatencyObjective), took)
+	ticket.Done(loadSignal(judged, took, q.route.LatencyObjective), took)
 	q.lastUpstream, q.lastErr = u.ID, res.Err
-	q.probe = false
+	q.trial = false
 	q.attempted = append(q.attempted, u.ID)
 	if res.Outcome != upstream.NotSent {
 		q.attempts++
@@ -43,13 +43,13 @@
 		d.recordBrokenSend(ctx, q, u, took)
 	}
 	if res.Outcome == upstream.Answered && res.Status < http.StatusInternalServerError {
-		d.recordSurvival(q)
+		d.recordSuccess(q)
 	}
 	return res, took
 }
 
-// judge says what a send shows of its upstream.
-func judge(ctx context.Context, res *upstream.Result) balance.Outcome {
+// sendOutcome says what a send shows of its upstream.
+func sendOutcome(ctx context.Context, res *upstream.Result) balance.Outcome {
 	switch {
 	case ctx.Err() != nil && errors.Is(ctx.Err(), context.Canceled):
 		return balance.Inconclusive
@@ -71,11 +71,11 @@
 
 // lateShare is the part of the latency objective above which an answer's
 // time at the upstream counts as late; the rest is for the ways.
-const lateShare = 0.8
+const lateLatencyShare = 0.8
 
-// verdict says what a send's end shows of its upstream's load.
-func verdict(o balance.Outcome, took, objective time.Duration) admission.Signal {
-	late := took > time.Duration(lateShare*float64(objective))
+// loadSignal says what a send's end shows of its upstream's load.
+func loadSignal(o balance.Outcome, took, objective time.Duration) admission.Signal {
+	late := took > time.Duration(lateLatencyShare*float64(objective))
 	switch {
 	case o == balance.Served && late:
 		return admission.Late
--- a/internal/dispatch/split.go
+++ b/internal/dispatch/split.go
@@ -11,14 +11,14 @@
 // proportions of their weights, by smooth weighted round robin: random
 // draws would miss the proportions on routes with few requests.
 type splitter struct {
-	mu sync.Mutex
-	by map[*desired.Route][]int
+	mu      sync.Mutex
+	credits map[*desired.Route][]int
 }
 
 // maxSplits bounds the routes of past versions that are remembered.
-const maxSplits = 1024
+const maxSplitRoutes = 1024
 
-func newSplitter() *splitter { return &splitter{by: map[*desired.Route][]int{}} }
+func newSplitter() *splitter { return &splitter{credits: map[*desired.Route][]int{}} }
 
 func (s *splitter) pick(r *desired.Route) string {
 	if len(r.Shares) == 1 {
@@ -26,13 +26,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	credit := s.by[r]
+	credit := s.credits[r]
 	if credit == nil {
-		if len(s.by) >= maxSplits {
-			clear(s.by)
+		if len(s.credits) >= maxSplitRoutes {
+			clear(s.credits)
 		}
 		credit = make([]int, len(r.Shares))
-		s.by[r] = credit
+		s.credits[r] = credit
 	}
 	total, best := 0, 0
 	for i, sh := range r.Shares {
--- a/internal/dispatch/turned_away_test.go
+++ b/internal/dispatch/turned_away_test.go
@@ -64,7 +64,7 @@
 	for range 4 {
 		g.post("keyed.example", "r1").want(t, http.StatusServiceUnavailable, "")
 	}
-	if g.d.board.IsEjected("u1", time.Now()) {
+	if g.d.picker.IsEjected("u1", time.Now()) {
 		t.Error("the upstream counts as gone")
 	}
 }
@@ -88,7 +88,7 @@
 			}
 		}
 	}
-	if g.d.board.IsEjected("u1", time.Now()) {
+	if g.d.picker.IsEjected("u1", time.Now()) {
 		t.Error("the upstream counts as gone")
 	}
 }
--- a/internal/dispatch/closed.go
+++ b/internal/dispatch/unavailable.go
@@ -16,7 +16,7 @@
 	if d.feedback.RateLimit(id) == 0 {
 		return 0, ""
 	}
-	return d.limits.RetryAfter(id, now), CauseRateLimited
+	return d.rateLimiter.RetryAfter(id, now), CauseRateLimited
 }
 
 // takePermit reports whether a request may be sent to the upstream now, and counts it. If
@@ -30,7 +30,7 @@
 	if limit == 0 {
 		return true, 0, ""
 	}
-	ok, wait = d.limits.Take(ctx, id, limit)
+	ok, wait = d.rateLimiter.Take(ctx, id, limit)
 	return ok, wait, CauseRateLimited
 }
 
@@ -51,5 +51,5 @@
 // unavailableRefusal ends a request for which only upstreams are left that take none
 // for so long. Keys of an upstream with a limit may have another owner by then.
 func (q *request) unavailableRefusal(wait time.Duration, cause Cause) *Refusal {
-	return q.endUnsent(cause, min(max(wait, q.retryAfterFull()), retryNoOwner))
+	return q.refusal(cause, min(max(wait, q.retryAfterFull()), retryAfterNoOwner))
 }
