--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -15,9 +15,9 @@
 	"github.com/papayatide/papayatide/internal/crashes"
 )
 
-// ending returns n upstreams, each of which ends as it begins to run a request
+// startCrashingUpstreams returns n upstreams, each of which ends as it begins to run a request
 // whose ID begins with "fatal".
-func ending(t *testing.T, n int) (ups []*catalogue.Upstream, fakes []*fakeUpstream) {
+func startCrashingUpstreams(t *testing.T, n int) (ups []*catalogue.Upstream, fakes []*fakeUpstream) {
 	t.Helper()
 	for i := range n {
 		var f *fakeUpstream
@@ -34,20 +34,20 @@
 	return ups, fakes
 }
 
-// living returns the upstreams that have not run a request yet.
-func living(ups []*catalogue.Upstream, fakes []*fakeUpstream) (out []*catalogue.Upstream) {
+// unusedUpstreams returns the upstreams that have not run a request yet.
+func unusedUpstreams(ups []*catalogue.Upstream, fakes []*fakeUpstream) (out []*catalogue.Upstream) {
 	for i, f := range fakes {
-		if f.runs.Load() == 0 {
+		if f.requestCount.Load() == 0 {
 			out = append(out, ups[i])
 		}
 	}
 	return out
 }
 
-func sends(fakes []*fakeUpstream) int64 {
+func totalRequests(fakes []*fakeUpstream) int64 {
 	n := int64(0)
 	for _, f := range fakes {
-		n += f.runs.Load()
+		n += f.requestCount.Load()
 	}
 	return n
 }
@@ -55,47 +55,47 @@
 // A booking ends the server that runs it. Its caller, told that it may have
 // run, sends it again; three servers end. From then on it is refused at once
 // as not run, with the time after which it is tried again, and reaches none.
-func TestBookingThatEndsItsServersIsRefused(t *testing.T) {
-	ups, fakes := ending(t, 5)
+func TestRequestThatCrashesServersIsRefused(t *testing.T) {
+	ups, fakes := startCrashingUpstreams(t, 5)
 	g := newHarness(t, ups...)
 	for i := range crashes.Limit {
-		g.fatalBooking(i).want(t, 502, "")
+		g.postFatal(i).want(t, 502, "")
 	}
-	if n := sends(fakes); n != crashes.Limit {
+	if n := totalRequests(fakes); n != crashes.Limit {
 		t.Fatalf("%d sends for %d asks", n, crashes.Limit)
 	}
 	for i := range 10 {
 		began := time.Now()
-		a := g.fatalBooking(i)
+		a := g.postFatal(i)
 		a.want(t, 503, string(CauseCrashes)+"\n")
 		if took := time.Since(began); took > testObjective/4 || a.header.Get("Retry-After") == "" {
 			t.Errorf("refused after %v, to come back after %q", took, a.header.Get("Retry-After"))
 		}
 	}
-	if n := sends(fakes); n != crashes.Limit {
+	if n := totalRequests(fakes); n != crashes.Limit {
 		t.Errorf("sent %d times more", n-crashes.Limit)
 	}
-	g.setUpstreams(living(ups, fakes)...)
+	g.setUpstreams(unusedUpstreams(ups, fakes)...)
 	g.post("charge.example", "another").want(t, 200, "answer to another")
 }
 
-// fatalBooking asks for one and the same booking under a new ID.
-func (g *harness) fatalBooking(i int) response {
+// postFatal asks for one and the same booking under a new ID.
+func (g *harness) postFatal(i int) response {
 	return g.call(context.Background(), "POST", "charge.example", fmt.Sprint("fatal-", i), "the same booking")
 }
 
 // A lookup has ended two servers already. It ends a third, and is not sent
 // again at once, as a lookup whose answer broke off is otherwise: the host's
 // own repeat would have ended a fourth.
-func TestRepeatIsNotSentAfterTheLastEnd(t *testing.T) {
-	ups, fakes := ending(t, 5)
+func TestNoRetryAfterLastAllowedCrash(t *testing.T) {
+	ups, fakes := startCrashingUpstreams(t, 5)
 	g := newHarness(t, ups...)
 	g.get("read.example", "fatal-1").want(t, 502, "")
-	if n := sends(fakes); n != 2 {
+	if n := totalRequests(fakes); n != 2 {
 		t.Fatalf("the first lookup was sent %d times", n)
 	}
 	g.get("read.example", "fatal-2").want(t, 502, "")
-	if n := sends(fakes); n != crashes.Limit {
+	if n := totalRequests(fakes); n != crashes.Limit {
 		t.Errorf("sent %d times, want %d", n, crashes.Limit)
 	}
 	g.get("read.example", "fatal-3").want(t, 503, string(CauseCrashes)+"\n")
@@ -103,7 +103,7 @@
 
 // Answers break off again and again, but their servers go on: connections are
 // reset, or answers are cut short. Nothing is refused for it.
-func TestBrokenAnswersOfLivingServersCountForNothing(t *testing.T) {
+func TestBrokenSendsOfRunningServersAreNotCrashes(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	for i := range 3 * crashes.Limit {
@@ -117,13 +117,13 @@
 // A balancer stands before the servers: where one has ended it still takes
 // connections, and closes them. That the servers ended shows by their entries,
 // which go two seconds later.
-func TestEndsBehindABalancerShowByTheirEntries(t *testing.T) {
+func TestCrashBehindLoadBalancerIsDetectedByItsEntry(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
 	g := newHarness(t)
 	for i := range crashes.Limit {
 		u := newUpstream(fmt.Sprint("u", i), "plain", f)
 		g.setUpstreams(u)
-		g.fatalBooking(i).want(t, 502, "")
+		g.postFatal(i).want(t, 502, "")
 		g.d.Prune()
 		gone := *u
 		gone.Leaving, gone.Unlisted = true, true
@@ -131,14 +131,14 @@
 		g.d.Prune()
 	}
 	g.setUpstreams(newUpstream("u9", "plain", f))
-	g.fatalBooking(9).want(t, 503, string(CauseCrashes)+"\n")
+	g.postFatal(9).want(t, 503, string(CauseCrashes)+"\n")
 }
 
 // Of the upstreams under which a request broke off while they went on to
 // listen, those whose entries go, or whose servers have another life, have
 // ended; those that leave as planned or are still there after the time in
 // which entries go have not.
-func TestUpstreamsThatGoOnOrLeaveHaveNotEnded(t *testing.T) {
+func TestUpstreamsThatStayOrLeaveHaveNotCrashed(t *testing.T) {
 	now := time.Now()
 	var s unresolvedSendList
 	for _, server := range []string{"on", "leaving", "unlisted", "replaced", "on later gone"} {
@@ -173,7 +173,7 @@
 
 // Two servers end while they run a page that is harmless; then it is answered.
 // Two more end under it later, and it is served still.
-func TestAnsweredPageIsNotRefused(t *testing.T) {
+func TestAnsweredRequestIsNotRefused(t *testing.T) {
 	f := startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	page := crashes.Request{Method: "GET", Host: "read.example", URI: "/a//b?q=%2f", Key: -1}.Fingerprint()
@@ -188,9 +188,9 @@
 // One upload ends its servers. Its caller sends it with its length one time and
 // in chunks the next. It is refused after three ends either way, whether it is
 // small, or streamed and told by its beginning; another upload is not.
-func TestUploadThatEndsItsServersIsRefused(t *testing.T) {
+func TestUploadThatCrashesServersIsRefused(t *testing.T) {
 	for _, size := range []int{100, maxBufferedBodyBytes + 1} {
-		ups, fakes := ending(t, 5)
+		ups, fakes := startCrashingUpstreams(t, 5)
 		g := newHarness(t, ups...)
 		upload := func(id, begin string, chunked bool) response {
 			var body io.Reader = strings.NewReader(begin + string(make([]byte, size)))
@@ -204,9 +204,9 @@
 		}
 		upload("fatal-8", "x", true).want(t, 503, string(CauseCrashes)+"\n")
 		upload("fatal-9", "x", false).want(t, 503, string(CauseCrashes)+"\n")
-		g.setUpstreams(living(ups, fakes)...)
+		g.setUpstreams(unusedUpstreams(ups, fakes)...)
 		upload("other", "y", true).want(t, 200, "answer to other")
-		if n := sends(fakes); n != crashes.Limit+1 {
+		if n := totalRequests(fakes); n != crashes.Limit+1 {
 			t.Errorf("%d sends of %d bytes", n, size)
 		}
 	}
--- a/internal/dispatch/gone_test.go
+++ b/internal/dispatch/caller_gone_test.go
@@ -24,7 +24,7 @@
 // A host stands still for a while. Callers send requests, wait, and close their
 // connections. Then the host goes on and reads the requests: none may reach an
 // upstream, which would work for nobody, for a second and more.
-func TestRequestsOfCallersThatHaveLeftAreNotSent(t *testing.T) {
+func TestRequestsOfDisconnectedCallersAreNotSent(t *testing.T) {
 	f := startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.get("read.example", "warm").want(t, http.StatusOK, "") // a kept connection
@@ -54,7 +54,7 @@
 			break
 		}
 	}
-	if n := f.runs.Load() - 1; n > 0 {
+	if n := f.requestCount.Load() - 1; n > 0 {
 		t.Errorf("%d of %d requests reached the upstream after their callers had left", n, callers)
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -20,7 +20,7 @@
 
 // A request reaches the upstream unchanged, marked with the upstream it is
 // meant for and the time that is left, and its answer comes back unchanged.
-func TestRequestAndAnswerPassUnchanged(t *testing.T) {
+func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
 	f := startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	a := g.post("charge.example", "r1")
@@ -28,7 +28,7 @@
 	if a.header.Get("X-Signature") != "sig" {
 		t.Error("the upstream's signature is lost")
 	}
-	r := <-f.seen
+	r := <-f.received
 	if r.RequestURI != "/a//b?q=%2f" || r.Method != "POST" || r.Host != "charge.example" {
 		t.Errorf("upstream saw %s %s of %s", r.Method, r.RequestURI, r.Host)
 	}
@@ -46,7 +46,7 @@
 // The upstream breaks off in the middle of its answer. The caller of a read
 // gets a whole answer from a second try; the caller of a charge, which may
 // have run, gets 502 and no second try, and neither sees half an answer.
-func TestBrokenAnswers(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	broken := func(w io.Writer, c net.Conn, r *http.Request, n int64) bool {
 		if n == 1 {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nX-Id: "+r.Header.Get("X-Id")+"\r\nContent-Length: 100\r\n\r\nhalf")
@@ -58,28 +58,28 @@
 	newHarness(t, newUpstream("u1", "plain", f)).get("read.example", "r1").want(t, 200, "answer to r1")
 	f = startUpstream(t, broken)
 	newHarness(t, newUpstream("u1", "plain", f)).post("charge.example", "r1").want(t, 502, "")
-	if n := f.runs.Load(); n != 1 {
+	if n := f.requestCount.Load(); n != 1 {
 		t.Errorf("the charge was sent %d times", n)
 	}
 }
 
 // The upstream runs the charge and the answer is lost with a reset. The
 // caller must not be told that it did not run: 502, never 429 or 503.
-func TestLostAnswerIsNeverCalledNotRun(t *testing.T) {
+func TestLostResponseIsNeverReportedAsNotRun(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, c net.Conn, _ *http.Request, _ int64) bool {
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
 	})
 	g := newHarness(t, newUpstream("u1", "plain", f), newUpstream("u2", "plain", f))
 	g.post("charge.example", "r1").want(t, 502, "")
-	if n := f.runs.Load(); n != 1 {
+	if n := f.requestCount.Load(); n != 1 {
 		t.Errorf("the charge was sent %d times", n)
 	}
 }
 
 // The upstream answers twice; the second answer arrives on the kept
 // connection where the next caller's is due. The next caller gets its own.
-func TestExtraAnswerNeverReachesTheNextCaller(t *testing.T) {
+func TestExtraResponseNeverReachesNextCaller(t *testing.T) {
 	f := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, n int64) bool {
 		ok := writeResponse(w, r, 200, "answer to "+r.Header.Get("X-Id"))
 		if n == 1 {
@@ -100,7 +100,7 @@
 
 // A late answer that comes after the next request went out, before that
 // one's own answer, is told apart by its ID.
-func TestLateAnswerBeforeOnesOwnIsPassedOver(t *testing.T) {
+func TestStaleResponseBeforeOwnResponseIsSkipped(t *testing.T) {
 	f := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, n int64) bool {
 		if n == 2 {
 			_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\nX-Id: r1\r\nX-Signature: sig\r\nContent-Length: 4\r\n\r\nlate")
@@ -115,7 +115,7 @@
 // A full upstream says that it did not run the charge; the charge runs once,
 // at the other one. If both are full the caller is told so at once, with a
 // time to come back.
-func TestFullUpstreams(t *testing.T) {
+func TestOverloadedUpstreams(t *testing.T) {
 	full := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
 		return writeResponse(w, r, 503, "", "X-Not-Run: 1")
 	})
@@ -149,7 +149,7 @@
 
 // The upstream never answers: the caller gets its final answer at the
 // route's timeout, and the upstream sees the connection end, so that it stops.
-func TestSilentUpstreamEndsAtTheTimeout(t *testing.T) {
+func TestSilentUpstreamTimesOut(t *testing.T) {
 	ended := make(chan time.Time, 1)
 	f := startUpstream(t, func(_ io.Writer, c net.Conn, _ *http.Request, _ int64) bool {
 		_, _ = io.Copy(io.Discard, c)
@@ -170,7 +170,7 @@
 }
 
 // A caller that leaves ends the work on its request at once.
-func TestCallerThatLeavesCancelsTheWork(t *testing.T) {
+func TestDisconnectedCallerCancelsRequest(t *testing.T) {
 	ended := make(chan time.Time, 1)
 	f := startUpstream(t, func(_ io.Writer, c net.Conn, _ *http.Request, _ int64) bool {
 		_, _ = io.Copy(io.Discard, c)
@@ -180,7 +180,7 @@
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	ctx, leave := context.WithCancel(context.Background())
 	go g.call(ctx, "GET", "read.example", "r1", "")
-	<-f.seen
+	<-f.received
 	left := time.Now()
 	leave()
 	select {
@@ -195,7 +195,7 @@
 
 // The owner of a key refuses it because it has just been moved. The request
 // waits for the ownership to be published and runs at the new owner, once.
-func TestKeyThatMovesIsServedByItsNewOwner(t *testing.T) {
+func TestMovedKeyIsServedByNewOwner(t *testing.T) {
 	old := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
 		return writeResponse(w, r, 421, "", "X-Not-Run: 1")
 	})
@@ -203,12 +203,12 @@
 	g := newHarness(t, newUpstream("u1", "keyed", old), newUpstream("u2", "keyed", fresh))
 	g.setOwner("u1", 1)
 	go func() {
-		<-old.seen
+		<-old.received
 		time.Sleep(50 * time.Millisecond)
 		g.setOwner("u2", 2)
 	}()
 	g.get("keyed.example", "r1").want(t, 200, "answer to r1")
-	if n := old.runs.Load(); n != 1 {
+	if n := old.requestCount.Load(); n != 1 {
 		t.Errorf("the old owner was asked %d times", n)
 	}
 }
@@ -225,7 +225,7 @@
 	if took := time.Since(start); took > testObjective {
 		t.Errorf("refused only after %v", took)
 	}
-	if a.header.Get("Retry-After") == "" || f.runs.Load() != 0 {
+	if a.header.Get("Retry-After") == "" || f.requestCount.Load() != 0 {
 		t.Error("no Retry-After, or the request was sent")
 	}
 }
@@ -242,7 +242,7 @@
 // The upstream answers before it has read a long body and keeps the
 // connection. Another request on that connection would be read as the rest
 // of the body; it must go out on a new one.
-func TestConnectionWithAnUnsentBodyIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithUnsentBodyIsNotReused(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -279,7 +279,7 @@
 // Time runs out at the upstream, and the connection's deadline is noticed a
 // moment before the request's own. The caller is told that time ran out, 504,
 // not that the upstream broke off.
-func TestConnectionsDeadlineIsTheRequests(t *testing.T) {
+func TestConnectionDeadlineCountsAsRequestDeadline(t *testing.T) {
 	g := newHarness(t)
 	q := &request{route: &desired.Route{MaxAttempts: 2}, outbound: &upstream.Request{}, deadline: time.Now(), attempts: 1, mayHaveRun: true, key: -1}
 	res := &upstream.Result{Outcome: upstream.OutcomeUnknown, Err: fmt.Errorf("answer: %w", os.ErrDeadlineExceeded)}
--- a/internal/dispatch/ready_test.go
+++ b/internal/dispatch/error_response_test.go
@@ -11,7 +11,7 @@
 
 // A failure that an upstream has answered must not be replaced by one of this host's
 // own because the repeat that was meant to better it cannot be sent.
-func TestAnswerInHandIsDelivered(t *testing.T) {
+func TestErrorResponseIsReturnedIfRetryIsNotPermitted(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		headers []string
--- a/internal/dispatch/evacuated_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -9,7 +9,7 @@
 // A data centre is evacuated. Callers of keys that its upstream still owns are
 // served there until the time is over, and refused as not run from then on; those
 // of a service without keys are not sent there at all, also if nothing else is left.
-func TestEvacuatedUpstreamServesItsKeysForAWhile(t *testing.T) {
+func TestEvacuatedUpstreamServesItsKeysUntilLeaveBy(t *testing.T) {
 	f := startUpstream(t, echo)
 	owner, plain := newUpstream("u1", "keyed", f), newUpstream("u2", "plain", f)
 	owner.LeaveBy = time.Now().Add(time.Second)
@@ -20,7 +20,7 @@
 	g.get("read.example", "r2").want(t, http.StatusServiceUnavailable, "")
 	time.Sleep(time.Until(owner.LeaveBy))
 	g.get("keyed.example", "r3").want(t, http.StatusServiceUnavailable, "")
-	if n := f.runs.Load(); n != 1 {
+	if n := f.requestCount.Load(); n != 1 {
 		t.Errorf("%d requests reached the data centre, want 1", n)
 	}
 }
--- a/internal/dispatch/rig_test.go
+++ b/internal/dispatch/harness_test.go
@@ -33,9 +33,9 @@
 // fakeUpstream speaks HTTP by hand, so that it can misbehave. answer gets
 // each request and writes what it likes; false ends the connection.
 type fakeUpstream struct {
-	ln   net.Listener
-	runs atomic.Int64
-	seen chan *http.Request
+	ln           net.Listener
+	requestCount atomic.Int64
+	received     chan *http.Request
 }
 
 func startUpstream(t *testing.T, answer func(w io.Writer, c net.Conn, r *http.Request, n int64) bool) *fakeUpstream {
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fakeUpstream{ln: ln, seen: make(chan *http.Request, 100)}
+	f := &fakeUpstream{ln: ln, received: make(chan *http.Request, 100)}
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
@@ -71,8 +71,8 @@
 			return
 		}
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
-		n := f.runs.Add(1)
-		f.seen <- r
+		n := f.requestCount.Add(1)
+		f.received <- r
 		if !answer(c, c, r, n) {
 			return
 		}
--- a/internal/dispatch/crowded_test.go
+++ b/internal/dispatch/peer_load_test.go
@@ -24,8 +24,8 @@
 	if took := time.Since(start); took > testObjective/4 {
 		t.Errorf("refused only after %v", took)
 	}
-	if a.header.Get("Retry-After") == "" || f.runs.Load() != 0 {
-		t.Errorf("Retry-After %q, %d requests reached the upstream", a.header.Get("Retry-After"), f.runs.Load())
+	if a.header.Get("Retry-After") == "" || f.requestCount.Load() != 0 {
+		t.Errorf("Retry-After %q, %d requests reached the upstream", a.header.Get("Retry-After"), f.requestCount.Load())
 	}
 	crowd.InFlight = 2
 	g.d.picker.SetPeerLoads([]balance.PeerLoad{crowd}, time.Now())
--- a/internal/dispatch/waiting_test.go
+++ b/internal/dispatch/queued_test.go
@@ -21,22 +21,22 @@
 	g.d.SetHostCount(2, true)
 }
 
-// slow answers after half of what a request may wait for its turn.
-func slow(w io.Writer, c net.Conn, r *http.Request, n int64) bool {
+// slowEcho answers after half of what a request may wait for its turn.
+func slowEcho(w io.Writer, c net.Conn, r *http.Request, n int64) bool {
 	time.Sleep(testObjective / 4)
 	return echo(w, c, r, n)
 }
 
 // A request waits for its turn at an upstream. Meanwhile the upstream starts
 // to leave, and must get nothing new: the request goes to another one.
-func TestRequestThatWaitsIsNotSentToALeavingUpstream(t *testing.T) {
-	first, other := startUpstream(t, slow), startUpstream(t, echo)
+func TestQueuedRequestIsNotSentToLeavingUpstream(t *testing.T) {
+	first, other := startUpstream(t, slowEcho), startUpstream(t, echo)
 	u1 := newUpstream("u1", "plain", first)
 	g := newHarness(t, u1)
 	g.limitToOneInFlight()
 	done := make(chan response)
 	go func() { done <- g.post("charge.example", "r1") }()
-	<-first.seen
+	<-first.received
 	go func() { done <- g.post("charge.example", "r2") }()
 	time.Sleep(testObjective / 8)
 	leaving := *u1
@@ -46,7 +46,7 @@
 		a := <-done
 		a.want(t, http.StatusOK, "")
 	}
-	if n := first.runs.Load(); n != 1 {
+	if n := first.requestCount.Load(); n != 1 {
 		t.Errorf("%d requests reached the leaving upstream, want the one from before", n)
 	}
 }
@@ -54,14 +54,14 @@
 // A request waits for its turn at the owner of its key. Meanwhile the key
 // moves: the request goes to the new owner, not to the old one, which would
 // refuse it.
-func TestRequestThatWaitsFollowsItsKey(t *testing.T) {
-	old, next := startUpstream(t, slow), startUpstream(t, echo)
+func TestQueuedRequestFollowsItsKey(t *testing.T) {
+	old, next := startUpstream(t, slowEcho), startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "keyed", old), newUpstream("u2", "keyed", next))
 	g.limitToOneInFlight()
 	g.setOwner("u1", 5)
 	done := make(chan response)
 	go func() { done <- g.get("keyed.example", "r1") }()
-	<-old.seen
+	<-old.received
 	go func() { done <- g.get("keyed.example", "r2") }()
 	time.Sleep(testObjective / 8)
 	g.setOwner("u2", 6)
@@ -69,7 +69,7 @@
 		a := <-done
 		a.want(t, http.StatusOK, "")
 	}
-	if n := old.runs.Load(); n != 1 {
+	if n := old.requestCount.Load(); n != 1 {
 		t.Errorf("%d requests reached the old owner, want the one from before", n)
 	}
 }
--- a/internal/dispatch/turned_away_test.go
+++ b/internal/dispatch/rejected_connection_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// resetting listens as an upstream with too many connections does: it takes each
+// startResettingUpstream listens as an upstream with too many connections does: it takes each
 // one and resets it a little later. The channel gets a value for every reset.
-func resetting(t *testing.T, after time.Duration) (*fakeUpstream, <-chan struct{}) {
+func startResettingUpstream(t *testing.T, after time.Duration) (*fakeUpstream, <-chan struct{}) {
 	t.Helper()
 	resets := make(chan struct{}, 64)
 	f := startUpstream(t, echo)
@@ -54,7 +54,7 @@
 
 // A connection is reset before the host sees that it opened, as one that waits in a
 // full upstream's backlog is. The upstream counted as gone after three of them.
-func TestUpstreamThatResetsConnectionsAsTheyOpenIsFull(t *testing.T) {
+func TestUpstreamThatResetsConnectionsDuringConnectIsOverloaded(t *testing.T) {
 	f := startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "keyed", f))
 	g.setOwner("u1", 1)
@@ -74,8 +74,8 @@
 // outcome is unknown, and could not come back. Nothing had been sent that could
 // have run, so they are told that it has not, and when to return. The upstream is
 // full, not gone: it is not left alone for seconds.
-func TestRequestOnAConnectionThatIsResetAtOnceHasNotRun(t *testing.T) {
-	f, resets := resetting(t, 0)
+func TestRequestOnRejectedConnectionHasNotRun(t *testing.T) {
+	f, resets := startResettingUpstream(t, 0)
 	g := newHarness(t, newUpstream("u1", "keyed", f), newUpstream("u2", "plain", f))
 	g.d.client.Dial = dialUntilReset(resets)
 	g.setOwner("u1", 1)
@@ -102,16 +102,16 @@
 	})
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.post("charge.example", "r1").want(t, http.StatusBadGateway, "")
-	if n := f.runs.Load(); n != 1 {
+	if n := f.requestCount.Load(); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
-	f, _ = resetting(t, 20*time.Millisecond)
+	f, _ = startResettingUpstream(t, 20*time.Millisecond)
 	g = newHarness(t, newUpstream("u1", "plain", f))
 	g.post("charge.example", "r2").want(t, http.StatusBadGateway, "")
 }
 
 // A connection that opens and stays quiet is used.
-func TestNewConnectionIsWatchedBriefly(t *testing.T) {
+func TestNewConnectionIsCheckedBriefly(t *testing.T) {
 	f := startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	start := time.Now()
--- a/internal/dispatch/return_test.go
+++ b/internal/dispatch/retry_after_test.go
@@ -12,7 +12,7 @@
 // A caller is refused for want of room: it must come back while it can be
 // served within its objective still. One whose key nobody owns must not come
 // back before a lost owner's lease can have run out.
-func TestCallersAreToldWhenToComeBack(t *testing.T) {
+func TestRetryAfterOfRefusals(t *testing.T) {
 	full := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
 		return writeResponse(w, r, 503, "", "X-Not-Run: 1")
 	})
--- a/internal/dispatch/stop_test.go
+++ b/internal/dispatch/shutdown_test.go
@@ -12,7 +12,7 @@
 // waits for its turn there, one lookup waits for its key to get an owner; all
 // have time left. Each gets a final answer before the host ends: the first may
 // have run, the others have not.
-func TestStoppingHostAnswersEveryRequest(t *testing.T) {
+func TestStoppingHostRespondsToEveryRequest(t *testing.T) {
 	silent := startUpstream(t, func(_ io.Writer, c net.Conn, _ *http.Request, _ int64) bool {
 		_, _ = io.Copy(io.Discard, c)
 		return false
@@ -29,7 +29,7 @@
 		return out
 	}
 	sent := ask(func() response { return g.post("charge.example", "r1") })
-	<-silent.seen
+	<-silent.received
 	waits := ask(func() response { return g.post("charge.example", "r2") })
 	ownerless := ask(func() response { return g.get("keyed.example", "r3") })
 	time.Sleep(testObjective / 20)
@@ -51,12 +51,12 @@
 
 // A request that comes to a stopping host is given the time that the host has
 // left, and told to the upstream as its own.
-func TestStoppingHostTellsUpstreamsItsEnd(t *testing.T) {
+func TestStoppingHostShortensUpstreamTimeout(t *testing.T) {
 	f := startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "plain", f))
 	g.d.StopBy(time.Now().Add(testTimeout / 2))
 	g.get("read.example", "r1").want(t, 200, "")
-	r := <-f.seen
+	r := <-f.received
 	if left, err := time.ParseDuration(r.Header.Get("X-Timeout-Ms") + "ms"); err != nil || left > testTimeout/2 {
 		t.Errorf("the upstream was given %v, error %v", left, err)
 	}
--- a/internal/dispatch/closed_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -31,7 +31,7 @@
 
 // An upstream that asks for a rest must get nothing more, and callers that only it
 // could serve must be told so at once instead of waiting or being sent there.
-func TestRestingUpstreamIsLeftAlone(t *testing.T) {
+func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
 	f := startUpstream(t, respondWith(http.StatusServiceUnavailable, "X-Not-Run: 1", "Retry-After: 30"))
 	other := startUpstream(t, echo)
 	g := newHarness(t, newUpstream("u1", "plain", f), newUpstream("k1", "keyed", f), newUpstream("u2", "plain", other))
@@ -48,20 +48,20 @@
 			t.Errorf("told to come back after %v, in the rest of 30s", back)
 		}
 	}
-	if n := f.runs.Load(); n != 1 {
+	if n := f.requestCount.Load(); n != 1 {
 		t.Errorf("%d requests reached the keys' owner, want 1", n)
 	}
 	for i := range 20 {
 		g.get("read.example", "plain"+strconv.Itoa(i)).want(t, http.StatusOK, "")
 	}
-	if n := f.runs.Load(); n > 2 {
+	if n := f.requestCount.Load(); n > 2 {
 		t.Errorf("%d requests reached upstreams that rest, want 2 at most", n)
 	}
 }
 
 // A request that waited for its turn, or is sent again, while its upstream named a
 // limit must ask for leave as well.
-func TestLimitIsAskedForAtEachSend(t *testing.T) {
+func TestEachAttemptNeedsAPermit(t *testing.T) {
 	f := startUpstream(t, respondWith(http.StatusInternalServerError, "X-Limit: 1"))
 	g := newHarness(t, newUpstream("k1", "keyed", f))
 	asked := 0
@@ -71,18 +71,18 @@
 	})
 	g.setOwner("k1", 1)
 	g.get("keyed.example", "r1")
-	if n := f.runs.Load(); n != 1 || asked != 1 {
+	if n := f.requestCount.Load(); n != 1 || asked != 1 {
 		t.Errorf("%d sends, leave asked for %d times; want 1 and 1 for the repeat", n, asked)
 	}
 	g.get("keyed.example", "r2").want(t, http.StatusServiceUnavailable, string(CauseRateLimited)+"\n")
-	if n := f.runs.Load(); n != 1 {
+	if n := f.requestCount.Load(); n != 1 {
 		t.Errorf("%d sends without leave", n-1)
 	}
 }
 
 // Keys of an upstream that should have handed them over long ago cannot be served
 // at present; callers must be told at once instead of waiting for a move.
-func TestKeysNeverHandedOverAreRefusedAtOnce(t *testing.T) {
+func TestKeysOfOverdueHandoverAreRefusedAtOnce(t *testing.T) {
 	f := startUpstream(t, echo)
 	for _, c := range []struct {
 		name string
@@ -107,7 +107,7 @@
 		}
 		a.want(t, http.StatusServiceUnavailable, string(CauseNoOwner)+"\n")
 	}
-	if n := f.runs.Load(); n != 1 {
+	if n := f.requestCount.Load(); n != 1 {
 		t.Errorf("%d requests reached the upstream, want 1", n)
 	}
 }
