--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -15,18 +15,18 @@
 	"github.com/papayatide/papayatide/internal/crashes"
 )
 
-// startCrashingUpstreams returns n upstreams, each of which ends as it begins to run a request
-// whose ID begins with "fatal".
+// startCrashingUpstreams starts n upstreams. Each crashes, that is closes its port
+// and the connection, when it receives a request whose ID begins with "fatal".
 func startCrashingUpstreams(t *testing.T, n int) (ups []*catalogue.Upstream, fakes []*fakeUpstream) {
 	t.Helper()
 	for i := range n {
 		var f *fakeUpstream
-		f = startUpstream(t, func(w io.Writer, c net.Conn, r *http.Request, m int64) bool {
+		f = startUpstream(t, func(w io.Writer, c net.Conn, r *http.Request, number int64) bool {
 			if len(r.Header.Get("X-Id")) > 4 && r.Header.Get("X-Id")[:5] == "fatal" {
 				_ = f.ln.Close()
 				return false
 			}
-			return echo(w, c, r, m)
+			return echo(w, c, r, number)
 		})
 		fakes = append(fakes, f)
 		ups = append(ups, newUpstream(fmt.Sprint("u", i), "plain", f))
@@ -34,7 +34,7 @@
 	return ups, fakes
 }
 
-// unusedUpstreams returns the upstreams that have not run a request yet.
+// unusedUpstreams returns the upstreams that have not received a request.
 func unusedUpstreams(ups []*catalogue.Upstream, fakes []*fakeUpstream) (out []*catalogue.Upstream) {
 	for i, f := range fakes {
 		if f.requestCount.Load() == 0 {
@@ -44,6 +44,7 @@
 	return out
 }
 
+// totalRequests returns the number of requests that all fakes received.
 func totalRequests(fakes []*fakeUpstream) int64 {
 	n := int64(0)
 	for _, f := range fakes {
@@ -52,162 +53,164 @@
 	return n
 }
 
-// A booking ends the server that runs it. Its caller, told that it may have
-// run, sends it again; three servers end. From then on it is refused at once
-// as not run, with the time after which it is tried again, and reaches none.
+// A request crashes each server that runs it, and its caller retries it after each
+// 502. After crashes.Limit crashes the request must be refused at once as not run,
+// with a Retry-After header, and must reach no further server.
 func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	ups, fakes := startCrashingUpstreams(t, 5)
-	g := newHarness(t, ups...)
+	h := newHarness(t, ups...)
 	for i := range crashes.Limit {
-		g.postFatal(i).want(t, 502, "")
+		h.postFatal(i).want(t, 502, "")
 	}
 	if n := totalRequests(fakes); n != crashes.Limit {
-		t.Fatalf("%d sends for %d asks", n, crashes.Limit)
+		t.Fatalf("%d sends for %d requests", n, crashes.Limit)
 	}
 	for i := range 10 {
-		began := time.Now()
-		a := g.postFatal(i)
-		a.want(t, 503, string(CauseCrashes)+"\n")
-		if took := time.Since(began); took > testObjective/4 || a.header.Get("Retry-After") == "" {
-			t.Errorf("refused after %v, to come back after %q", took, a.header.Get("Retry-After"))
+		start := time.Now()
+		resp := h.postFatal(i)
+		resp.want(t, 503, string(CauseCrashes)+"\n")
+		if took := time.Since(start); took > testObjective/4 || resp.header.Get("Retry-After") == "" {
+			t.Errorf("refused after %v, Retry-After %q", took, resp.header.Get("Retry-After"))
 		}
 	}
 	if n := totalRequests(fakes); n != crashes.Limit {
-		t.Errorf("sent %d times more", n-crashes.Limit)
+		t.Errorf("sent %d more times after the limit", n-crashes.Limit)
 	}
-	g.setUpstreams(unusedUpstreams(ups, fakes)...)
-	g.post("charge.example", "another").want(t, 200, "answer to another")
+	h.setUpstreams(unusedUpstreams(ups, fakes)...)
+	h.post("charge.example", "another").want(t, 200, "answer to another")
 }
 
-// postFatal asks for one and the same booking under a new ID.
-func (g *harness) postFatal(i int) response {
-	return g.call(context.Background(), "POST", "charge.example", fmt.Sprint("fatal-", i), "the same booking")
+// postFatal posts the same crashing request, under an ID that depends on i.
+func (h *harness) postFatal(i int) response {
+	return h.call(context.Background(), "POST", "charge.example", fmt.Sprint("fatal-", i), "the same booking")
 }
 
-// A lookup has ended two servers already. It ends a third, and is not sent
-// again at once, as a lookup whose answer broke off is otherwise: the host's
-// own repeat would have ended a fourth.
+// An idempotent request has crashed two servers, one of them through the host's own
+// retry. When it crashes a third, the host must not retry it, although it retries
+// other idempotent requests after a broken send: the retry would crash a fourth.
 func TestNoRetryAfterLastAllowedCrash(t *testing.T) {
 	ups, fakes := startCrashingUpstreams(t, 5)
-	g := newHarness(t, ups...)
-	g.get("read.example", "fatal-1").want(t, 502, "")
+	h := newHarness(t, ups...)
+	h.get("read.example", "fatal-1").want(t, 502, "")
 	if n := totalRequests(fakes); n != 2 {
-		t.Fatalf("the first lookup was sent %d times", n)
+		t.Fatalf("the first request was sent %d times, want 2", n)
 	}
-	g.get("read.example", "fatal-2").want(t, 502, "")
+	h.get("read.example", "fatal-2").want(t, 502, "")
 	if n := totalRequests(fakes); n != crashes.Limit {
 		t.Errorf("sent %d times, want %d", n, crashes.Limit)
 	}
-	g.get("read.example", "fatal-3").want(t, 503, string(CauseCrashes)+"\n")
+	h.get("read.example", "fatal-3").want(t, 503, string(CauseCrashes)+"\n")
 }
 
-// Answers break off again and again, but their servers go on: connections are
-// reset, or answers are cut short. Nothing is refused for it.
+// Connections repeatedly close without a response while the server keeps listening.
+// These broken sends must not count as crashes, and no request may be refused because
+// of them.
 func TestBrokenSendsOfRunningServersAreNotCrashes(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
-	g := newHarness(t, newUpstream("u1", "plain", f))
+	h := newHarness(t, newUpstream("u1", "plain", f))
 	for i := range 3 * crashes.Limit {
-		g.post("charge.example", fmt.Sprint("r", i)).want(t, 502, "")
+		h.post("charge.example", fmt.Sprint("r", i)).want(t, 502, "")
 	}
-	if g.d.crashes.HasCrashes() {
-		t.Error("ends are counted though no server has ended")
+	if h.d.crashes.HasCrashes() {
+		t.Error("crashes are counted though no server has crashed")
 	}
 }
 
-// A balancer stands before the servers: where one has ended it still takes
-// connections, and closes them. That the servers ended shows by their entries,
-// which go two seconds later.
+// A load balancer in front of a crashed server still accepts connections and closes
+// them, so the port does not show the crash. The crash must be detected when the
+// server's entry is removed, about two seconds later.
 func TestCrashBehindLoadBalancerIsDetectedByItsEntry(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
-	g := newHarness(t)
+	h := newHarness(t)
 	for i := range crashes.Limit {
 		u := newUpstream(fmt.Sprint("u", i), "plain", f)
-		g.setUpstreams(u)
-		g.postFatal(i).want(t, 502, "")
-		g.d.Prune()
-		gone := *u
-		gone.Leaving, gone.Unlisted = true, true
-		g.setUpstreams(&gone)
-		g.d.Prune()
-	}
-	g.setUpstreams(newUpstream("u9", "plain", f))
-	g.postFatal(9).want(t, 503, string(CauseCrashes)+"\n")
+		h.setUpstreams(u)
+		h.postFatal(i).want(t, 502, "")
+		h.d.Prune()
+		unlisted := *u
+		unlisted.Leaving, unlisted.Unlisted = true, true
+		h.setUpstreams(&unlisted)
+		h.d.Prune()
+	}
+	h.setUpstreams(newUpstream("u9", "plain", f))
+	h.postFatal(9).want(t, 503, string(CauseCrashes)+"\n")
 }
 
-// Of the upstreams under which a request broke off while they went on to
-// listen, those whose entries go, or whose servers have another life, have
-// ended; those that leave as planned or are still there after the time in
-// which entries go have not.
+// After a broken send at an upstream whose port is open, the upstream counts as
+// crashed if its entry is unlisted or missing (as when a later incarnation replaced
+// it) within entryExpiry. It does not if it leaves as planned or is listed for longer.
 func TestUpstreamsThatStayOrLeaveHaveNotCrashed(t *testing.T) {
 	now := time.Now()
-	var s unresolvedSendList
+	var sends unresolvedSendList
 	for _, server := range []string{"on", "leaving", "unlisted", "replaced", "on later gone"} {
-		s.add(crashes.Crash{Fingerprint: "c", Server: server, At: now})
+		sends.add(crashes.Crash{Fingerprint: "c", Server: server, At: now})
 	}
-	settle := func(after time.Duration, ups ...*catalogue.Upstream) (ended []string) {
+	resolveAfter := func(after time.Duration, ups ...*catalogue.Upstream) (crashed []string) {
 		all := map[string]*catalogue.Upstream{}
 		for _, u := range ups {
 			all[u.ID] = u
 		}
-		for _, e := range s.resolve(catalogue.NewSnapshot(all), now.Add(after)) {
-			ended = append(ended, e.Server)
+		for _, crash := range sends.resolve(catalogue.NewSnapshot(all), now.Add(after)) {
+			crashed = append(crashed, crash.Server)
 		}
-		return ended
+		return crashed
 	}
 	on := &catalogue.Upstream{ID: "on"}
-	got := settle(time.Second, on, &catalogue.Upstream{ID: "on later gone"}, &catalogue.Upstream{ID: "leaving", Leaving: true},
+	got := resolveAfter(time.Second, on, &catalogue.Upstream{ID: "on later gone"}, &catalogue.Upstream{ID: "leaving", Leaving: true},
 		&catalogue.Upstream{ID: "unlisted", Leaving: true, Unlisted: true})
 	if !slices.Equal(got, []string{"unlisted", "replaced"}) {
-		t.Errorf("ended: %v", got)
+		t.Errorf("crashed: %v", got)
 	}
-	if got = settle(entryExpiry, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
-		t.Errorf("ended: %v", got)
+	if got = resolveAfter(entryExpiry, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
+		t.Errorf("crashed: %v", got)
 	}
-	if got = settle(entryExpiry+time.Second, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
-		t.Errorf("ended: %v", got)
+	if got = resolveAfter(entryExpiry+time.Second, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
+		t.Errorf("crashed: %v", got)
 	}
-	if got = settle(entryExpiry + 2*time.Second); got != nil {
-		t.Errorf("ended after the time in which entries go: %v", got)
+	if got = resolveAfter(entryExpiry + 2*time.Second); got != nil {
+		t.Errorf("crashed after entryExpiry: %v", got)
 	}
 }
 
-// Two servers end while they run a page that is harmless; then it is answered.
-// Two more end under it later, and it is served still.
+// Servers crash for other reasons while they run a harmless request. After every two
+// crashes the request is answered, which resets its count, so that it is never
+// refused although more than crashes.Limit servers crash under it in total.
 func TestAnsweredRequestIsNotRefused(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newHarness(t, newUpstream("u1", "plain", f))
-	page := crashes.Request{Method: "GET", Host: "read.example", URI: "/a//b?q=%2f", Key: -1}.Fingerprint()
+	h := newHarness(t, newUpstream("u1", "plain", f))
+	fingerprint := crashes.Request{Method: "GET", Host: "read.example", URI: "/a//b?q=%2f", Key: -1}.Fingerprint()
 	for i := range 3 * crashes.Limit {
-		g.d.crashes.RecordCrash(crashes.Crash{Fingerprint: page, Server: fmt.Sprint("s", i), At: time.Now()})
+		h.d.crashes.RecordCrash(crashes.Crash{Fingerprint: fingerprint, Server: fmt.Sprint("s", i), At: time.Now()})
 		if i%2 == 1 {
-			g.get("read.example", fmt.Sprint("r", i)).want(t, 200, "")
+			h.get("read.example", fmt.Sprint("r", i)).want(t, 200, "")
 		}
 	}
 }
 
-// One upload ends its servers. Its caller sends it with its length one time and
-// in chunks the next. It is refused after three ends either way, whether it is
-// small, or streamed and told by its beginning; another upload is not.
+// An upload crashes its servers. Its caller alternates between a stated length and
+// chunked encoding, which must not change the fingerprint. The upload must be refused
+// after crashes.Limit crashes, both when it is buffered and when it is streamed and
+// identified by its first bytes. An upload with another beginning must be served.
 func TestUploadThatCrashesServersIsRefused(t *testing.T) {
 	for _, size := range []int{100, maxBufferedBodyBytes + 1} {
 		ups, fakes := startCrashingUpstreams(t, 5)
-		g := newHarness(t, ups...)
-		upload := func(id, begin string, chunked bool) response {
-			var body io.Reader = strings.NewReader(begin + string(make([]byte, size)))
+		h := newHarness(t, ups...)
+		upload := func(id, prefix string, chunked bool) response {
+			var body io.Reader = strings.NewReader(prefix + string(make([]byte, size)))
 			if chunked {
 				body = io.MultiReader(body)
 			}
-			return g.callBody(t.Context(), "POST", "charge.example", id, body)
+			return h.callBody(t.Context(), "POST", "charge.example", id, body)
 		}
 		for i := range crashes.Limit {
 			upload(fmt.Sprint("fatal-", i), "x", i%2 == 0).want(t, 502, "")
 		}
 		upload("fatal-8", "x", true).want(t, 503, string(CauseCrashes)+"\n")
 		upload("fatal-9", "x", false).want(t, 503, string(CauseCrashes)+"\n")
-		g.setUpstreams(unusedUpstreams(ups, fakes)...)
+		h.setUpstreams(unusedUpstreams(ups, fakes)...)
 		upload("other", "y", true).want(t, 200, "answer to other")
 		if n := totalRequests(fakes); n != crashes.Limit+1 {
-			t.Errorf("%d sends of %d bytes", n, size)
+			t.Errorf("%d sends of uploads of %d bytes", n, size)
 		}
 	}
 }
--- a/internal/dispatch/caller_gone_test.go
+++ b/internal/dispatch/caller_gone_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// pausedListener hands connections out only once resume is closed, like a host
-// that has no processor for a while.
+// pausedListener accepts no connections until resume is closed, like a host that gets
+// no CPU for a while.
 type pausedListener struct {
 	net.Listener
 	resume chan struct{}
@@ -21,16 +21,16 @@
 	return l.Listener.Accept()
 }
 
-// A host stands still for a while. Callers send requests, wait, and close their
-// connections. Then the host goes on and reads the requests: none may reach an
-// upstream, which would work for nobody, for a second and more.
+// While a host is stalled, callers send requests and close their connections. When
+// the host runs again it reads these requests. None may reach an upstream, which would
+// work on requests without a caller for a second or more.
 func TestRequestsOfDisconnectedCallersAreNotSent(t *testing.T) {
 	f := startUpstream(t, echo)
-	g := newHarness(t, newUpstream("u1", "plain", f))
-	g.get("read.example", "warm").want(t, http.StatusOK, "") // a kept connection
+	h := newHarness(t, newUpstream("u1", "plain", f))
+	h.get("read.example", "warm").want(t, http.StatusOK, "") // leaves an idle connection in the pool
 	const callers = 60
 	resume := make(chan struct{})
-	front := httptest.NewUnstartedServer(g.d)
+	front := httptest.NewUnstartedServer(h.d)
 	front.Config.ConnContext = WithCaller
 	front.Listener = pausedListener{front.Listener, resume}
 	front.Start()
@@ -46,15 +46,15 @@
 		_ = c.Close()
 	}
 	close(resume)
-	for end := time.Now().Add(2 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		g.mu.Lock()
-		ended := len(g.summaries)
-		g.mu.Unlock()
-		if ended >= callers+1 || time.Now().After(end) {
+	for deadline := time.Now().Add(2 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		h.mu.Lock()
+		finished := len(h.summaries)
+		h.mu.Unlock()
+		if finished >= callers+1 || time.Now().After(deadline) {
 			break
 		}
 	}
 	if n := f.requestCount.Load() - 1; n > 0 {
-		t.Errorf("%d of %d requests reached the upstream after their callers had left", n, callers)
+		t.Errorf("%d of %d requests reached the upstream after their callers had disconnected", n, callers)
 	}
 }
--- a/internal/dispatch/fuzz_test.go
+++ b/internal/dispatch/fuzz_test.go
@@ -13,8 +13,8 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// Whatever a caller sends is refused or read into a request of a route that
-// exists, with a key in range; it never ends the process.
+// parseRequest must refuse any input of a caller or return a request of an existing
+// route with a key in range; it must not panic.
 func FuzzRequest(f *testing.F) {
 	f.Add("GET", "keyed.example", "/a", "77", "500", "Close, X-Id", []byte("body"))
 	f.Add("POST", "charge.example:80", "/%2f//..", "-1", "99999999999999999999", ",", []byte{})
@@ -34,13 +34,13 @@
 		r.Header.Set("X-Key", key)
 		r.Header.Set("X-Timeout-Ms", timeout)
 		r.Header.Set("Connection", connection)
-		q, ref := d.parseRequest(r, testArrival)
-		if ref != nil {
-			ref.write(httptest.NewRecorder(), testHeaders.RequestID, "id")
+		req, refusal := d.parseRequest(r, testArrival)
+		if refusal != nil {
+			refusal.write(httptest.NewRecorder(), testHeaders.RequestID, "id")
 			return
 		}
-		if q.key < 0 || q.key >= ownership.KeySpaceSize || q.route != route || q.deadline.After(testArrival.Add(testTimeout)) {
-			t.Errorf("read as %+v", q)
+		if req.key < 0 || req.key >= ownership.KeySpaceSize || req.route != route || req.deadline.After(testArrival.Add(testTimeout)) {
+			t.Errorf("parsed as %+v", req)
 		}
 	})
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -30,15 +30,18 @@
 var testHeaders = protocol.Headers{RequestID: "X-Id", TimeoutMs: "X-Timeout-Ms", Signature: "X-Signature", ExpectedUpstream: "X-Expect",
 	NotRun: "X-Not-Run", Key: "X-Key", RateLimit: "X-Limit", Leaving: "X-Leaving"}
 
-// fakeUpstream speaks HTTP by hand, so that it can misbehave. answer gets
-// each request and writes what it likes; false ends the connection.
+// fakeUpstream is an HTTP server that can violate the protocol. Its respond
+// function gets each request with its number, counted from 1, and writes any
+// bytes as the response; the connection is closed if it returns false.
 type fakeUpstream struct {
-	ln           net.Listener
+	ln net.Listener
+	// requestCount counts the requests read; received holds the first 100 of them
+	// and blocks serve when it is full.
 	requestCount atomic.Int64
 	received     chan *http.Request
 }
 
-func startUpstream(t *testing.T, answer func(w io.Writer, c net.Conn, r *http.Request, n int64) bool) *fakeUpstream {
+func startUpstream(t *testing.T, respond func(w io.Writer, c net.Conn, r *http.Request, n int64) bool) *fakeUpstream {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -52,13 +55,13 @@
 			if err != nil {
 				return
 			}
-			go f.serve(c, answer)
+			go f.serve(c, respond)
 		}
 	}()
 	return f
 }
 
-func (f *fakeUpstream) serve(c net.Conn, answer func(io.Writer, net.Conn, *http.Request, int64) bool) {
+func (f *fakeUpstream) serve(c net.Conn, respond func(io.Writer, net.Conn, *http.Request, int64) bool) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
@@ -73,7 +76,7 @@
 		r.Body = io.NopCloser(strings.NewReader(string(body)))
 		n := f.requestCount.Add(1)
 		f.received <- r
-		if !answer(c, c, r, n) {
+		if !respond(c, c, r, n) {
 			return
 		}
 	}
@@ -81,54 +84,61 @@
 
 func (f *fakeUpstream) addr() string { return f.ln.Addr().String() }
 
-// writeResponse writes a complete answer to r.
+// writeResponse writes a complete response to r, with extra as further header
+// lines, and reports whether it was written.
 func writeResponse(w io.Writer, r *http.Request, status int, body string, extra ...string) bool {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\nX-Id: %s\r\nX-Signature: sig\r\nContent-Length: %d\r\n", status, r.Header.Get("X-Id"), len(body))
-	for _, e := range extra {
-		head += e + "\r\n"
+	for _, line := range extra {
+		head += line + "\r\n"
 	}
 	_, err := io.WriteString(w, head+"\r\n"+body)
 	return err == nil
 }
 
+// echo responds with the ID of the request.
 func echo(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
 	return writeResponse(w, r, 200, "answer to "+r.Header.Get("X-Id"))
 }
 
-// harness is a dispatcher with its front server.
+// harness is a dispatcher behind an HTTP server.
 type harness struct {
-	d         *Dispatcher
-	views     *view.Publisher
-	front     *httptest.Server
-	mu        sync.Mutex
+	d     *Dispatcher
+	views *view.Publisher
+	front *httptest.Server
+	mu    sync.Mutex
+	// summaries holds the summary of each finished request; mu protects it.
 	summaries []*RequestSummary
 }
 
+// Timeout and latency objective of the routes in tests.
 const (
 	testTimeout   = 800 * time.Millisecond
 	testObjective = 400 * time.Millisecond
 )
 
-// permitAll is an allocator that gives whatever leave is asked for.
+// permitAll is an allocator that grants all permits that are requested.
 func permitAll(_ context.Context, _ string, _ float64, want int) (ratelimit.Permit, error) {
 	return ratelimit.Permit{Requests: want}, nil
 }
 
-// permitNone is an allocator that never gives leave.
+// permitNone is an allocator that grants no permits.
 func permitNone(context.Context, string, float64, int) (ratelimit.Permit, error) {
 	return ratelimit.Permit{Wait: time.Second}, nil
 }
 
+// newHarness returns a harness with the upstreams ups and three routes: idempotent
+// read.example and non-idempotent charge.example to the service plain, and
+// idempotent keyed.example to the service keyed. A request has at most 2 attempts.
 func newHarness(t *testing.T, ups ...*catalogue.Upstream) *harness {
 	t.Helper()
-	g := &harness{views: view.NewPublisher()}
-	bud := budget.New(budget.Limits{Ratio: 1, Slack: 100, Window: 10 * time.Second}, time.Now().Add(-time.Minute))
-	g.d = New(testHeaders, "dc1", g.views, upstream.NewClient(testHeaders), balance.NewPicker("h"), bud, crashes.NewTracker(nil), feedback.NewTracker(),
+	h := &harness{views: view.NewPublisher()}
+	retryBudget := budget.New(budget.Limits{Ratio: 1, Slack: 100, Window: 10 * time.Second}, time.Now().Add(-time.Minute))
+	h.d = New(testHeaders, "dc1", h.views, upstream.NewClient(testHeaders), balance.NewPicker("h"), retryBudget, crashes.NewTracker(nil), feedback.NewTracker(),
 		ratelimit.NewLimiter(ratelimit.Bounds{}, permitAll))
-	g.d.OnRequestDone = func(e *RequestSummary) {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		g.summaries = append(g.summaries, e)
+	h.d.OnRequestDone = func(summary *RequestSummary) {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.summaries = append(h.summaries, summary)
 	}
 	route := func(host string, idempotent bool, service string) *desired.Route {
 		return &desired.Route{Name: host, Host: host, Prefix: "/", Idempotent: idempotent, Timeout: testTimeout, LatencyObjective: testObjective,
@@ -136,31 +146,33 @@
 	}
 	routes := []*desired.Route{route("read.example", true, "plain"), route("charge.example", false, "plain"), route("keyed.example", true, "keyed")}
 	services := map[string]*desired.Service{"plain": {Name: "plain"}, "keyed": {Name: "keyed", Keyed: true}}
-	g.views.Publish(func(v *view.View) { v.Desired = desired.New(7, routes, services, desired.Limits{}) })
-	g.setUpstreams(ups...)
-	g.front = httptest.NewServer(g.d)
-	t.Cleanup(g.front.Close)
-	return g
+	h.views.Publish(func(v *view.View) { v.Desired = desired.New(7, routes, services, desired.Limits{}) })
+	h.setUpstreams(ups...)
+	h.front = httptest.NewServer(h.d)
+	t.Cleanup(h.front.Close)
+	return h
 }
 
-func (g *harness) setUpstreams(ups ...*catalogue.Upstream) {
+func (h *harness) setUpstreams(ups ...*catalogue.Upstream) {
 	all := map[string]*catalogue.Upstream{}
 	for _, u := range ups {
 		all[u.ID] = u
 	}
-	g.views.Publish(func(v *view.View) { v.Upstreams = catalogue.NewSnapshot(all) })
+	h.views.Publish(func(v *view.View) { v.Upstreams = catalogue.NewSnapshot(all) })
 }
 
-// setOwner gives all keys to the upstream.
-func (g *harness) setOwner(id string, fence int64) {
-	t := &ownership.Table{Service: "keyed", MaxFencingToken: fence, Ranges: []ownership.Range{{From: 0, To: ownership.KeySpaceSize - 1, Owner: id, FencingToken: fence}}}
-	g.views.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{"keyed": t} })
+// setOwner publishes a table in which the upstream id owns all keys under the
+// fencing token; with an empty id they have no owner.
+func (h *harness) setOwner(id string, fencingToken int64) {
+	table := &ownership.Table{Service: "keyed", MaxFencingToken: fencingToken, Ranges: []ownership.Range{{From: 0, To: ownership.KeySpaceSize - 1, Owner: id, FencingToken: fencingToken}}}
+	h.views.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{"keyed": table} })
 }
 
 func newUpstream(id, service string, f *fakeUpstream) *catalogue.Upstream {
 	return &catalogue.Upstream{ID: id, Service: service, Addr: f.addr(), DataCentre: "dc1", Slots: 3}
 }
 
+// response is what the caller got; err is the error of the HTTP client.
 type response struct {
 	status int
 	body   string
@@ -168,12 +180,13 @@
 	err    error
 }
 
-func (g *harness) call(ctx context.Context, method, host, id, body string) response {
-	return g.callBody(ctx, method, host, id, strings.NewReader(body))
+// call sends a request through the front server and reads the response.
+func (h *harness) call(ctx context.Context, method, host, id, body string) response {
+	return h.callBody(ctx, method, host, id, strings.NewReader(body))
 }
 
-func (g *harness) callBody(ctx context.Context, method, host, id string, body io.Reader) response {
-	req, err := http.NewRequestWithContext(ctx, method, g.front.URL+"/a//b?q=%2f", body)
+func (h *harness) callBody(ctx context.Context, method, host, id string, body io.Reader) response {
+	req, err := http.NewRequestWithContext(ctx, method, h.front.URL+"/a//b?q=%2f", body)
 	if err != nil {
 		return response{err: err}
 	}
@@ -190,17 +203,19 @@
 	return response{resp.StatusCode, string(data), resp.Header, err}
 }
 
-func (g *harness) get(host, id string) response {
-	return g.call(context.Background(), "GET", host, id, "")
+func (h *harness) get(host, id string) response {
+	return h.call(context.Background(), "GET", host, id, "")
 }
 
-func (g *harness) post(host, id string) response {
-	return g.call(context.Background(), "POST", host, id, "body of "+id)
+func (h *harness) post(host, id string) response {
+	return h.call(context.Background(), "POST", host, id, "body of "+id)
 }
 
-func (a response) want(t *testing.T, status int, body string) {
+// want ends the test unless the response has the status and, if body is not
+// empty, the body.
+func (resp response) want(t *testing.T, status int, body string) {
 	t.Helper()
-	if a.err != nil || a.status != status || (body != "" && a.body != body) {
-		t.Fatalf("got %d %q, error %v; want %d %q", a.status, a.body, a.err, status, body)
+	if resp.err != nil || resp.status != status || (body != "" && resp.body != body) {
+		t.Fatalf("got %d %q, error %v; want %d %q", resp.status, resp.body, resp.err, status, body)
 	}
 }
--- a/internal/dispatch/queued_test.go
+++ b/internal/dispatch/queued_test.go
@@ -11,65 +11,65 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// limitToOneInFlight lets this host have a single request under way to an upstream.
-func (g *harness) limitToOneInFlight() {
-	g.views.Publish(func(v *view.View) {
+// limitToOneInFlight sets the connection limits and the number of hosts so that this
+// host may have one request in flight at each upstream.
+func (h *harness) limitToOneInFlight() {
+	h.views.Publish(func(v *view.View) {
 		d := *v.Desired
 		d.Services = map[string]*desired.Service{"plain": {Name: "plain", MaxConns: 1}, "keyed": {Name: "keyed", Keyed: true, MaxConns: 1}}
 		v.Desired = &d
 	})
-	g.d.SetHostCount(2, true)
+	h.d.SetHostCount(2, true)
 }
 
-// slowEcho answers after half of what a request may wait for its turn.
-func slowEcho(w io.Writer, c net.Conn, r *http.Request, n int64) bool {
+// slowEcho responds after half of the time that a request may wait for admission.
+func slowEcho(w io.Writer, c net.Conn, r *http.Request, number int64) bool {
 	time.Sleep(testObjective / 4)
-	return echo(w, c, r, n)
+	return echo(w, c, r, number)
 }
 
-// A request waits for its turn at an upstream. Meanwhile the upstream starts
-// to leave, and must get nothing new: the request goes to another one.
+// While a request is queued for admission at an upstream, the upstream starts to leave
+// and must get no new requests. The request must be sent to another upstream.
 func TestQueuedRequestIsNotSentToLeavingUpstream(t *testing.T) {
 	first, other := startUpstream(t, slowEcho), startUpstream(t, echo)
 	u1 := newUpstream("u1", "plain", first)
-	g := newHarness(t, u1)
-	g.limitToOneInFlight()
+	h := newHarness(t, u1)
+	h.limitToOneInFlight()
 	done := make(chan response)
-	go func() { done <- g.post("charge.example", "r1") }()
+	go func() { done <- h.post("charge.example", "r1") }()
 	<-first.received
-	go func() { done <- g.post("charge.example", "r2") }()
+	go func() { done <- h.post("charge.example", "r2") }()
 	time.Sleep(testObjective / 8)
 	leaving := *u1
 	leaving.Leaving = true
-	g.setUpstreams(&leaving, newUpstream("u2", "plain", other))
+	h.setUpstreams(&leaving, newUpstream("u2", "plain", other))
 	for range 2 {
-		a := <-done
-		a.want(t, http.StatusOK, "")
+		resp := <-done
+		resp.want(t, http.StatusOK, "")
 	}
 	if n := first.requestCount.Load(); n != 1 {
-		t.Errorf("%d requests reached the leaving upstream, want the one from before", n)
+		t.Errorf("%d requests reached the leaving upstream, want 1", n)
 	}
 }
 
-// A request waits for its turn at the owner of its key. Meanwhile the key
-// moves: the request goes to the new owner, not to the old one, which would
-// refuse it.
+// While a request is queued for admission at the owner of its key, the key moves. The
+// request must be sent to the new owner, as the old one would reject it.
 func TestQueuedRequestFollowsItsKey(t *testing.T) {
-	old, next := startUpstream(t, slowEcho), startUpstream(t, echo)
-	g := newHarness(t, newUpstream("u1", "keyed", old), newUpstream("u2", "keyed", next))
-	g.limitToOneInFlight()
-	g.setOwner("u1", 5)
+	oldOwner, newOwner := startUpstream(t, slowEcho), startUpstream(t, echo)
+	h := newHarness(t, newUpstream("u1", "keyed", oldOwner), newUpstream("u2", "keyed", newOwner))
+	h.limitToOneInFlight()
+	h.setOwner("u1", 5)
 	done := make(chan response)
-	go func() { done <- g.get("keyed.example", "r1") }()
-	<-old.received
-	go func() { done <- g.get("keyed.example", "r2") }()
+	go func() { done <- h.get("keyed.example", "r1") }()
+	<-oldOwner.received
+	go func() { done <- h.get("keyed.example", "r2") }()
 	time.Sleep(testObjective / 8)
-	g.setOwner("u2", 6)
+	h.setOwner("u2", 6)
 	for range 2 {
-		a := <-done
-		a.want(t, http.StatusOK, "")
+		resp := <-done
+		resp.want(t, http.StatusOK, "")
 	}
-	if n := old.requestCount.Load(); n != 1 {
-		t.Errorf("%d requests reached the old owner, want the one from before", n)
+	if n := oldOwner.requestCount.Load(); n != 1 {
+		t.Errorf("%d requests reached the old owner, want 1", n)
 	}
 }
--- a/internal/dispatch/retry_after_test.go
+++ b/internal/dispatch/retry_after_test.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// A caller is refused for want of room: it must come back while it can be
-// served within its objective still. One whose key nobody owns must not come
-// back before a lost owner's lease can have run out.
+// The Retry-After delay of a request refused by overloaded upstreams must leave time to
+// serve the retry within the latency objective. That of a request whose key has no
+// owner must cover the time until a lost owner's grant can have expired.
 func TestRetryAfterOfRefusals(t *testing.T) {
-	full := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
+	overloaded := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
 		return writeResponse(w, r, 503, "", "X-Not-Run: 1")
 	})
-	g := newHarness(t, newUpstream("u1", "plain", full))
-	told := func(a response) time.Duration {
+	h := newHarness(t, newUpstream("u1", "plain", overloaded))
+	retryAfter := func(resp response) time.Duration {
 		t.Helper()
-		a.want(t, http.StatusServiceUnavailable, "")
-		secs, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
+		resp.want(t, http.StatusServiceUnavailable, "")
+		seconds, err := strconv.ParseFloat(resp.header.Get("Retry-After"), 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return time.Duration(secs * float64(time.Second))
+		return time.Duration(seconds * float64(time.Second))
 	}
-	if d := told(g.post("charge.example", "r1")); d > testObjective/3 {
-		t.Errorf("full: told %v, the objective is %v", d, testObjective)
+	if d := retryAfter(h.post("charge.example", "r1")); d > testObjective/3 {
+		t.Errorf("overloaded: Retry-After %v, the latency objective is %v", d, testObjective)
 	}
-	if d := told(g.get("keyed.example", "r2")); d < retryAfterNoOwner/2 {
-		t.Errorf("no owner: told %v", d)
+	if d := retryAfter(h.get("keyed.example", "r2")); d < retryAfterNoOwner/2 {
+		t.Errorf("no owner: Retry-After %v", d)
 	}
 }
