--- a/internal/feedback/bench_test.go
+++ b/internal/feedback/bench_test.go
@@ -12,7 +12,7 @@
 	t, h := NewTracker(), http.Header{"Content-Length": {"5"}, "X-Id": {"7"}, "X-Signature": {"s"}}
 	now := time.Now()
 	for b.Loop() {
-		t.Record("u", Decode(names, http.StatusOK, h), now, now)
+		t.Record("u", Decode(testHeaders, http.StatusOK, h), now, now)
 		t.Backoff("u", now)
 		t.RateLimit("u")
 	}
--- a/internal/feedback/report.go
+++ b/internal/feedback/report.go
@@ -25,13 +25,13 @@
 }
 
 const (
-	// leastLimit (requests a second) replaces lower limits. An upstream that gets
+	// minRateLimit (requests a second) replaces lower limits. An upstream that gets
 	// nothing at all could never report that its limit has ended.
-	leastLimit = 0.1
-	// mostLimit (requests a second) replaces higher limits.
-	mostLimit = 1e6
-	// mostRest bounds a rest that an upstream asks for.
-	mostRest = time.Hour
+	minRateLimit = 0.1
+	// maxRateLimit (requests a second) replaces higher limits.
+	maxRateLimit = 1e6
+	// maxBackoff bounds a rest that an upstream asks for.
+	maxBackoff = time.Hour
 )
 
 // Decode reads the report in an answer's headers. Values that are malformed are
@@ -39,12 +39,12 @@
 func Decode(names protocol.Headers, status int, h http.Header) Report {
 	var r Report
 	for _, v := range h.Values(names.RateLimit) {
-		limit, ok := number(v)
+		limit, ok := parseNonNegative(v)
 		if !ok {
 			r.LimitUnreadable = true
 			continue
 		}
-		limit = min(max(limit, leastLimit), mostLimit)
+		limit = min(max(limit, minRateLimit), maxRateLimit)
 		if r.RateLimit == 0 || limit < r.RateLimit {
 			r.RateLimit = limit
 		}
@@ -56,16 +56,16 @@
 		return r
 	}
 	for _, v := range h.Values("Retry-After") {
-		if seconds, ok := number(v); ok {
-			rest := time.Duration(min(seconds, mostRest.Seconds()) * float64(time.Second))
+		if seconds, ok := parseNonNegative(v); ok {
+			rest := time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
 			r.Backoff = max(r.Backoff, rest)
 		}
 	}
 	return r
 }
 
-// number parses a finite decimal number of 0 or more.
-func number(v string) (float64, bool) {
+// parseNonNegative parses a finite decimal number of 0 or more.
+func parseNonNegative(v string) (float64, bool) {
 	x, err := strconv.ParseFloat(strings.TrimSpace(v), 64)
 	return x, err == nil && x >= 0 && !math.IsInf(x, 0)
 }
--- a/internal/feedback/report_test.go
+++ b/internal/feedback/report_test.go
@@ -9,7 +9,7 @@
 	"github.com/papayatide/papayatide/internal/protocol"
 )
 
-var names = protocol.Headers{RateLimit: "X-Limit", Leaving: "X-Leaving"}
+var testHeaders = protocol.Headers{RateLimit: "X-Limit", Leaving: "X-Leaving"}
 
 // Malformed, repeated or out of range values must neither stop all requests to an
 // upstream nor lift what it asks for.
@@ -23,8 +23,8 @@
 		{"nothing", 200, http.Header{}, Report{}},
 		{"limit", 200, http.Header{"X-Limit": {"1.6"}}, Report{RateLimit: 1.6}},
 		{"limit with spaces", 200, http.Header{"X-Limit": {" 2 "}}, Report{RateLimit: 2}},
-		{"limit of zero", 200, http.Header{"X-Limit": {"0"}}, Report{RateLimit: leastLimit}},
-		{"huge limit", 200, http.Header{"X-Limit": {"1e300"}}, Report{RateLimit: mostLimit}},
+		{"limit of zero", 200, http.Header{"X-Limit": {"0"}}, Report{RateLimit: minRateLimit}},
+		{"huge limit", 200, http.Header{"X-Limit": {"1e300"}}, Report{RateLimit: maxRateLimit}},
 		{"negative limit", 200, http.Header{"X-Limit": {"-1"}}, Report{LimitUnreadable: true}},
 		{"infinite limit", 200, http.Header{"X-Limit": {"Inf"}}, Report{LimitUnreadable: true}},
 		{"limit that is no number", 200, http.Header{"X-Limit": {"few"}}, Report{LimitUnreadable: true}},
@@ -34,12 +34,12 @@
 		{"rest", 503, http.Header{"Retry-After": {"3"}}, Report{Backoff: 3 * time.Second}},
 		{"rest with a fraction", 503, http.Header{"Retry-After": {"0.25"}}, Report{Backoff: 250 * time.Millisecond}},
 		{"rest repeated", 503, http.Header{"Retry-After": {"1", "2"}}, Report{Backoff: 2 * time.Second}},
-		{"rest of a day", 503, http.Header{"Retry-After": {"86400"}}, Report{Backoff: mostRest}},
+		{"rest of a day", 503, http.Header{"Retry-After": {"86400"}}, Report{Backoff: maxBackoff}},
 		{"rest as a date", 503, http.Header{"Retry-After": {"Thu, 03 Dec 2026 08:00:00 GMT"}}, Report{}},
 		{"negative rest", 503, http.Header{"Retry-After": {"-3"}}, Report{}},
 		{"rest with another status", 429, http.Header{"Retry-After": {"3"}}, Report{}},
 	} {
-		if got := Decode(names, c.status, c.header); got != c.want {
+		if got := Decode(testHeaders, c.status, c.header); got != c.want {
 			t.Errorf("%s: got %+v, want %+v", c.name, got, c.want)
 		}
 	}
@@ -51,11 +51,11 @@
 	f.Add("-0", "true", "NaN")
 	f.Add("0x1p-1074", "", "1e309")
 	f.Fuzz(func(t *testing.T, limit, leaving, rest string) {
-		r := Decode(names, http.StatusServiceUnavailable, http.Header{"X-Limit": {limit}, "X-Leaving": {leaving}, "Retry-After": {rest}})
-		if r.RateLimit != 0 && (r.RateLimit < leastLimit || r.RateLimit > mostLimit || math.IsNaN(r.RateLimit)) {
+		r := Decode(testHeaders, http.StatusServiceUnavailable, http.Header{"X-Limit": {limit}, "X-Leaving": {leaving}, "Retry-After": {rest}})
+		if r.RateLimit != 0 && (r.RateLimit < minRateLimit || r.RateLimit > maxRateLimit || math.IsNaN(r.RateLimit)) {
 			t.Errorf("limit %q: %v", limit, r.RateLimit)
 		}
-		if r.Backoff < 0 || r.Backoff > mostRest {
+		if r.Backoff < 0 || r.Backoff > maxBackoff {
 			t.Errorf("rest %q: %v", rest, r.Backoff)
 		}
 	})
--- a/internal/feedback/tracker.go
+++ b/internal/feedback/tracker.go
@@ -9,39 +9,39 @@
 	"time"
 )
 
-// state is what is known of one upstream's life.
-type state struct {
-	// limit is in requests a second, 0 for none. limitAt is when the newest
+// upstreamState is what is known of one upstream's life.
+type upstreamState struct {
+	// rateLimit is in requests a second, 0 for none. limitAt is when the newest
 	// answer that says so was received, by this or another host.
-	limit   float64
-	limitAt time.Time
-	// leavingAt is when a host first received a report that it leaves; zero if none did.
-	leavingAt time.Time
-	// restUntil is the end of the rest that this host was asked for, others are
+	rateLimit   float64
+	rateLimitAt time.Time
+	// leavingSince is when a host first received a report that it leaves; zero if none did.
+	leavingSince time.Time
+	// backoffUntil is the end of the rest that this host was asked for, others are
 	// those that followers of this host reported, by follower.
-	restUntil time.Time
-	others    map[string]othersRest
-	// restOver is when the last rest that is known of ends or ended.
-	restOver time.Time
-	// endedAt is when a host last saw it end.
-	endedAt time.Time
+	backoffUntil     time.Time
+	followerBackoffs map[string]followerBackoff
+	// lastBackoffEnd is when the last rest that is known of ends or ended.
+	lastBackoffEnd time.Time
+	// crashedAt is when a host last saw it end.
+	crashedAt time.Time
 }
 
-// othersRest is a rest that a follower reports: its own, and of those that follow it.
-type othersRest struct {
+// followerBackoff is a rest that a follower reports: its own, and of those that follow it.
+type followerBackoff struct {
 	hosts int
 	until time.Time
 }
 
-// resting returns how many hosts the upstream has asked for a rest that is not over,
+// activeBackoffs returns how many hosts the upstream has asked for a rest that is not over,
 // and how long the longest of the rests lasts.
-func (s *state) resting(now time.Time) (hosts int, left time.Duration) {
-	if now.Before(s.restUntil) {
-		hosts, left = 1, s.restUntil.Sub(now)
+func (s *upstreamState) activeBackoffs(now time.Time) (hosts int, left time.Duration) {
+	if now.Before(s.backoffUntil) {
+		hosts, left = 1, s.backoffUntil.Sub(now)
 	}
-	for from, o := range s.others {
+	for from, o := range s.followerBackoffs {
 		if !now.Before(o.until) {
-			delete(s.others, from)
+			delete(s.followerBackoffs, from)
 			continue
 		}
 		hosts, left = hosts+o.hosts, max(left, o.until.Sub(now))
@@ -49,32 +49,34 @@
 	return hosts, left
 }
 
-// notable reports whether the state says more than that of an upstream that has
+// hasInfo reports whether the state says more than that of an upstream that has
 // never reported anything.
-func (s *state) notable(now time.Time) bool {
-	return !s.leavingAt.IsZero() || s.lately(now) || s.ended(now)
+func (s *upstreamState) hasInfo(now time.Time) bool {
+	return !s.leavingSince.IsZero() || s.recentlyThrottled(now) || s.recentlyCrashed(now)
 }
 
-// ended reports whether a host has seen the upstream end so lately that the others
+// recentlyCrashed reports whether a host has seen the upstream end so lately that the others
 // should know.
-func (s *state) ended(now time.Time) bool { return now.Sub(s.endedAt) < endedTold }
+func (s *upstreamState) recentlyCrashed(now time.Time) bool {
+	return now.Sub(s.crashedAt) < crashNoticeTTL
+}
 
 // sameEnd is how much later than another an end must have been seen to be one more:
 // hosts see the same at different times, and ages are a little off on the way.
-const sameEnd = time.Second
+const crashDedupWindow = time.Second
 
 // endedTold is for how long hosts tell each other that they saw an upstream end: the
 // log service is mostly back by then, and says what is there now.
-const endedTold = 10 * time.Second
+const crashNoticeTTL = 10 * time.Second
 
-// lately reports whether a limit or a rest is in force or ended within endedFor.
-func (s *state) lately(now time.Time) bool {
-	return s.limit > 0 || now.Sub(s.limitAt) < endedFor || now.Sub(s.restOver) < endedFor
+// recentlyThrottled reports whether a limit or a rest is in force or ended within endedFor.
+func (s *upstreamState) recentlyThrottled(now time.Time) bool {
+	return s.rateLimit > 0 || now.Sub(s.rateLimitAt) < throttleRetention || now.Sub(s.lastBackoffEnd) < throttleRetention
 }
 
 // endedFor is how long the end of a limit or a rest is remembered: older reports of
 // other hosts must not bring it back, and the upstream may have lost its keys.
-const endedFor = time.Minute
+const throttleRetention = time.Minute
 
 // Change describes a change of what is known of an upstream.
 type Change struct {
@@ -97,20 +99,20 @@
 	// before the first use.
 	OnChange func(Change)
 
-	mu sync.Mutex
-	by map[string]*state
+	mu        sync.Mutex
+	upstreams map[string]*upstreamState
 }
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{OnChange: func(Change) {}, by: map[string]*state{}}
+	return &Tracker{OnChange: func(Change) {}, upstreams: map[string]*upstreamState{}}
 }
 
-func (t *Tracker) of(id string) *state {
-	s := t.by[id]
+func (t *Tracker) stateOf(id string) *upstreamState {
+	s := t.upstreams[id]
 	if s == nil {
-		s = &state{}
-		t.by[id] = s
+		s = &upstreamState{}
+		t.upstreams[id] = s
 	}
 	return s
 }
@@ -121,23 +123,23 @@
 // been answered before the limit was set.
 func (t *Tracker) Record(id string, r Report, sent, now time.Time) {
 	t.mu.Lock()
-	if t.by[id] == nil && r == (Report{}) {
+	if t.upstreams[id] == nil && r == (Report{}) {
 		t.mu.Unlock()
 		return
 	}
-	s := t.of(id)
-	c := Change{Upstream: id, PreviousRateLimit: s.limit, Backoff: r.Backoff}
+	s := t.stateOf(id)
+	c := Change{Upstream: id, PreviousRateLimit: s.rateLimit, Backoff: r.Backoff}
 	switch {
 	case r.RateLimit > 0:
-		s.limit, s.limitAt = r.RateLimit, now
-	case !r.LimitUnreadable && s.limit > 0 && sent.After(s.limitAt):
-		s.limit, s.limitAt = 0, now
+		s.rateLimit, s.rateLimitAt = r.RateLimit, now
+	case !r.LimitUnreadable && s.rateLimit > 0 && sent.After(s.rateLimitAt):
+		s.rateLimit, s.rateLimitAt = 0, now
 	}
-	if c.RateLimit = s.limit; r.Leaving && s.leavingAt.IsZero() {
-		s.leavingAt, c.Leaving = now, true
+	if c.RateLimit = s.rateLimit; r.Leaving && s.leavingSince.IsZero() {
+		s.leavingSince, c.Leaving = now, true
 	}
-	if until := now.Add(r.Backoff); r.Backoff > 0 && until.After(s.restUntil) {
-		s.restUntil, s.restOver = until, until
+	if until := now.Add(r.Backoff); r.Backoff > 0 && until.After(s.backoffUntil) {
+		s.backoffUntil, s.lastBackoffEnd = until, until
 	}
 	t.mu.Unlock()
 	t.notify(c)
@@ -153,15 +155,15 @@
 func (t *Tracker) RecordCrash(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.of(id).endedAt = now
+	t.stateOf(id).crashedAt = now
 }
 
 // RateLimit returns the upstream's limit in requests a second; 0 if it has none.
 func (t *Tracker) RateLimit(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.by[id]; s != nil {
-		return s.limit
+	if s := t.upstreams[id]; s != nil {
+		return s.rateLimit
 	}
 	return 0
 }
@@ -170,8 +172,8 @@
 func (t *Tracker) Backoff(id string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.by[id]; s != nil {
-		return max(s.restUntil.Sub(now), 0)
+	if s := t.upstreams[id]; s != nil {
+		return max(s.backoffUntil.Sub(now), 0)
 	}
 	return 0
 }
@@ -193,12 +195,12 @@
 func (t *Tracker) Status(id string, now time.Time) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.by[id]
+	s := t.upstreams[id]
 	if s == nil {
 		return Status{}
 	}
-	hosts, _ := s.resting(now)
-	return Status{RateLimit: s.limit, RateLimitAge: now.Sub(s.limitAt), BackoffHosts: hosts, RecentlyThrottled: s.lately(now)}
+	hosts, _ := s.activeBackoffs(now)
+	return Status{RateLimit: s.rateLimit, RateLimitAge: now.Sub(s.rateLimitAt), BackoffHosts: hosts, RecentlyThrottled: s.recentlyThrottled(now)}
 }
 
 // LeavingSince returns when a host first received a report that the upstream leaves,
@@ -206,8 +208,8 @@
 func (t *Tracker) LeavingSince(id string) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.by[id]; s != nil {
-		return s.leavingAt, !s.leavingAt.IsZero()
+	if s := t.upstreams[id]; s != nil {
+		return s.leavingSince, !s.leavingSince.IsZero()
 	}
 	return time.Time{}, false
 }
@@ -240,32 +242,32 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Notice
-	for id, s := range t.by {
-		n := Notice{Upstream: id, RateLimit: s.limit, RateLimitAge: -1, Leaving: !s.leavingAt.IsZero(), Crashed: s.ended(now)}
-		if n.BackoffHosts, n.BackoffLeft = s.resting(now); s.limitAt.IsZero() && !n.Leaving && n.BackoffHosts == 0 && !n.Crashed {
+	for id, s := range t.upstreams {
+		n := Notice{Upstream: id, RateLimit: s.rateLimit, RateLimitAge: -1, Leaving: !s.leavingSince.IsZero(), Crashed: s.recentlyCrashed(now)}
+		if n.BackoffHosts, n.BackoffLeft = s.activeBackoffs(now); s.rateLimitAt.IsZero() && !n.Leaving && n.BackoffHosts == 0 && !n.Crashed {
 			continue
 		}
 		if n.Crashed {
-			n.CrashAge = now.Sub(s.endedAt)
+			n.CrashAge = now.Sub(s.crashedAt)
 		}
-		if !s.limitAt.IsZero() {
-			n.RateLimitAge = now.Sub(s.limitAt)
+		if !s.rateLimitAt.IsZero() {
+			n.RateLimitAge = now.Sub(s.rateLimitAt)
 		}
 		if n.Leaving {
-			n.LeavingAge = now.Sub(s.leavingAt)
+			n.LeavingAge = now.Sub(s.leavingSince)
 		}
 		out = append(out, n)
 	}
 	slices.SortFunc(out, func(x, y Notice) int { return strings.Compare(x.Upstream, y.Upstream) })
 	if len(out) > maxNotices {
-		slices.SortStableFunc(out, func(x, y Notice) int { return cmp.Compare(x.newest(), y.newest()) })
+		slices.SortStableFunc(out, func(x, y Notice) int { return cmp.Compare(x.newestAge(), y.newestAge()) })
 		out = out[:maxNotices]
 	}
 	return out
 }
 
-// newest is the age of the newest thing that the notice says.
-func (n Notice) newest() time.Duration {
+// newestAge is the age of the newest thing that the notice says.
+func (n Notice) newestAge() time.Duration {
 	age := time.Duration(math.MaxInt64)
 	if n.BackoffHosts > 0 {
 		age = 0
@@ -305,32 +307,32 @@
 // Merge takes in what another host knows. Rests are taken in from followers.
 func (t *Tracker) Merge(from string, notices []Notice, now time.Time) {
 	for _, n := range notices {
-		t.notify(t.learn(from, n, now))
+		t.notify(t.mergeNotice(from, n, now))
 	}
 }
 
-func (t *Tracker) learn(from string, n Notice, now time.Time) Change {
+func (t *Tracker) mergeNotice(from string, n Notice, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.of(n.Upstream)
-	c := Change{Upstream: n.Upstream, From: from, PreviousRateLimit: s.limit}
-	if at := now.Add(-n.RateLimitAge); n.RateLimitAge >= 0 && at.After(s.limitAt) {
-		s.limit, s.limitAt = n.RateLimit, at
+	s := t.stateOf(n.Upstream)
+	c := Change{Upstream: n.Upstream, From: from, PreviousRateLimit: s.rateLimit}
+	if at := now.Add(-n.RateLimitAge); n.RateLimitAge >= 0 && at.After(s.rateLimitAt) {
+		s.rateLimit, s.rateLimitAt = n.RateLimit, at
 	}
-	if c.RateLimit = s.limit; n.Leaving && s.leavingAt.IsZero() {
-		s.leavingAt, c.Leaving = now.Add(-n.LeavingAge), true
+	if c.RateLimit = s.rateLimit; n.Leaving && s.leavingSince.IsZero() {
+		s.leavingSince, c.Leaving = now.Add(-n.LeavingAge), true
 	}
-	if at := now.Add(-n.CrashAge); n.Crashed && at.After(s.endedAt.Add(sameEnd)) {
-		s.endedAt, c.CrashedAt = at, at
+	if at := now.Add(-n.CrashAge); n.Crashed && at.After(s.crashedAt.Add(crashDedupWindow)) {
+		s.crashedAt, c.CrashedAt = at, at
 	}
 	if n.BackoffHosts > 0 {
-		if s.others == nil {
-			s.others = map[string]othersRest{}
+		if s.followerBackoffs == nil {
+			s.followerBackoffs = map[string]followerBackoff{}
 		}
 		until := now.Add(n.BackoffLeft)
-		s.others[from] = othersRest{n.BackoffHosts, until}
-		if until.After(s.restOver) {
-			s.restOver = until
+		s.followerBackoffs[from] = followerBackoff{n.BackoffHosts, until}
+		if until.After(s.lastBackoffEnd) {
+			s.lastBackoffEnd = until
 		}
 	}
 	return c
@@ -341,9 +343,9 @@
 func (t *Tracker) Prune(keep func(id string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, s := range t.by {
-		if !keep(id) || !s.notable(now) {
-			delete(t.by, id)
+	for id, s := range t.upstreams {
+		if !keep(id) || !s.hasInfo(now) {
+			delete(t.upstreams, id)
 		}
 	}
 }
@@ -352,11 +354,11 @@
 func (t *Tracker) Counts() (limited, leaving int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, s := range t.by {
-		if s.limit > 0 {
+	for _, s := range t.upstreams {
+		if s.rateLimit > 0 {
 			limited++
 		}
-		if !s.leavingAt.IsZero() {
+		if !s.leavingSince.IsZero() {
 			leaving++
 		}
 	}
--- a/internal/feedback/tracker_test.go
+++ b/internal/feedback/tracker_test.go
@@ -7,7 +7,7 @@
 )
 
 // An answer to a request that was sent before the limit was named must not lift it.
-func TestLimitEndsWithALaterRequestOnly(t *testing.T) {
+func TestRateLimitEndsOnlyWithALaterRequest(t *testing.T) {
 	tr, now := NewTracker(), time.Unix(1000, 0)
 	tr.Record("u", Report{RateLimit: 2}, now, now.Add(time.Second))
 	tr.Record("u", Report{}, now.Add(500*time.Millisecond), now.Add(2*time.Second))
@@ -26,7 +26,7 @@
 
 // Hosts that receive reports in different orders must agree on the newest one, and
 // a leave that one host received must not be lost by another's older knowledge.
-func TestNewestReportWins(t *testing.T) {
+func TestNewestReportWinsAcrossHosts(t *testing.T) {
 	a, b, now := NewTracker(), NewTracker(), time.Unix(1000, 0)
 	a.Record("u", Report{RateLimit: 2, Leaving: true}, now, now)
 	b.Merge("a", a.Notices(now.Add(time.Second)), now.Add(time.Second))
@@ -51,7 +51,7 @@
 }
 
 // A rest that is asked for later must not shorten one under way, nor reach other hosts.
-func TestRestIsTheHostsOwn(t *testing.T) {
+func TestBackoffAppliesToOneHost(t *testing.T) {
 	a, b, now := NewTracker(), NewTracker(), time.Unix(1000, 0)
 	a.Record("u", Report{Backoff: 3 * time.Second}, now, now)
 	a.Record("u", Report{Backoff: time.Second}, now, now.Add(time.Second))
@@ -89,8 +89,8 @@
 		t.Errorf("%d upstreams kept, want 1", limited)
 	}
 	tr.Record("u1", Report{}, now.Add(time.Hour), now.Add(time.Hour))
-	tr.Prune(func(string) bool { return true }, now.Add(time.Hour+2*endedFor))
-	if len(tr.by) != 0 {
-		t.Errorf("%d upstreams kept of which nothing is known", len(tr.by))
+	tr.Prune(func(string) bool { return true }, now.Add(time.Hour+2*throttleRetention))
+	if len(tr.upstreams) != 0 {
+		t.Errorf("%d upstreams kept of which nothing is known", len(tr.upstreams))
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// alive is how long after its last call a host counts as running.
+	// livenessTimeout is how long after its last call a host counts as running.
 	// Undisturbed hosts call three times a second.
-	alive = 1500 * time.Millisecond
-	// counted is how long it counts as one that may have connections open
+	livenessTimeout = 1500 * time.Millisecond
+	// sizeRetention is how long it counts as one that may have connections open
 	// and repeats spent: a host cut off from the planner goes on serving.
-	counted = time.Minute
-	// relayFrom is the number of hosts in the planner's own data centre from
+	sizeRetention = time.Minute
+	// minLocalHostsForRelay is the number of hosts in the planner's own data centre from
 	// which on one of them relays: for fewer the planner's own answers are
 	// cheap.
-	relayFrom = 8
-	// relayFarFrom is that number in the other data centres. Bytes between
+	minLocalHostsForRelay = 8
+	// minRemoteHostsForRelay is that number in the other data centres. Bytes between
 	// data centres are priced, and each change of ownership goes to every
 	// follower: on a quiet day of twelve hosts 2.2 of the 8.3 MB between data
 	// centres were answers to followers. With a relay in each the whole worth
 	// of five days of trouble rose from 0.754 to 0.766, of a quiet one from
 	// 0.828 to 0.852, means of three seeds each.
-	relayFarFrom = 2
+	minRemoteHostsForRelay = 2
 )
 
 // Host is what a host says of itself.
@@ -40,48 +40,48 @@
 	Followers int
 }
 
-type entry struct {
+type hostEntry struct {
 	Host
-	at time.Time
+	lastCall time.Time
 }
 
 // Fleet is safe for concurrent use.
 type Fleet struct {
-	// home is this host's data centre.
-	home string
-	mu   sync.Mutex
-	by   map[string]entry
+	// localDataCentre is this host's data centre.
+	localDataCentre string
+	mu              sync.Mutex
+	hosts           map[string]hostEntry
 	// relays holds the name of each data centre's present relay.
 	relays map[string]string
-	// told is the fleet's size as another host last knew it.
-	told int
+	// plannerSize is the fleet's size as another host last knew it.
+	plannerSize int
 }
 
 // New returns a fleet of which nothing is known to a host in the data centre
 // home.
 func New(home string) *Fleet {
-	return &Fleet{home: home, by: map[string]entry{}, relays: map[string]string{}}
+	return &Fleet{localDataCentre: home, hosts: map[string]hostEntry{}, relays: map[string]string{}}
 }
 
 // RecordHeartbeat takes in a call of h.
 func (f *Fleet) RecordHeartbeat(h Host, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.by[h.Name] = entry{Host: h, at: now}
+	f.hosts[h.Name] = hostEntry{Host: h, lastCall: now}
 }
 
 // SetPlannerSize takes in the fleet's size as the planner knows it.
 func (f *Fleet) SetPlannerSize(size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = size
+	f.plannerSize = size
 }
 
 // HasPlannerSize reports whether another host has said how many there are.
 func (f *Fleet) HasPlannerSize() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told > 0
+	return f.plannerSize > 0
 }
 
 // Size returns how many hosts there are, this one included, as the planner
@@ -89,7 +89,7 @@
 func (f *Fleet) Size(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(f.followers(now)+1, f.told)
+	return max(f.followers(now)+1, f.plannerSize)
 }
 
 // Followers returns how many hosts follow this one, itself or through a
@@ -102,9 +102,9 @@
 
 func (f *Fleet) followers(now time.Time) int {
 	n := 0
-	for name, e := range f.by {
-		if now.Sub(e.at) > counted {
-			delete(f.by, name)
+	for name, e := range f.hosts {
+		if now.Sub(e.lastCall) > sizeRetention {
+			delete(f.hosts, name)
 			continue
 		}
 		n += 1 + e.Followers
@@ -117,8 +117,8 @@
 func (f *Fleet) HasLiveCandidate(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range f.by {
-		if e.Candidate && now.Sub(e.at) <= alive {
+	for _, e := range f.hosts {
+		if e.Candidate && now.Sub(e.lastCall) <= livenessTimeout {
 			return true
 		}
 	}
@@ -131,24 +131,24 @@
 func (f *Fleet) RelayFor(h Host, now time.Time) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	relay := f.by[f.relays[h.DataCentre]]
-	if relay.Name == "" || now.Sub(relay.at) > alive {
+	relay := f.hosts[f.relays[h.DataCentre]]
+	if relay.Name == "" || now.Sub(relay.lastCall) > livenessTimeout {
 		relay = f.electRelay(h.DataCentre, now)
 	}
 	if relay.Name == "" || relay.Name == h.Name {
 		return ""
 	}
-	delete(f.by, h.Name) // from now on it is the relay's to count
+	delete(f.hosts, h.Name) // from now on it is the relay's to count
 	return relay.PeerAddr
 }
 
 // electRelay chooses the first eager host by name, if the data centre has
 // enough hosts.
-func (f *Fleet) electRelay(dataCentre string, now time.Time) entry {
-	var best entry
+func (f *Fleet) electRelay(dataCentre string, now time.Time) hostEntry {
+	var best hostEntry
 	n := 0
-	for _, e := range f.by {
-		if e.DataCentre != dataCentre || now.Sub(e.at) > alive {
+	for _, e := range f.hosts {
+		if e.DataCentre != dataCentre || now.Sub(e.lastCall) > livenessTimeout {
 			continue
 		}
 		n++
@@ -156,12 +156,12 @@
 			best = e
 		}
 	}
-	least := relayFarFrom
-	if dataCentre == f.home {
-		least = relayFrom
+	least := minRemoteHostsForRelay
+	if dataCentre == f.localDataCentre {
+		least = minLocalHostsForRelay
 	}
 	if n < least {
-		best = entry{}
+		best = hostEntry{}
 	}
 	f.relays[dataCentre] = best.Name
 	return best
--- a/internal/inflight/usage.go
+++ b/internal/inflight/aggregator.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// fresh is how long a host's report counts. Undisturbed hosts report three
+	// reportTTL is how long a host's report counts. Undisturbed hosts report three
 	// times a second; what a dead one had under way is cut off soon.
-	fresh = 1200 * time.Millisecond
-	// workEvery is how often work times are worked out anew. They rest on
+	reportTTL = 1200 * time.Millisecond
+	// workTimeInterval is how often work times are worked out anew. They rest on
 	// seconds of answers.
-	workEvery = 250 * time.Millisecond
+	workTimeInterval = 250 * time.Millisecond
 )
 
-type report struct {
-	at   time.Time
-	uses []balance.LoadStats
+type hostReport struct {
+	receivedAt time.Time
+	loads      []balance.LoadStats
 }
 
 // Aggregator is safe for concurrent use.
@@ -35,38 +35,38 @@
 	// upstreams returns those that are listed.
 	upstreams func() *catalogue.Snapshot
 
-	mu       sync.Mutex
-	hosts    map[string]report
-	underWay map[string]int
-	answers  *worktime.Estimator
-	work     map[string]time.Duration
-	workedAt time.Time
+	mu        sync.Mutex
+	hosts     map[string]hostReport
+	inFlight  map[string]int
+	estimator *worktime.Estimator
+	workTimes map[string]time.Duration
+	updatedAt time.Time
 }
 
 // New returns an empty sum over the upstreams that are listed.
 func New(upstreams func() *catalogue.Snapshot, now time.Time) *Aggregator {
-	return &Aggregator{upstreams: upstreams, hosts: map[string]report{}, underWay: map[string]int{}, answers: worktime.New(now)}
+	return &Aggregator{upstreams: upstreams, hosts: map[string]hostReport{}, inFlight: map[string]int{}, estimator: worktime.New(now)}
 }
 
 // Record takes in what a host has, in place of what it reported before.
 func (s *Aggregator) Record(host string, uses []balance.LoadStats, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replace(host, report{now, uses})
+	s.replaceReport(host, hostReport{now, uses})
 	for _, u := range uses {
 		if u.Answered > 0 {
-			s.answers.Add(u.ID, float64(u.Answered), u.Latency.Seconds(), now)
+			s.estimator.Add(u.ID, float64(u.Answered), u.Latency.Seconds(), now)
 		}
 	}
 }
 
-// replace puts a host's report in the place of its last one.
-func (s *Aggregator) replace(host string, next report) {
-	for _, u := range s.hosts[host].uses {
-		s.underWay[u.ID] -= u.InFlight
+// replaceReport puts a host's report in the place of its last one.
+func (s *Aggregator) replaceReport(host string, next hostReport) {
+	for _, u := range s.hosts[host].loads {
+		s.inFlight[u.ID] -= u.InFlight
 	}
-	for _, u := range next.uses {
-		s.underWay[u.ID] += u.InFlight
+	for _, u := range next.loads {
+		s.inFlight[u.ID] += u.InFlight
 	}
 	s.hosts[host] = next
 }
@@ -78,13 +78,13 @@
 	defer s.mu.Unlock()
 	s.update(now)
 	own := map[string]int{}
-	for _, u := range s.hosts[host].uses {
+	for _, u := range s.hosts[host].loads {
 		own[u.ID] = u.InFlight
 	}
 	out := make([]balance.PeerLoad, len(ids))
 	for i, id := range ids {
-		if work, known := s.work[id]; known {
-			out[i] = balance.PeerLoad{ID: id, InFlight: s.underWay[id] - own[id], WorkTime: work}
+		if work, known := s.workTimes[id]; known {
+			out[i] = balance.PeerLoad{ID: id, InFlight: s.inFlight[id] - own[id], WorkTime: work}
 		}
 	}
 	return out
@@ -92,30 +92,30 @@
 
 // update drops old reports and works the work times out, now and then.
 func (s *Aggregator) update(now time.Time) {
-	if now.Sub(s.workedAt) < workEvery {
+	if now.Sub(s.updatedAt) < workTimeInterval {
 		return
 	}
-	s.workedAt = now
+	s.updatedAt = now
 	for host, r := range s.hosts {
-		if now.Sub(r.at) > fresh {
-			s.replace(host, report{})
+		if now.Sub(r.receivedAt) > reportTTL {
+			s.replaceReport(host, hostReport{})
 			delete(s.hosts, host)
 		}
 	}
 	listed := s.upstreams()
 	keep := func(id string) bool { return listed.ByID[id] != nil }
-	s.answers.Prune(keep)
-	s.work = map[string]time.Duration{}
+	s.estimator.Prune(keep)
+	s.workTimes = map[string]time.Duration{}
 	typical := map[string]float64{}
-	for id := range s.underWay {
+	for id := range s.inFlight {
 		u := listed.ByID[id]
 		if u == nil {
-			delete(s.underWay, id)
+			delete(s.inFlight, id)
 			continue
 		}
 		if _, ok := typical[u.Service]; !ok {
-			typical[u.Service] = s.answers.Median(listed.ForService(u.Service), now)
+			typical[u.Service] = s.estimator.Median(listed.ForService(u.Service), now)
 		}
-		s.work[id] = time.Duration(s.answers.Estimate(u, typical[u.Service], now) * float64(time.Second))
+		s.workTimes[id] = time.Duration(s.estimator.Estimate(u, typical[u.Service], now) * float64(time.Second))
 	}
 }
--- a/internal/inflight/play_test.go
+++ b/internal/inflight/simulation_test.go
@@ -14,26 +14,26 @@
 	"github.com/papayatide/papayatide/internal/catalogue"
 )
 
-// server is an upstream with slots and a queue, in virtual time.
-type server struct {
-	mu     sync.Mutex
-	busy   int
-	queue  []chan struct{}
-	slots  int
-	length int
-	speed  float64
-	turned int
+// simServer is an upstream with slots and a queue, in virtual time.
+type simServer struct {
+	mu         sync.Mutex
+	busy       int
+	queue      []chan struct{}
+	slots      int
+	queueLimit int
+	speed      float64
+	rejected   int
 }
 
 // serve works on a request; it reports false if there is no room.
-func (s *server) serve(work time.Duration) bool {
+func (s *simServer) serve(work time.Duration) bool {
 	s.mu.Lock()
 	switch {
 	case s.busy < s.slots:
 		s.busy++
 		s.mu.Unlock()
-	case len(s.queue) >= s.length:
-		s.turned++
+	case len(s.queue) >= s.queueLimit:
+		s.rejected++
 		s.mu.Unlock()
 		return false
 	default:
@@ -54,42 +54,42 @@
 	return true
 }
 
-// world is one data centre: hosts that share upstreams of one service.
-type world struct {
-	hosts, upstreams int
-	slots            int
-	speeds           []float64
-	work, objective  time.Duration
+// simulation is one data centre: hosts that share upstreams of one service.
+type simulation struct {
+	hosts, upstreams    int
+	slots               int
+	speeds              []float64
+	workTime, objective time.Duration
 	// load is what callers ask for, as a part of what all upstreams can do.
-	load float64
-	d    time.Duration
-	// share makes the hosts tell each other what they have under way.
-	share bool
-	// first is for how long requests count as the first ones too.
-	first time.Duration
+	load     float64
+	duration time.Duration
+	// shareLoads makes the hosts tell each other what they have under way.
+	shareLoads bool
+	// earlyPeriod is for how long requests count as the first ones too.
+	earlyPeriod time.Duration
 }
 
-// tally is what callers got; turned is how often an upstream was full.
-type tally struct {
-	inTime, late, refused, turned int
-	firstInTime, first            int
+// results is what callers got; turned is how often an upstream was full.
+type results struct {
+	inTime, late, refused, rejected int
+	earlyInTime, early              int
 }
 
 // playedAttempts is how many upstreams a request may be sent to.
-const playedAttempts = 3
+const maxAttempts = 3
 
-// play sends requests through the hosts and counts what callers get.
-func (w world) play(seed uint64) tally {
+// run sends requests through the hosts and counts what callers get.
+func (w simulation) run(seed uint64) results {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	var ups []*catalogue.Upstream
-	servers := map[string]*server{}
+	servers := map[string]*simServer{}
 	can := 0.0
 	for i := range w.upstreams {
 		id := fmt.Sprintf("u%03d", i)
 		speed := w.speeds[rng.IntN(len(w.speeds))]
 		ups = append(ups, &catalogue.Upstream{ID: id, Service: "s", Slots: w.slots, DataCentre: "dc"})
-		servers[id] = &server{slots: w.slots, length: 4 * w.slots, speed: speed}
-		can += float64(w.slots) * speed / w.work.Seconds()
+		servers[id] = &simServer{slots: w.slots, queueLimit: 4 * w.slots, speed: speed}
+		can += float64(w.slots) * speed / w.workTime.Seconds()
 	}
 	boards := make([]*balance.Picker, w.hosts)
 	for i := range boards {
@@ -97,20 +97,20 @@
 	}
 	done := make(chan struct{})
 	defer close(done)
-	if w.share {
-		go exchange(boards, ups, done)
+	if w.shareLoads {
+		go exchangeLoads(boards, ups, done)
 	}
-	var res tally
+	var res results
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	start := time.Now()
-	for time.Since(start) < w.d {
+	for time.Since(start) < w.duration {
 		time.Sleep(time.Duration(rng.ExpFloat64() / (can * w.load) * float64(time.Second)))
 		b := boards[rng.IntN(w.hosts)]
-		work := time.Duration(float64(w.work) * (0.6 + 0.8*rng.Float64()))
-		early := time.Since(start) < w.first
+		work := time.Duration(float64(w.workTime) * (0.6 + 0.8*rng.Float64()))
+		early := time.Since(start) < w.earlyPeriod
 		wg.Go(func() {
-			ok, took := w.one(b, ups, servers, work)
+			ok, took := w.sendRequest(b, ups, servers, work)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
@@ -122,25 +122,25 @@
 				res.inTime++
 			}
 			if early {
-				res.first++
+				res.early++
 				if ok && took <= w.objective {
-					res.firstInTime++
+					res.earlyInTime++
 				}
 			}
 		})
 	}
 	wg.Wait()
 	for _, s := range servers {
-		res.turned += s.turned
+		res.rejected += s.rejected
 	}
 	return res
 }
 
 // followEvery is how often a host reports and is told of the others.
-const followEvery = 300 * time.Millisecond
+const reportInterval = 300 * time.Millisecond
 
-// exchange has each host report in its turn.
-func exchange(boards []*balance.Picker, ups []*catalogue.Upstream, done chan struct{}) {
+// exchangeLoads has each host report in its turn.
+func exchangeLoads(boards []*balance.Picker, ups []*catalogue.Upstream, done chan struct{}) {
 	byID := map[string]*catalogue.Upstream{}
 	for _, u := range ups {
 		byID[u.ID] = u
@@ -152,7 +152,7 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(followEvery / time.Duration(len(boards))):
+			case <-time.After(reportInterval / time.Duration(len(boards))):
 			}
 			name := fmt.Sprint(i)
 			sum.Record(name, b.FlushLoadStats(), time.Now())
@@ -161,11 +161,11 @@
 	}
 }
 
-// one sends a request until it is served or no upstream is left to try.
-func (w world) one(b *balance.Picker, ups []*catalogue.Upstream, servers map[string]*server, work time.Duration) (bool, time.Duration) {
+// sendRequest sends a request until it is served or no upstream is left to try.
+func (w simulation) sendRequest(b *balance.Picker, ups []*catalogue.Upstream, servers map[string]*simServer, work time.Duration) (bool, time.Duration) {
 	start := time.Now()
 	c := balance.Criteria{LocalDataCentre: "dc", FarPenalty: w.objective / 4}
-	for range playedAttempts {
+	for range maxAttempts {
 		u := b.Pick(ups, c, time.Now())
 		if b.ExpectedLatency(u, time.Now()) > w.objective {
 			return false, time.Since(start) // as the dispatcher does
@@ -195,19 +195,19 @@
 }
 
 var (
-	// many is one of five data centres of a fleet of 300 hosts, few one of
+	// largeFleet is one of five data centres of a fleet of 300 hosts, few one of
 	// three of a fleet of 12.
-	many = world{hosts: 59, upstreams: 52, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, work: 350 * time.Millisecond,
-		objective: time.Second, load: 0.7, d: 20 * time.Second, first: 3 * time.Second}
-	few = world{hosts: 4, upstreams: 4, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, work: 290 * time.Millisecond,
-		objective: 800 * time.Millisecond, load: 0.7, d: time.Minute, first: 3 * time.Second}
+	largeFleet = simulation{hosts: 59, upstreams: 52, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 350 * time.Millisecond,
+		objective: time.Second, load: 0.7, duration: 20 * time.Second, earlyPeriod: 3 * time.Second}
+	smallFleet = simulation{hosts: 4, upstreams: 4, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 290 * time.Millisecond,
+		objective: 800 * time.Millisecond, load: 0.7, duration: time.Minute, earlyPeriod: 3 * time.Second}
 )
 
-// total plays three seeds and adds up what callers get.
-func (w world) total() *tally {
-	sum := &tally{}
+// runSeeds plays three seeds and adds up what callers get.
+func (w simulation) runSeeds() *results {
+	sum := &results{}
 	for seed := range uint64(3) {
-		sum.add(w.play(seed))
+		sum.add(w.run(seed))
 	}
 	return sum
 }
@@ -218,21 +218,21 @@
 // that looked best to it, which was the same for all, and 55 of 100 callers had
 // their answer in time; now 97 do, and 89 where hosts do not tell each other
 // what they have under way.
-func TestHostsOfALargeFleetSpreadTheirRequests(t *testing.T) {
+func TestLargeFleetSpreadsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := many
-		alone := w.total()
-		w.share = true
-		told := w.total()
+		w := largeFleet
+		alone := w.runSeeds()
+		w.shareLoads = true
+		told := w.runSeeds()
 		t.Logf("alone: %s; told of the others: %s", alone, told)
-		if alone.inTime < alone.all()*85/100 {
-			t.Errorf("%d of %d in time where each host is alone", alone.inTime, alone.all())
+		if alone.inTime < alone.total()*85/100 {
+			t.Errorf("%d of %d in time where each host is alone", alone.inTime, alone.total())
 		}
-		if told.inTime < told.all()*95/100 {
-			t.Errorf("%d of %d in time where hosts are told of the others", told.inTime, told.all())
+		if told.inTime < told.total()*95/100 {
+			t.Errorf("%d of %d in time where hosts are told of the others", told.inTime, told.total())
 		}
-		if told.firstInTime < told.first*92/100 {
-			t.Errorf("%d of %d in time in the first seconds", told.firstInTime, told.first)
+		if told.earlyInTime < told.early*92/100 {
+			t.Errorf("%d of %d in time in the first seconds", told.earlyInTime, told.early)
 		}
 	})
 }
@@ -242,17 +242,17 @@
 // 100 were in time. Refused at once where the answer would come too late, as
 // all hosts' requests there tell, 67 are, and hardly any upstream turns one
 // away.
-func TestOverloadedLargeFleetServesInTimeWhatItCan(t *testing.T) {
+func TestOverloadedLargeFleetServesItsCapacityInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := many
-		w.share, w.load = true, 1.2
-		r := w.total()
+		w := largeFleet
+		w.shareLoads, w.load = true, 1.2
+		r := w.runSeeds()
 		t.Logf("%s", r)
-		if r.inTime < r.all()*60/100 {
-			t.Errorf("%d of %d in time", r.inTime, r.all())
+		if r.inTime < r.total()*60/100 {
+			t.Errorf("%d of %d in time", r.inTime, r.total())
 		}
-		if r.turned > r.all()*4/100 {
-			t.Errorf("%d turned away by upstreams", r.turned)
+		if r.rejected > r.total()*4/100 {
+			t.Errorf("%d turned away by upstreams", r.rejected)
 		}
 	})
 }
@@ -260,34 +260,34 @@
 // A small fleet's hosts see each upstream often. What they are told of each
 // other must not make their choice worse: before, 99 of 100 callers had their
 // answer in time at seven tenths of the load, and 71 at a fifth too much.
-func TestSmallFleetIsServedAsWell(t *testing.T) {
+func TestSharedLoadsDoNotHarmSmallFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := few
-		w.share = true
-		usual := w.total()
+		w := smallFleet
+		w.shareLoads = true
+		usual := w.runSeeds()
 		w.load = 1.2
-		over := w.total()
+		over := w.runSeeds()
 		t.Logf("usual load: %s; a fifth too much: %s", usual, over)
-		if usual.inTime < usual.all()*98/100 {
-			t.Errorf("%d of %d in time", usual.inTime, usual.all())
+		if usual.inTime < usual.total()*98/100 {
+			t.Errorf("%d of %d in time", usual.inTime, usual.total())
 		}
-		if over.inTime < over.all()*70/100 {
-			t.Errorf("%d of %d in time of a fifth too much", over.inTime, over.all())
+		if over.inTime < over.total()*70/100 {
+			t.Errorf("%d of %d in time of a fifth too much", over.inTime, over.total())
 		}
 	})
 }
 
-func (r *tally) all() int { return r.inTime + r.late + r.refused }
+func (r *results) total() int { return r.inTime + r.late + r.refused }
 
-func (r *tally) String() string {
-	return fmt.Sprintf("%d in time, %d late, %d refused, %d turned away by upstreams", r.inTime, r.late, r.refused, r.turned)
+func (r *results) String() string {
+	return fmt.Sprintf("%d in time, %d late, %d refused, %d turned away by upstreams", r.inTime, r.late, r.refused, r.rejected)
 }
 
-func (r *tally) add(o tally) {
+func (r *results) add(o results) {
 	r.inTime += o.inTime
 	r.late += o.late
 	r.refused += o.refused
-	r.turned += o.turned
-	r.first += o.first
-	r.firstInTime += o.firstInTime
+	r.rejected += o.rejected
+	r.early += o.early
+	r.earlyInTime += o.earlyInTime
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -33,13 +33,13 @@
 type Client struct {
 	http *http.Client
 	mu   sync.Mutex
-	// told holds the token of the list of upstreams that the host at each address
+	// subsetHashes holds the token of the list of upstreams that the host at each address
 	// knows of this one.
-	told map[string]uint64
+	subsetHashes map[string]uint64
 }
 
 // NewClient returns a client that calls over hc.
-func NewClient(hc *http.Client) *Client { return &Client{http: hc, told: map[string]uint64{}} }
+func NewClient(hc *http.Client) *Client { return &Client{http: hc, subsetHashes: map[string]uint64{}} }
 
 // FollowRequest is what a host says when it calls Follow.
 type FollowRequest struct {
@@ -99,7 +99,7 @@
 	}
 	msg.Notices = encodeNotices(q.Notices)
 	msg.UsingToken = q.Subset.Hash
-	if c.listTold(addr) != q.Subset.Hash {
+	if c.knownSubset(addr) != q.Subset.Hash {
 		msg.Using = q.Subset.IDs
 	}
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Follow(ctx, msg)
@@ -115,15 +115,15 @@
 	for _, b := range reply.Batches {
 		out.Batches = append(out.Batches, decodeBatch(b))
 	}
-	c.tellList(addr, reply.UsingToken)
+	c.setKnownSubset(addr, reply.UsingToken)
 	if reply.UsingToken == q.Subset.Hash {
-		out.PeerLoads = decodeOthers(q.Subset.IDs, reply)
+		out.PeerLoads = decodePeerLoads(q.Subset.IDs, reply)
 	}
 	return out, nil
 }
 
-// decodeOthers returns what the reply says of the upstreams, where it does.
-func decodeOthers(ids []string, reply *peerpb.FollowReply) []balance.PeerLoad {
+// decodePeerLoads returns what the reply says of the upstreams, where it does.
+func decodePeerLoads(ids []string, reply *peerpb.FollowReply) []balance.PeerLoad {
 	var out []balance.PeerLoad
 	for i, id := range ids {
 		if i < len(reply.UnderWay) && i < len(reply.WorkMs) && reply.WorkMs[i] > 0 {
@@ -133,26 +133,26 @@
 	return out
 }
 
-// listTold returns the token of the list of upstreams that the host at addr
+// knownSubset returns the token of the list of upstreams that the host at addr
 // knows of this one; 0 if it knows none.
-func (c *Client) listTold(addr string) uint64 {
+func (c *Client) knownSubset(addr string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.told[addr]
+	return c.subsetHashes[addr]
 }
 
-// tellList notes which list the host at addr knows. Only a few are followed.
-func (c *Client) tellList(addr string, token uint64) {
+// setKnownSubset notes which list the host at addr knows. Only a few are followed.
+func (c *Client) setKnownSubset(addr string, token uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.told) >= maxTold {
-		clear(c.told)
+	if len(c.subsetHashes) >= maxKnownSubsets {
+		clear(c.subsetHashes)
 	}
-	c.told[addr] = token
+	c.subsetHashes[addr] = token
 }
 
 // maxTold bounds the hosts of which is remembered what they were told.
-const maxTold = 16
+const maxKnownSubsets = 16
 
 // Retire asks the host at addr (host:port) to send no more grants of terms
 // before the given one. It returns that host's name and whether it sends none.
@@ -259,8 +259,8 @@
 	HostStatus func(context.Context) *peerpb.StatusReply
 
 	mu sync.Mutex
-	// lists are the upstreams that each caller is told of, by its name.
-	lists map[string]balance.Subset
+	// subsets are the upstreams that each caller is told of, by its name.
+	subsets map[string]balance.Subset
 }
 
 // Retire implements peerpb.Peer.
@@ -274,7 +274,7 @@
 }
 
 // maxWait bounds how long a call is kept waiting.
-const maxWait = 2 * time.Second
+const maxFollowWait = 2 * time.Second
 
 // Follow implements peerpb.Peer.
 func (s *Server) Follow(ctx context.Context, m *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
@@ -292,47 +292,47 @@
 	for _, p := range m.Positions {
 		positions[metastore.Stream(p.Stream)] = p.Next
 	}
-	s.OnLoadStats(caller, decodeUses(m.Uses))
+	s.OnLoadStats(caller, decodeLoadStats(m.Uses))
 	notices := decodeNotices(m.Notices)
 	s.Feedback.Merge(caller.Name, notices, time.Now())
 	reply := &peerpb.FollowReply{}
-	for _, b := range s.Copy.Fetch(ctx, positions, min(time.Duration(m.WaitMs)*time.Millisecond, maxWait)) {
+	for _, b := range s.Copy.Fetch(ctx, positions, min(time.Duration(m.WaitMs)*time.Millisecond, maxFollowWait)) {
 		reply.Batches = append(reply.Batches, encodeBatch(b))
 	}
 	reply.Notices = encodeNotices(feedback.ForFollower(s.Feedback.Notices(time.Now()), notices))
-	using := s.listOf(m)
+	using := s.subsetOf(m)
 	reply.UsingToken = using.Hash
 	for _, o := range s.PeerLoads(caller, using.IDs) {
 		reply.UnderWay = append(reply.UnderWay, uint32(max(o.InFlight, 0)))
 		reply.WorkMs = append(reply.WorkMs, uint32(o.WorkTime.Milliseconds()))
 	}
-	return reply, s.describe(reply, caller)
+	return reply, s.setReplyStatus(reply, caller)
 }
 
 // maxLists bounds the lists that are kept: far over the hosts that follow one.
-const maxLists = 1024
+const maxSubsets = 1024
 
-// listOf returns the upstreams that the caller is to be told of: those that it
+// subsetOf returns the upstreams that the caller is to be told of: those that it
 // names now, or the last ones if it means the same. Without it each call and each
 // answer would name a hundred upstreams.
-func (s *Server) listOf(m *peerpb.FollowRequest) balance.Subset {
+func (s *Server) subsetOf(m *peerpb.FollowRequest) balance.Subset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(m.Using) > 0 {
-		if s.lists == nil || len(s.lists) >= maxLists {
-			s.lists = map[string]balance.Subset{}
+		if s.subsets == nil || len(s.subsets) >= maxSubsets {
+			s.subsets = map[string]balance.Subset{}
 		}
-		s.lists[m.Host] = balance.Subset{IDs: m.Using, Hash: m.UsingToken}
+		s.subsets[m.Host] = balance.Subset{IDs: m.Using, Hash: m.UsingToken}
 	}
-	if known := s.lists[m.Host]; known.Hash == m.UsingToken {
+	if known := s.subsets[m.Host]; known.Hash == m.UsingToken {
 		return known
 	}
 	return balance.Subset{}
 }
 
-// describe says in the reply how far it can be relied on and whom the caller
+// setReplyStatus says in the reply how far it can be relied on and whom the caller
 // calls next.
-func (s *Server) describe(reply *peerpb.FollowReply, caller fleet.Host) error {
+func (s *Server) setReplyStatus(reply *peerpb.FollowReply, caller fleet.Host) error {
 	now := time.Now()
 	st, ok := s.ReplicaStatus(now)
 	if !ok {
@@ -347,7 +347,7 @@
 	return nil
 }
 
-func decodeUses(ms []*peerpb.UpstreamUse) []balance.LoadStats {
+func decodeLoadStats(ms []*peerpb.UpstreamUse) []balance.LoadStats {
 	var out []balance.LoadStats
 	for _, m := range ms {
 		out = append(out, balance.LoadStats{ID: m.Id, InFlight: int(m.UnderWay), Answered: int(m.Answered), Latency: time.Duration(m.LatencyMs) * time.Millisecond})
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,8 +16,8 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// followed is a host that answers as one that can be followed.
-func followed(t *testing.T) (addr string, s *Server) {
+// startServer is a host that answers as one that can be followed.
+func startServer(t *testing.T) (addr string, s *Server) {
 	t.Helper()
 	s = &Server{Copy: relay.NewReplica(), Feedback: feedback.NewTracker(), Fleet: fleet.New("dc"), OnLoads: func([]ServiceLoad) {}, OnLoadStats: func(fleet.Host, []balance.LoadStats) {},
 		ReplicaStatus: func(time.Time) (ReplicaStatus, bool) { return ReplicaStatus{Planning: true}, true },
@@ -38,8 +38,8 @@
 // A host names the upstreams that it wants to hear of once, and again when they
 // change or the host that it follows has forgotten them, as one does that starts
 // again. What it is told is always of those that it meant.
-func TestOthersAreToldOfTheListThatWasMeant(t *testing.T) {
-	addr, s := followed(t)
+func TestPeerLoadsMatchTheRequestedSubset(t *testing.T) {
+	addr, s := startServer(t)
 	c := NewClient(http.DefaultClient)
 	ask := func(token uint64, ids ...string) []string {
 		a, err := c.Follow(t.Context(), addr, FollowRequest{Self: fleet.Host{Name: "h"}, Subset: balance.Subset{IDs: ids, Hash: token}})
@@ -66,7 +66,7 @@
 	} {
 		if step.forget {
 			s.mu.Lock()
-			s.lists = nil
+			s.subsets = nil
 			s.mu.Unlock()
 		}
 		if got := ask(step.token, step.ids...); !slices.Equal(got, step.want) {
@@ -76,8 +76,8 @@
 }
 
 // What callers asked of keyed services reaches the planner as it was reported.
-func TestLoadsArriveAsReported(t *testing.T) {
-	addr, s := followed(t)
+func TestFollowDeliversLoadsUnchanged(t *testing.T) {
+	addr, s := startServer(t)
 	var got []ServiceLoad
 	s.OnLoads = func(l []ServiceLoad) { got = l }
 	want := ServiceLoad{Service: "sheets", Weight: 1.5, Samples: []keyload.Sample{{Key: 7, Upstream: "u1", Latency: 20 * time.Millisecond}, {Key: 9}}}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -100,11 +100,11 @@
 
 // NewClient returns a client for upstreams that use the given header names.
 func NewClient(h protocol.Headers) *Client {
-	d := &net.Dialer{Timeout: dialTimeout, Control: limitUnacked}
+	d := &net.Dialer{Timeout: dialTimeout, Control: setTCPUserTimeout}
 	return &Client{headers: h, Dial: d.DialContext, pools: map[Target]*pool{}}
 }
 
-func (c *Client) pool(t Target) *pool {
+func (c *Client) poolFor(t Target) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pools[t]
@@ -133,7 +133,7 @@
 // deadline, which must be set. When ctx ends the connection is closed,
 // which makes the upstream drop the work.
 func (c *Client) Do(ctx context.Context, t Target, req *Request) *Result {
-	p := c.pool(t)
+	p := c.poolFor(t)
 	cn := p.get(time.Now())
 	fresh := cn == nil
 	began := time.Now()
@@ -143,7 +143,7 @@
 			return &Result{Outcome: NotSent, NewConn: true, ConnRejected: errors.Is(err, syscall.ECONNRESET),
 				Err: eris.Wrapf(err, "upstream %s: connect", t.ID)}
 		}
-		if err := cn.settle(); err != nil {
+		if err := cn.checkRejected(); err != nil {
 			cn.abort()
 			return &Result{Outcome: NotSent, NewConn: true, ConnRejected: true, ConnectTime: time.Since(began),
 				Err: eris.Wrapf(err, "upstream %s: new connection", t.ID)}
@@ -151,7 +151,7 @@
 	}
 	connect := time.Since(began)
 	stop := context.AfterFunc(ctx, cn.abort)
-	res, reusable := c.exchange(ctx, cn, t, req)
+	res, reusable := c.roundTrip(ctx, cn, t, req)
 	if res.NewConn = fresh; fresh {
 		res.ConnectTime = connect
 	}
@@ -173,37 +173,37 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	cn.idleUntil = time.Now().Add(defaultIdle)
-	c.pool(t).put(cn)
+	cn.idleUntil = time.Now().Add(defaultIdleTimeout)
+	c.poolFor(t).put(cn)
 	return false
 }
 
-// exchange writes the request and reads its answer. It reports whether the
+// roundTrip writes the request and reads its answer. It reports whether the
 // connection can be used again.
-func (c *Client) exchange(ctx context.Context, cn *conn, t Target, req *Request) (*Result, bool) {
+func (c *Client) roundTrip(ctx context.Context, cn *conn, t Target, req *Request) (*Result, bool) {
 	deadline, ok := ctx.Deadline()
 	left := time.Until(deadline)
 	if !ok || left <= 0 {
 		return &Result{Outcome: NotSent, Err: context.DeadlineExceeded}, true
 	}
-	hreq := c.build(t, req, left)
+	hreq := c.buildRequest(t, req, left)
 	if err := cn.SetDeadline(deadline); err != nil {
 		return &Result{Outcome: NotSent, Err: eris.Wrap(err, "set deadline")}, false
 	}
 	writing := make(chan error, 1)
 	if req.Stream == nil {
-		writing <- writeWhole(cn, hreq)
+		writing <- writeRequest(cn, hreq)
 	} else {
-		go func() { writing <- writeWhole(cn, hreq) }()
+		go func() { writing <- writeRequest(cn, hreq) }()
 	}
-	resp, body, err := c.readAnswer(cn, hreq, req.ID)
+	resp, body, err := c.readResponse(cn, hreq, req.ID)
 	sent := false
 	select {
 	case werr := <-writing:
 		sent = werr == nil
 	default:
 	}
-	cn.lastID = req.ID
+	cn.lastRequestID = req.ID
 	if err != nil {
 		return &Result{Outcome: OutcomeUnknown, Err: eris.Wrapf(err, "upstream %s: answer", t.ID)}, false
 	}
@@ -219,14 +219,14 @@
 	// that rest. Such a connection is not used again.
 	reusable := sent && !resp.Close && cn.br.Buffered() == 0
 	if reusable {
-		cn.idleUntil = time.Now().Add(idleTime(resp.Header))
+		cn.idleUntil = time.Now().Add(idleTimeout(resp.Header))
 		reusable = cn.SetDeadline(time.Time{}) == nil
 	}
 	return res, reusable
 }
 
-// build makes the request as it goes on the wire.
-func (c *Client) build(t Target, req *Request, left time.Duration) *http.Request {
+// buildRequest makes the request as it goes on the wire.
+func (c *Client) buildRequest(t Target, req *Request, left time.Duration) *http.Request {
 	h := req.Header.Clone()
 	if _, ok := h["User-Agent"]; !ok {
 		h["User-Agent"] = nil // keeps net/http from adding its own
@@ -244,10 +244,10 @@
 	return hreq
 }
 
-const writeBuffer = 16 << 10
+const writeBufferBytes = 16 << 10
 
-func writeWhole(w io.Writer, r *http.Request) error {
-	bw := bufio.NewWriterSize(w, writeBuffer)
+func writeRequest(w io.Writer, r *http.Request) error {
+	bw := bufio.NewWriterSize(w, writeBufferBytes)
 	if err := r.Write(bw); err != nil {
 		return err
 	}
@@ -256,19 +256,19 @@
 
 // MaxAnswerBytes bounds an answer kept in memory. Answers are kept whole so
 // that one that breaks off never reaches a caller as if it were complete.
-const MaxAnswerBytes = 8 << 20
+const MaxResponseBytes = 8 << 20
 
 // strays bounds the answers to earlier requests that are passed over.
-const strays = 2
+const maxStrayResponses = 2
 
-var errStray = errors.New("answer belongs to another request")
+var errStrayResponse = errors.New("answer belongs to another request")
 
-// readAnswer reads answers until one bears the request's ID. An upstream may
+// readResponse reads answers until one bears the request's ID. An upstream may
 // send a second answer to an earlier request late, where the next answer is
 // due; given to this caller it would be somebody else's. An answer without
 // an ID is this request's only if the connection has carried no other.
-func (c *Client) readAnswer(cn *conn, hreq *http.Request, id string) (*http.Response, []byte, error) {
-	for range strays + 1 {
+func (c *Client) readResponse(cn *conn, hreq *http.Request, id string) (*http.Response, []byte, error) {
+	for range maxStrayResponses + 1 {
 		resp, err := http.ReadResponse(cn.br, hreq)
 		if err != nil {
 			return nil, nil, err
@@ -276,32 +276,32 @@
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerBytes+1))
+		body, err := io.ReadAll(io.LimitReader(resp.Body, MaxResponseBytes+1))
 		if err != nil {
 			return nil, nil, err
 		}
-		if len(body) > MaxAnswerBytes {
-			return nil, nil, eris.Errorf("answer over %d bytes", MaxAnswerBytes)
+		if len(body) > MaxResponseBytes {
+			return nil, nil, eris.Errorf("answer over %d bytes", MaxResponseBytes)
 		}
 		got := resp.Header.Get(c.headers.RequestID)
-		if got == id || (got == "" && cn.lastID == "") {
+		if got == id || (got == "" && cn.lastRequestID == "") {
 			return resp, body, nil
 		}
 	}
-	return nil, nil, errStray
+	return nil, nil, errStrayResponse
 }
 
-// idleTime returns how long a connection may be kept after an answer with
+// idleTimeout returns how long a connection may be kept after an answer with
 // the given headers.
-func idleTime(h http.Header) time.Duration {
+func idleTimeout(h http.Header) time.Duration {
 	for _, v := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(v), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if secs, err := strconv.Atoi(value); err == nil {
-			return time.Duration(float64(secs) * idleMargin * float64(time.Second))
+			return time.Duration(float64(secs) * idleTimeoutFraction * float64(time.Second))
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -21,27 +21,27 @@
 	// each other and a new connection costs 1 ms; a lost opening packet
 	// would only be sent again after a second.
 	dialTimeout = 300 * time.Millisecond
-	// unackedTimeout bounds how long sent bytes go without being
+	// tcpUserTimeout bounds how long sent bytes go without being
 	// acknowledged before the kernel gives the connection up; without it a
 	// partition would keep the connection in use until the deadline.
-	unackedTimeout = 2 * time.Second
-	// defaultIdle is how long a connection is kept if the upstream has not
+	tcpUserTimeout = 2 * time.Second
+	// defaultIdleTimeout is how long a connection is kept if the upstream has not
 	// said how long it will keep it.
-	defaultIdle = 4 * time.Second
-	// idleMargin is the part of the upstream's idle time that is used; the
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutFraction is the part of the upstream's idle time that is used; the
 	// rest covers the way there, so that a request does not meet a
 	// connection that is being closed.
-	idleMargin = 0.7
-	readBuffer = 4 << 10
+	idleTimeoutFraction = 0.7
+	readBufferBytes     = 4 << 10
 )
 
 // conn is one connection to an upstream, used for one request at a time.
 type conn struct {
 	net.Conn
 	br *bufio.Reader
-	// lastID is the ID of the request answered last on this connection; an
+	// lastRequestID is the ID of the request answered last on this connection; an
 	// extra answer to it may still arrive.
-	lastID string
+	lastRequestID string
 	// idleUntil is when the connection may no longer be used again.
 	idleUntil time.Time
 }
@@ -59,7 +59,7 @@
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.idleUntil) && c.quiet() {
+		if now.Before(c.idleUntil) && c.healthy() {
 			return c
 		}
 		_ = c.Close()
@@ -99,11 +99,11 @@
 	p.idle = kept
 }
 
-// quiet reports whether the connection is open with nothing to read. Bytes
+// healthy reports whether the connection is open with nothing to read. Bytes
 // that arrived while nobody was waiting belong to no request, and an end of
 // file means that the upstream has closed it: a request sent now would be
 // lost without anybody knowing whether it ran.
-func (c *conn) quiet() bool {
+func (c *conn) healthy() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -113,28 +113,28 @@
 
 // settleTime is how long after it is open a new connection is watched before the
 // first request: an upstream with too many resets it some two milliseconds later.
-const settleTime = 2500 * time.Microsecond
+const rejectionWindow = 2500 * time.Microsecond
 
-// settle reports why a new connection cannot be used, nil if it can. An upstream
+// checkRejected reports why a new connection cannot be used, nil if it can. An upstream
 // with too many connections resets those beyond; a request that was written
 // meanwhile may have run, as far as this host could tell, and callers with work
 // that must not repeat were left with that. Before anything is sent it certainly
 // has not.
-func (c *conn) settle() error {
-	if err := c.SetReadDeadline(time.Now().Add(settleTime)); err != nil {
+func (c *conn) checkRejected() error {
+	if err := c.SetReadDeadline(time.Now().Add(rejectionWindow)); err != nil {
 		return err
 	}
 	_, err := c.br.Peek(1)
 	switch {
 	case err == nil:
-		return errUnasked
+		return errUnexpectedBytes
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		return err
 	}
 	return c.SetReadDeadline(time.Time{})
 }
 
-var errUnasked = errors.New("bytes that answer nothing")
+var errUnexpectedBytes = errors.New("bytes that answer nothing")
 
 // abort resets the connection. An orderly close would let the kernel go on
 // sending a request that is still queued behind a cut link, and it would run
@@ -153,13 +153,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer)}, nil
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBufferBytes)}, nil
 }
 
-func limitUnacked(_, _ string, rc syscall.RawConn) error {
+func setTCPUserTimeout(_, _ string, rc syscall.RawConn) error {
 	var serr error
 	err := rc.Control(func(fd uintptr) {
-		serr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		serr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
