--- a/internal/feedback/bench_test.go
+++ b/internal/feedback/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkAnswer is what each answer and each choice cost of an upstream that
-// reports nothing.
+// BenchmarkAnswer measures the cost per response and per upstream selection if
+// the upstream reports nothing.
 func BenchmarkAnswer(b *testing.B) {
 	t, h := NewTracker(), http.Header{"Content-Length": {"5"}, "X-Id": {"7"}, "X-Signature": {"s"}}
 	now := time.Now()
--- a/internal/feedback/doc.go
+++ b/internal/feedback/doc.go
@@ -1,9 +1,9 @@
-// Package feedback keeps what upstreams report of themselves in their answers:
-// a request rate limit for all hosts together, that they are leaving, and for
-// how long they want no requests from the host that they answer.
+// Package feedback tracks the state that upstreams report in response headers:
+// a request rate limit for all hosts together, an imminent shutdown (leaving),
+// and a backoff for the host that receives the response.
 //
-// The log service's records say the same later or not at all. What is known of
-// an upstream is known of one life of it: a restarted server has reported
-// nothing yet. Limits and leaving are shared between hosts as Notices; the newest
-// answer wins, whichever host received it. A rest concerns one host only.
+// The records of the log service carry this information later or not at all.
+// State is kept per incarnation: a restarted server starts without any. Hosts
+// exchange rate limits, leaving and observed crashes as Notices; the newest rate
+// limit report wins, whichever host received it. A backoff applies to one host only.
 package feedback
--- a/internal/feedback/report.go
+++ b/internal/feedback/report.go
@@ -10,32 +10,34 @@
 	"github.com/papayatide/papayatide/internal/protocol"
 )
 
-// Report is what one answer says of its upstream.
+// Report is the state that an upstream reports in the headers of one response.
 type Report struct {
-	// RateLimit is the number of requests a second that the upstream takes from
-	// all hosts together; 0 if the answer names none.
+	// RateLimit is the upstream's limit for all hosts together, in requests per
+	// second; 0 if the response has none.
 	RateLimit float64
-	// LimitUnreadable is set if a limit is named that is not a usable number.
+	// LimitUnreadable is set if a rate limit header is malformed.
 	LimitUnreadable bool
-	// Leaving is set if the upstream will end soon and wants no new work.
+	// Leaving is set if the upstream is about to shut down and wants no new
+	// requests.
 	Leaving bool
-	// Backoff is for how long it wants no requests from this host; 0 if the answer
-	// does not say.
+	// Backoff is how long this host must send the upstream no requests; 0 if the
+	// response has no Retry-After.
 	Backoff time.Duration
 }
 
 const (
-	// minRateLimit (requests a second) replaces lower limits. An upstream that gets
-	// nothing at all could never report that its limit has ended.
+	// minRateLimit, in requests per second, replaces lower limits: an upstream that
+	// receives no requests could never report the end of its limit.
 	minRateLimit = 0.1
-	// maxRateLimit (requests a second) replaces higher limits.
+	// maxRateLimit, in requests per second, replaces higher limits.
 	maxRateLimit = 1e6
-	// maxBackoff bounds a rest that an upstream asks for.
+	// maxBackoff bounds the backoff that an upstream may request.
 	maxBackoff = time.Hour
 )
 
-// Decode reads the report in an answer's headers. Values that are malformed are
-// passed over; of repeated ones the most cautious counts.
+// Decode parses the report in a response's headers. It ignores malformed values
+// and, for repeated headers, uses the most restrictive value. Retry-After counts
+// only in 503 responses.
 func Decode(names protocol.Headers, status int, h http.Header) Report {
 	var r Report
 	for _, v := range h.Values(names.RateLimit) {
@@ -57,14 +59,14 @@
 	}
 	for _, v := range h.Values("Retry-After") {
 		if seconds, ok := parseNonNegative(v); ok {
-			rest := time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
-			r.Backoff = max(r.Backoff, rest)
+			backoff := time.Duration(min(seconds, maxBackoff.Seconds()) * float64(time.Second))
+			r.Backoff = max(r.Backoff, backoff)
 		}
 	}
 	return r
 }
 
-// parseNonNegative parses a finite decimal number of 0 or more.
+// parseNonNegative parses a finite number that is not negative.
 func parseNonNegative(v string) (float64, bool) {
 	x, err := strconv.ParseFloat(strings.TrimSpace(v), 64)
 	return x, err == nil && x >= 0 && !math.IsInf(x, 0)
--- a/internal/feedback/tracker.go
+++ b/internal/feedback/tracker.go
@@ -9,94 +9,102 @@
 	"time"
 )
 
-// upstreamState is what is known of one upstream's life.
+// upstreamState is the reported state of one upstream incarnation.
 type upstreamState struct {
-	// rateLimit is in requests a second, 0 for none. limitAt is when the newest
-	// answer that says so was received, by this or another host.
+	// rateLimit is in requests per second, 0 for none. rateLimitAt is when this or
+	// another host received the newest response that set or ended the limit.
 	rateLimit   float64
 	rateLimitAt time.Time
-	// leavingSince is when a host first received a report that it leaves; zero if none did.
+	// leavingSince is when a host first received a report that the upstream is
+	// leaving; zero if none did.
 	leavingSince time.Time
-	// backoffUntil is the end of the rest that this host was asked for, others are
-	// those that followers of this host reported, by follower.
+	// backoffUntil is the end of this host's own backoff. followerBackoffs holds
+	// the backoffs reported by hosts that follow this one, by host name.
 	backoffUntil     time.Time
 	followerBackoffs map[string]followerBackoff
-	// lastBackoffEnd is when the last rest that is known of ends or ended.
+	// lastBackoffEnd is the latest end, past or future, of any known backoff.
 	lastBackoffEnd time.Time
-	// crashedAt is when a host last saw it end.
+	// crashedAt is when a host last observed a crash of the upstream.
 	crashedAt time.Time
 }
 
-// followerBackoff is a rest that a follower reports: its own, and of those that follow it.
+// followerBackoff is the backoff reported by a follower, for itself and its own
+// followers. hosts is how many of them are backing off.
 type followerBackoff struct {
 	hosts int
 	until time.Time
 }
 
-// activeBackoffs returns how many hosts the upstream has asked for a rest that is not over,
-// and how long the longest of the rests lasts.
-func (s *upstreamState) activeBackoffs(now time.Time) (hosts int, left time.Duration) {
+// activeBackoffs returns how many hosts are in a backoff that the upstream requested,
+// and the longest remaining time. It deletes expired follower backoffs.
+func (s *upstreamState) activeBackoffs(now time.Time) (hosts int, remaining time.Duration) {
 	if now.Before(s.backoffUntil) {
-		hosts, left = 1, s.backoffUntil.Sub(now)
+		hosts, remaining = 1, s.backoffUntil.Sub(now)
 	}
-	for from, o := range s.followerBackoffs {
-		if !now.Before(o.until) {
-			delete(s.followerBackoffs, from)
+	for follower, b := range s.followerBackoffs {
+		if !now.Before(b.until) {
+			delete(s.followerBackoffs, follower)
 			continue
 		}
-		hosts, left = hosts+o.hosts, max(left, o.until.Sub(now))
+		hosts, remaining = hosts+b.hosts, max(remaining, b.until.Sub(now))
 	}
-	return hosts, left
+	return hosts, remaining
 }
 
-// hasInfo reports whether the state says more than that of an upstream that has
+// hasInfo reports whether the state differs from that of an upstream that has
 // never reported anything.
 func (s *upstreamState) hasInfo(now time.Time) bool {
 	return !s.leavingSince.IsZero() || s.recentlyThrottled(now) || s.recentlyCrashed(now)
 }
 
-// recentlyCrashed reports whether a host has seen the upstream end so lately that the others
-// should know.
+// recentlyCrashed reports whether a host observed a crash of the upstream within
+// crashNoticeTTL.
 func (s *upstreamState) recentlyCrashed(now time.Time) bool {
 	return now.Sub(s.crashedAt) < crashNoticeTTL
 }
 
-// sameEnd is how much later than another an end must have been seen to be one more:
-// hosts see the same at different times, and ages are a little off on the way.
+// crashDedupWindow is how much later than the last known crash a reported one must
+// be to count as another. Hosts observe the same crash at different times, and
+// message delays shift the ages in notices.
 const crashDedupWindow = time.Second
 
-// endedTold is for how long hosts tell each other that they saw an upstream end: the
-// log service is mostly back by then, and says what is there now.
+// crashNoticeTTL is how long hosts include a crash in their notices. By then the log
+// service is usually reachable again and lists the current upstreams.
 const crashNoticeTTL = 10 * time.Second
 
-// recentlyThrottled reports whether a limit or a rest is in force or ended within endedFor.
+// recentlyThrottled reports whether a rate limit or a backoff is in force or ended
+// within throttleRetention.
 func (s *upstreamState) recentlyThrottled(now time.Time) bool {
 	return s.rateLimit > 0 || now.Sub(s.rateLimitAt) < throttleRetention || now.Sub(s.lastBackoffEnd) < throttleRetention
 }
 
-// endedFor is how long the end of a limit or a rest is remembered: older reports of
-// other hosts must not bring it back, and the upstream may have lost its keys.
+// throttleRetention is how long the end of a rate limit or a backoff is remembered.
+// Older reports from other hosts must not restore it, and the upstream may have lost
+// its keys because of it.
 const throttleRetention = time.Minute
 
-// Change describes a change of what is known of an upstream.
+// Change describes a change in the reported state of an upstream.
 type Change struct {
 	Upstream string
-	// From is the host that received the answer; empty for this one.
+	// From is the host whose notice brought the change; empty for a response that
+	// this host received.
 	From string
-	// RateLimit is the one in force, 0 for none, and Before the one until now.
+	// RateLimit is the new limit and PreviousRateLimit the old one, in requests per
+	// second; 0 for none.
 	RateLimit, PreviousRateLimit float64
-	// Leaving is set if the upstream is now known to leave.
+	// Leaving is set if the upstream has just become known to be leaving.
 	Leaving bool
-	// Backoff is the rest that the upstream has asked this host for.
+	// Backoff is the backoff that the upstream requested from this host.
 	Backoff time.Duration
-	// CrashedAt is when another host saw the upstream end; zero if that is not new.
+	// CrashedAt is when another host observed a crash of the upstream; zero if the
+	// notice has no crash or one that is already known.
 	CrashedAt time.Time
 }
 
-// Tracker keeps the reports of all upstreams. It is safe for concurrent use.
+// Tracker keeps the reported state of all upstreams. It is safe for concurrent use.
 type Tracker struct {
-	// OnChange is called, without the lock, for each change. It must be set
-	// before the first use.
+	// OnChange is called for each change, without holding the lock. Set it before
+	// the first use.
 	OnChange func(Change)
 
 	mu        sync.Mutex
@@ -117,10 +125,10 @@
 	return s
 }
 
-// Record takes in the report of an answer that this host received at now to a
-// request that it had sent at sent. A limit ends with the first answer without one
-// to a request sent after the last answer that named it: earlier requests may have
-// been answered before the limit was set.
+// Record applies the report of a response that this host received at now, to a
+// request sent at sent. A response without a limit ends the current one only if its
+// request was sent after the limit was last reported: the upstream may have answered
+// an earlier request before it set the limit.
 func (t *Tracker) Record(id string, r Report, sent, now time.Time) {
 	t.mu.Lock()
 	if t.upstreams[id] == nil && r == (Report{}) {
@@ -151,14 +159,14 @@
 	}
 }
 
-// RecordCrash takes note that this host saw the upstream end at now.
+// RecordCrash records that this host observed a crash of the upstream at now.
 func (t *Tracker) RecordCrash(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stateOf(id).crashedAt = now
 }
 
-// RateLimit returns the upstream's limit in requests a second; 0 if it has none.
+// RateLimit returns the upstream's limit in requests per second; 0 if it has none.
 func (t *Tracker) RateLimit(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -168,7 +176,7 @@
 	return 0
 }
 
-// Backoff returns for how much longer the upstream wants no requests from this host.
+// Backoff returns how much longer this host must send the upstream no requests.
 func (t *Tracker) Backoff(id string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,20 +186,21 @@
 	return 0
 }
 
-// Status is what counts for the placing of an upstream's keys.
+// Status is the reported state that key placement takes into account.
 type Status struct {
-	// RateLimit is in requests a second, 0 for none; LimitAge how long ago the newest
-	// answer that says so was received by a host.
+	// RateLimit is in requests per second, 0 for none. RateLimitAge is how long ago a
+	// host received the newest response that set or ended the limit.
 	RateLimit    float64
 	RateLimitAge time.Duration
-	// BackoffHosts is how many hosts, of this one and its followers, it has asked for a
-	// rest that is not over.
+	// BackoffHosts is how many hosts, among this one and its followers, are in a
+	// backoff that the upstream requested.
 	BackoffHosts int
-	// RecentlyThrottled is set if it has, or had within the last minute, a limit or a rest.
+	// RecentlyThrottled is set if a rate limit or a backoff is in force or ended
+	// within throttleRetention.
 	RecentlyThrottled bool
 }
 
-// Status returns the upstream's.
+// Status returns the upstream's status; the zero value if nothing is known of it.
 func (t *Tracker) Status(id string, now time.Time) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,8 +212,8 @@
 	return Status{RateLimit: s.rateLimit, RateLimitAge: now.Sub(s.rateLimitAt), BackoffHosts: hosts, RecentlyThrottled: s.recentlyThrottled(now)}
 }
 
-// LeavingSince returns when a host first received a report that the upstream leaves,
-// and whether one did.
+// LeavingSince returns when a host first received a report that the upstream is
+// leaving, and whether one did.
 func (t *Tracker) LeavingSince(id string) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,30 +223,32 @@
 	return time.Time{}, false
 }
 
-// Notice is what hosts tell each other of an upstream.
+// Notice is the gossip message about one upstream that hosts exchange.
 type Notice struct {
 	Upstream string
-	// RateLimit is as in Report, LimitAge how long ago the newest answer that says
-	// so was received; negative if no answer ever named a limit.
+	// RateLimit is as in Report. RateLimitAge is how long ago a host received the
+	// newest response that set or ended the limit; negative if there never was one.
 	RateLimit    float64
 	RateLimitAge time.Duration
-	// Leaving is set if the upstream leaves, LeavingAge how long that is known.
+	// Leaving is set if the upstream is leaving; LeavingAge is how long ago a host
+	// first received a report of that.
 	Leaving    bool
 	LeavingAge time.Duration
-	// BackoffHosts is how many hosts were asked for a rest, RestLeft how much of the
-	// longest is left. They are sent only to the host that one follows.
+	// BackoffHosts is how many hosts are backing off, BackoffLeft the longest
+	// remaining time. Hosts send both only to the host that they follow.
 	BackoffHosts int
 	BackoffLeft  time.Duration
-	// Crashed is set if a host saw the upstream end lately, EndedAge ago.
+	// Crashed is set if a host observed a crash of the upstream, CrashAge ago and
+	// within crashNoticeTTL.
 	Crashed  bool
 	CrashAge time.Duration
 }
 
-// maxNotices bounds the notices of one message.
+// maxNotices bounds the notices in one message.
 const maxNotices = 64
 
-// Notices returns what other hosts should know, the newest first where there are
-// more than fit in a message.
+// Notices returns the notices to send to other hosts, sorted by upstream. If there are
+// more than maxNotices it returns the newest ones, newest first.
 func (t *Tracker) Notices(now time.Time) []Notice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -266,7 +277,8 @@
 	return out
 }
 
-// newestAge is the age of the newest thing that the notice says.
+// newestAge returns the age of the newest item in the notice; an active backoff has
+// age 0.
 func (n Notice) newestAge() time.Duration {
 	age := time.Duration(math.MaxInt64)
 	if n.BackoffHosts > 0 {
@@ -284,17 +296,18 @@
 	return age
 }
 
-// ForFollower returns the notices that are new to a follower which has sent some
-// itself. Rests are left out: they would come back and be counted twice.
+// ForFollower returns the notices that are new to a follower that has sent the
+// notices in sent. It omits backoffs: the follower would send them back, and they
+// would count twice.
 func ForFollower(notices, sent []Notice) []Notice {
-	by := make(map[string]Notice, len(sent))
+	sentByID := make(map[string]Notice, len(sent))
 	for _, n := range sent {
-		by[n.Upstream] = n
+		sentByID[n.Upstream] = n
 	}
 	var out []Notice
 	for _, n := range notices {
-		its, ok := by[n.Upstream]
-		known := ok && its.RateLimit == n.RateLimit && its.Leaving == n.Leaving && its.Crashed == n.Crashed
+		theirs, ok := sentByID[n.Upstream]
+		known := ok && theirs.RateLimit == n.RateLimit && theirs.Leaving == n.Leaving && theirs.Crashed == n.Crashed
 		if known || (n.RateLimitAge < 0 && !n.Leaving && !n.Crashed) {
 			continue
 		}
@@ -304,7 +317,8 @@
 	return out
 }
 
-// Merge takes in what another host knows. Rests are taken in from followers.
+// Merge applies the notices received from another host. Only followers send
+// backoffs.
 func (t *Tracker) Merge(from string, notices []Notice, now time.Time) {
 	for _, n := range notices {
 		t.notify(t.mergeNotice(from, n, now))
@@ -338,8 +352,8 @@
 	return c
 }
 
-// Prune forgets upstreams that keep does not know, and those of which nothing is
-// known any more.
+// Prune deletes the state of upstreams for which keep returns false, and of those
+// without a current or recent report.
 func (t *Tracker) Prune(keep func(id string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -350,7 +364,7 @@
 	}
 }
 
-// Counts returns how many upstreams have a limit, and how many leave.
+// Counts returns how many upstreams have a rate limit, and how many are leaving.
 func (t *Tracker) Counts() (limited, leaving int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/feedback/tracker_test.go
+++ b/internal/feedback/tracker_test.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// An answer to a request that was sent before the limit was named must not lift it.
+// A response to a request that was sent before the limit was reported must not lift
+// the limit: the upstream may have answered before it set one.
 func TestRateLimitEndsOnlyWithALaterRequest(t *testing.T) {
 	tr, now := NewTracker(), time.Unix(1000, 0)
 	tr.Record("u", Report{RateLimit: 2}, now, now.Add(time.Second))
 	tr.Record("u", Report{}, now.Add(500*time.Millisecond), now.Add(2*time.Second))
 	if got := tr.RateLimit("u"); got != 2 {
-		t.Errorf("limit %v after an answer to an earlier request, want 2", got)
+		t.Errorf("rate limit %v after a response to an earlier request, want 2", got)
 	}
 	tr.Record("u", Report{LimitUnreadable: true}, now.Add(2*time.Second), now.Add(3*time.Second))
 	if got := tr.RateLimit("u"); got != 2 {
-		t.Errorf("limit %v after one that is no number, want 2", got)
+		t.Errorf("rate limit %v after a malformed one, want 2", got)
 	}
 	tr.Record("u", Report{}, now.Add(2*time.Second), now.Add(3*time.Second))
 	if got := tr.RateLimit("u"); got != 0 {
-		t.Errorf("limit %v after an answer without one, want none", got)
+		t.Errorf("rate limit %v after a response without one, want none", got)
 	}
 }
 
-// Hosts that receive reports in different orders must agree on the newest one, and
-// a leave that one host received must not be lost by another's older knowledge.
+// Hosts that receive reports in different orders must agree on the newest rate limit.
+// A notice from a host with an older state must not undo that an upstream is leaving.
 func TestNewestReportWinsAcrossHosts(t *testing.T) {
 	a, b, now := NewTracker(), NewTracker(), time.Unix(1000, 0)
 	a.Record("u", Report{RateLimit: 2, Leaving: true}, now, now)
 	b.Merge("a", a.Notices(now.Add(time.Second)), now.Add(time.Second))
 	if b.RateLimit("u") != 2 {
-		t.Errorf("limit %v learnt, want 2", b.RateLimit("u"))
+		t.Errorf("rate limit %v after the merge, want 2", b.RateLimit("u"))
 	}
 	if since, ok := b.LeavingSince("u"); !ok || !since.Equal(now) {
 		t.Errorf("leaving since %v, %v; want %v", since, ok, now)
@@ -39,42 +40,43 @@
 	b.Record("u", Report{}, now.Add(2*time.Second), now.Add(3*time.Second))
 	b.Merge("a", a.Notices(now.Add(4*time.Second)), now.Add(4*time.Second))
 	if b.RateLimit("u") != 0 {
-		t.Errorf("limit %v brought back by an older report", b.RateLimit("u"))
+		t.Errorf("rate limit %v restored by an older report", b.RateLimit("u"))
 	}
 	a.Merge("b", b.Notices(now.Add(5*time.Second)), now.Add(5*time.Second))
 	if a.RateLimit("u") != 0 {
-		t.Errorf("limit %v after its end was reported", a.RateLimit("u"))
+		t.Errorf("rate limit %v after a notice that it ended", a.RateLimit("u"))
 	}
 	if _, ok := a.LeavingSince("u"); !ok {
-		t.Error("the leave was forgotten")
+		t.Error("the upstream no longer counts as leaving")
 	}
 }
 
-// A rest that is asked for later must not shorten one under way, nor reach other hosts.
+// A later, shorter backoff must not shorten the current one, and a backoff must not
+// apply to other hosts.
 func TestBackoffAppliesToOneHost(t *testing.T) {
 	a, b, now := NewTracker(), NewTracker(), time.Unix(1000, 0)
 	a.Record("u", Report{Backoff: 3 * time.Second}, now, now)
 	a.Record("u", Report{Backoff: time.Second}, now, now.Add(time.Second))
 	if got := a.Backoff("u", now.Add(time.Second)); got != 2*time.Second {
-		t.Errorf("rest of %v left, want 2s", got)
+		t.Errorf("backoff of %v left, want 2s", got)
 	}
 	b.Merge("a", a.Notices(now), now)
 	if got := b.Backoff("u", now); got != 0 {
-		t.Errorf("another host rests for %v", got)
+		t.Errorf("another host backs off for %v", got)
 	}
 	if got := b.Status("u", now).BackoffHosts; got != 1 {
-		t.Errorf("%d hosts known to rest, want 1", got)
+		t.Errorf("%d hosts known to back off, want 1", got)
 	}
 	if got := ForFollower(b.Notices(now), nil); len(got) != 0 {
-		t.Errorf("a follower receives its own rest: %+v", got)
+		t.Errorf("a follower receives its own backoff: %+v", got)
 	}
 	if got := b.Status("u", now.Add(time.Hour)).BackoffHosts; got != 0 {
-		t.Errorf("%d hosts known to rest after the end, want none", got)
+		t.Errorf("%d hosts known to back off after the end, want none", got)
 	}
 }
 
-// The number of upstreams kept and reported is bounded by those that are listed and
-// by the size of a message.
+// Prune must bound the tracked upstreams to those that are listed and have something
+// to report; maxNotices must bound the notices in a message.
 func TestTrackerIsBounded(t *testing.T) {
 	tr, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 3 * maxNotices {
@@ -91,6 +93,6 @@
 	tr.Record("u1", Report{}, now.Add(time.Hour), now.Add(time.Hour))
 	tr.Prune(func(string) bool { return true }, now.Add(time.Hour+2*throttleRetention))
 	if len(tr.upstreams) != 0 {
-		t.Errorf("%d upstreams kept of which nothing is known", len(tr.upstreams))
+		t.Errorf("%d upstreams kept without any report", len(tr.upstreams))
 	}
 }
