--- a/internal/inflight/aggregator.go
+++ b/internal/inflight/aggregator.go
@@ -1,10 +1,11 @@
-// Package inflight adds up what the hosts of a data centre have under way at
-// upstreams that any of them may choose.
+// Package inflight adds up the requests that the hosts of a data centre have in
+// flight at upstreams that any of them may choose.
 //
-// One host of sixty sends an upstream a request in ten seconds. What it sees
-// by itself does not tell whether the upstream is busy or slow; the sum of what
-// all see does. The hosts report over the calls that they make to follow the
-// planner, and are told the others' sum in the answers.
+// In a fleet of sixty hosts, each sends an upstream about one request in ten
+// seconds. From that alone a host cannot infer whether the upstream is busy or slow;
+// the sum over all hosts shows it. Hosts report their load statistics in the calls by
+// which they follow the planner, and receive the sums of the other hosts in the
+// replies.
 package inflight
 
 import (
@@ -17,105 +18,112 @@
 )
 
 const (
-	// reportTTL is how long a host's report counts. Undisturbed hosts report three
-	// times a second; what a dead one had under way is cut off soon.
+	// reportTTL is how long a host's report counts. Healthy hosts report three times a
+	// second; the requests of a crashed host end soon after it.
 	reportTTL = 1200 * time.Millisecond
-	// workTimeInterval is how often work times are worked out anew. They rest on
-	// seconds of answers.
+	// workTimeInterval is how often work times are estimated anew. An estimate covers
+	// seconds of responses and hardly changes in less time.
 	workTimeInterval = 250 * time.Millisecond
 )
 
+// hostReport is the latest report of a host.
 type hostReport struct {
 	receivedAt time.Time
 	loads      []balance.LoadStats
 }
 
-// Aggregator is safe for concurrent use.
+// Aggregator sums the load statistics that hosts report. It is safe for concurrent
+// use.
 type Aggregator struct {
-	// upstreams returns those that are listed.
+	// upstreams returns the listed upstreams.
 	upstreams func() *catalogue.Snapshot
 
-	mu        sync.Mutex
-	hosts     map[string]hostReport
+	mu sync.Mutex
+	// hosts holds each host's latest report, by host name.
+	hosts map[string]hostReport
+	// inFlight is the sum over all hosts, by upstream ID.
 	inFlight  map[string]int
 	estimator *worktime.Estimator
+	// workTimes holds the estimates of the last update, made at updatedAt, by
+	// upstream ID.
 	workTimes map[string]time.Duration
 	updatedAt time.Time
 }
 
-// New returns an empty sum over the upstreams that are listed.
+// New returns an aggregator without reports. upstreams returns the listed upstreams.
 func New(upstreams func() *catalogue.Snapshot, now time.Time) *Aggregator {
 	return &Aggregator{upstreams: upstreams, hosts: map[string]hostReport{}, inFlight: map[string]int{}, estimator: worktime.New(now)}
 }
 
-// Record takes in what a host has, in place of what it reported before.
-func (s *Aggregator) Record(host string, uses []balance.LoadStats, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.replaceReport(host, hostReport{now, uses})
-	for _, u := range uses {
-		if u.Answered > 0 {
-			s.estimator.Add(u.ID, float64(u.Answered), u.Latency.Seconds(), now)
+// Record replaces the host's previous report with loads.
+func (a *Aggregator) Record(host string, loads []balance.LoadStats, now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.replaceReport(host, hostReport{now, loads})
+	for _, l := range loads {
+		if l.Answered > 0 {
+			a.estimator.Add(l.ID, float64(l.Answered), l.Latency.Seconds(), now)
 		}
 	}
 }
 
-// replaceReport puts a host's report in the place of its last one.
-func (s *Aggregator) replaceReport(host string, next hostReport) {
-	for _, u := range s.hosts[host].loads {
-		s.inFlight[u.ID] -= u.InFlight
+// replaceReport replaces a host's report and adjusts the sums.
+func (a *Aggregator) replaceReport(host string, next hostReport) {
+	for _, l := range a.hosts[host].loads {
+		a.inFlight[l.ID] -= l.InFlight
 	}
-	for _, u := range next.loads {
-		s.inFlight[u.ID] += u.InFlight
+	for _, l := range next.loads {
+		a.inFlight[l.ID] += l.InFlight
 	}
-	s.hosts[host] = next
+	a.hosts[host] = next
 }
 
-// PeerLoads returns what the hosts but the given one have at each of the upstreams
-// with the given IDs; the zero value where nothing is known.
-func (s *Aggregator) PeerLoads(host string, ids []string, now time.Time) []balance.PeerLoad {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.update(now)
+// PeerLoads returns, for each of the given upstreams, the load of all hosts except
+// the given one; the zero value for an upstream without data.
+func (a *Aggregator) PeerLoads(host string, ids []string, now time.Time) []balance.PeerLoad {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.update(now)
 	own := map[string]int{}
-	for _, u := range s.hosts[host].loads {
-		own[u.ID] = u.InFlight
+	for _, l := range a.hosts[host].loads {
+		own[l.ID] = l.InFlight
 	}
 	out := make([]balance.PeerLoad, len(ids))
 	for i, id := range ids {
-		if work, known := s.workTimes[id]; known {
-			out[i] = balance.PeerLoad{ID: id, InFlight: s.inFlight[id] - own[id], WorkTime: work}
+		if workTime, known := a.workTimes[id]; known {
+			out[i] = balance.PeerLoad{ID: id, InFlight: a.inFlight[id] - own[id], WorkTime: workTime}
 		}
 	}
 	return out
 }
 
-// update drops old reports and works the work times out, now and then.
-func (s *Aggregator) update(now time.Time) {
-	if now.Sub(s.updatedAt) < workTimeInterval {
+// update drops expired reports and estimates the work times anew, at most once per
+// workTimeInterval.
+func (a *Aggregator) update(now time.Time) {
+	if now.Sub(a.updatedAt) < workTimeInterval {
 		return
 	}
-	s.updatedAt = now
-	for host, r := range s.hosts {
+	a.updatedAt = now
+	for host, r := range a.hosts {
 		if now.Sub(r.receivedAt) > reportTTL {
-			s.replaceReport(host, hostReport{})
-			delete(s.hosts, host)
+			a.replaceReport(host, hostReport{})
+			delete(a.hosts, host)
 		}
 	}
-	listed := s.upstreams()
+	listed := a.upstreams()
 	keep := func(id string) bool { return listed.ByID[id] != nil }
-	s.estimator.Prune(keep)
-	s.workTimes = map[string]time.Duration{}
+	a.estimator.Prune(keep)
+	a.workTimes = map[string]time.Duration{}
 	typical := map[string]float64{}
-	for id := range s.inFlight {
+	for id := range a.inFlight {
 		u := listed.ByID[id]
 		if u == nil {
-			delete(s.inFlight, id)
+			delete(a.inFlight, id)
 			continue
 		}
 		if _, ok := typical[u.Service]; !ok {
-			typical[u.Service] = s.estimator.Median(listed.ForService(u.Service), now)
+			typical[u.Service] = a.estimator.Median(listed.ForService(u.Service), now)
 		}
-		s.workTimes[id] = time.Duration(s.estimator.Estimate(u, typical[u.Service], now) * float64(time.Second))
+		a.workTimes[id] = time.Duration(a.estimator.Estimate(u, typical[u.Service], now) * float64(time.Second))
 	}
 }
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -14,7 +14,7 @@
 	"github.com/papayatide/papayatide/internal/catalogue"
 )
 
-// simServer is an upstream with slots and a queue, in virtual time.
+// simServer simulates an upstream with slots and a bounded queue, in virtual time.
 type simServer struct {
 	mu         sync.Mutex
 	busy       int
@@ -22,10 +22,12 @@
 	slots      int
 	queueLimit int
 	speed      float64
-	rejected   int
+	// rejected is how many requests found the queue full.
+	rejected int
 }
 
-// serve works on a request; it reports false if there is no room.
+// serve processes a request, after queueing for a slot if need be. It returns false
+// if the queue is full.
 func (s *simServer) serve(work time.Duration) bool {
 	s.mu.Lock()
 	switch {
@@ -54,138 +56,142 @@
 	return true
 }
 
-// simulation is one data centre: hosts that share upstreams of one service.
+// simulation describes one data centre: hosts that share the upstreams of one
+// service.
 type simulation struct {
 	hosts, upstreams    int
 	slots               int
 	speeds              []float64
 	workTime, objective time.Duration
-	// load is what callers ask for, as a part of what all upstreams can do.
+	// load is the request rate as a fraction of the capacity of all upstreams.
 	load     float64
 	duration time.Duration
-	// shareLoads makes the hosts tell each other what they have under way.
+	// shareLoads makes the hosts exchange their requests in flight.
 	shareLoads bool
-	// earlyPeriod is for how long requests count as the first ones too.
+	// earlyPeriod is the time from the start in which requests also count as early.
 	earlyPeriod time.Duration
 }
 
-// results is what callers got; turned is how often an upstream was full.
+// results counts requests by outcome; rejected counts attempts that found an
+// upstream's queue full.
 type results struct {
 	inTime, late, refused, rejected int
 	earlyInTime, early              int
 }
 
-// playedAttempts is how many upstreams a request may be sent to.
+// maxAttempts is how many upstreams a request may be sent to.
 const maxAttempts = 3
 
-// run sends requests through the hosts and counts what callers get.
-func (w simulation) run(seed uint64) results {
+// run sends requests through the hosts and counts their outcomes.
+func (s simulation) run(seed uint64) results {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	var ups []*catalogue.Upstream
+	var upstreams []*catalogue.Upstream
 	servers := map[string]*simServer{}
-	can := 0.0
-	for i := range w.upstreams {
+	capacity := 0.0 // requests per second
+	for i := range s.upstreams {
 		id := fmt.Sprintf("u%03d", i)
-		speed := w.speeds[rng.IntN(len(w.speeds))]
-		ups = append(ups, &catalogue.Upstream{ID: id, Service: "s", Slots: w.slots, DataCentre: "dc"})
-		servers[id] = &simServer{slots: w.slots, queueLimit: 4 * w.slots, speed: speed}
-		can += float64(w.slots) * speed / w.workTime.Seconds()
+		speed := s.speeds[rng.IntN(len(s.speeds))]
+		upstreams = append(upstreams, &catalogue.Upstream{ID: id, Service: "s", Slots: s.slots, DataCentre: "dc"})
+		servers[id] = &simServer{slots: s.slots, queueLimit: 4 * s.slots, speed: speed}
+		capacity += float64(s.slots) * speed / s.workTime.Seconds()
 	}
-	boards := make([]*balance.Picker, w.hosts)
-	for i := range boards {
-		boards[i] = balance.NewPicker(fmt.Sprint("host", i))
+	pickers := make([]*balance.Picker, s.hosts)
+	for i := range pickers {
+		pickers[i] = balance.NewPicker(fmt.Sprint("host", i))
 	}
 	done := make(chan struct{})
 	defer close(done)
-	if w.shareLoads {
-		go exchangeLoads(boards, ups, done)
+	if s.shareLoads {
+		go exchangeLoads(pickers, upstreams, done)
 	}
 	var res results
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	start := time.Now()
-	for time.Since(start) < w.duration {
-		time.Sleep(time.Duration(rng.ExpFloat64() / (can * w.load) * float64(time.Second)))
-		b := boards[rng.IntN(w.hosts)]
-		work := time.Duration(float64(w.workTime) * (0.6 + 0.8*rng.Float64()))
-		early := time.Since(start) < w.earlyPeriod
+	for time.Since(start) < s.duration {
+		time.Sleep(time.Duration(rng.ExpFloat64() / (capacity * s.load) * float64(time.Second)))
+		b := pickers[rng.IntN(s.hosts)]
+		work := time.Duration(float64(s.workTime) * (0.6 + 0.8*rng.Float64()))
+		early := time.Since(start) < s.earlyPeriod
 		wg.Go(func() {
-			ok, took := w.sendRequest(b, ups, servers, work)
+			ok, took := s.sendRequest(b, upstreams, servers, work)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
 			case !ok:
 				res.refused++
-			case took > w.objective:
+			case took > s.objective:
 				res.late++
 			default:
 				res.inTime++
 			}
 			if early {
 				res.early++
-				if ok && took <= w.objective {
+				if ok && took <= s.objective {
 					res.earlyInTime++
 				}
 			}
 		})
 	}
 	wg.Wait()
-	for _, s := range servers {
-		res.rejected += s.rejected
+	for _, srv := range servers {
+		res.rejected += srv.rejected
 	}
 	return res
 }
 
-// followEvery is how often a host reports and is told of the others.
+// reportInterval is how often a host reports its load and receives the others'.
 const reportInterval = 300 * time.Millisecond
 
-// exchangeLoads has each host report in its turn.
-func exchangeLoads(boards []*balance.Picker, ups []*catalogue.Upstream, done chan struct{}) {
+// exchangeLoads makes the hosts report one after another, each once per
+// reportInterval.
+func exchangeLoads(pickers []*balance.Picker, upstreams []*catalogue.Upstream, done chan struct{}) {
 	byID := map[string]*catalogue.Upstream{}
-	for _, u := range ups {
+	for _, u := range upstreams {
 		byID[u.ID] = u
 	}
 	listed := catalogue.NewSnapshot(byID)
-	sum := New(func() *catalogue.Snapshot { return listed }, time.Now())
+	agg := New(func() *catalogue.Snapshot { return listed }, time.Now())
 	for {
-		for i, b := range boards {
+		for i, b := range pickers {
 			select {
 			case <-done:
 				return
-			case <-time.After(reportInterval / time.Duration(len(boards))):
+			case <-time.After(reportInterval / time.Duration(len(pickers))):
 			}
 			name := fmt.Sprint(i)
-			sum.Record(name, b.FlushLoadStats(), time.Now())
-			b.SetPeerLoads(sum.PeerLoads(name, b.Subset().IDs, time.Now()), time.Now())
+			agg.Record(name, b.FlushLoadStats(), time.Now())
+			b.SetPeerLoads(agg.PeerLoads(name, b.Subset().IDs, time.Now()), time.Now())
 		}
 	}
 }
 
-// sendRequest sends a request until it is served or no upstream is left to try.
-func (w simulation) sendRequest(b *balance.Picker, ups []*catalogue.Upstream, servers map[string]*simServer, work time.Duration) (bool, time.Duration) {
+// sendRequest makes up to maxAttempts attempts at a request. It returns whether the
+// request was served and how long that took.
+func (s simulation) sendRequest(b *balance.Picker, upstreams []*catalogue.Upstream, servers map[string]*simServer, work time.Duration) (bool, time.Duration) {
 	start := time.Now()
-	c := balance.Criteria{LocalDataCentre: "dc", FarPenalty: w.objective / 4}
+	c := balance.Criteria{LocalDataCentre: "dc", FarPenalty: s.objective / 4}
 	for range maxAttempts {
-		u := b.Pick(ups, c, time.Now())
-		if b.ExpectedLatency(u, time.Now()) > w.objective {
-			return false, time.Since(start) // as the dispatcher does
+		u := b.Pick(upstreams, c, time.Now())
+		if b.ExpectedLatency(u, time.Now()) > s.objective {
+			return false, time.Since(start) // the dispatcher refuses it, too
 		}
-		patience := max(w.objective/2-time.Since(start), 0)
-		tk := b.Limiter(u.ID).Acquire(context.Background(), patience, admission.ShareOf(u.Slots, 0, w.hosts))
-		if tk == nil {
+		maxWait := max(s.objective/2-time.Since(start), 0)
+		ticket := b.Limiter(u.ID).Acquire(context.Background(), maxWait, admission.ShareOf(u.Slots, 0, s.hosts))
+		if ticket == nil {
 			return false, time.Since(start)
 		}
 		sent := time.Now()
 		ok := servers[u.ID].serve(work)
 		took := time.Since(sent)
-		v, o := admission.InTime, balance.Served
+		signal, outcome := admission.InTime, balance.Served
 		if !ok {
-			v, o = admission.Full, balance.Overloaded
-		} else if took > w.objective*8/10 {
-			v = admission.Late
+			signal, outcome = admission.Full, balance.Overloaded
+		} else if took > s.objective*8/10 {
+			signal = admission.Late
 		}
-		b.Done(u.ID, o, took, time.Now())
-		tk.Done(v, took)
+		b.Done(u.ID, outcome, took, time.Now())
+		ticket.Done(signal, took)
 		if ok {
 			return true, time.Since(start)
 		}
@@ -195,84 +201,81 @@
 }
 
 var (
-	// largeFleet is one of five data centres of a fleet of 300 hosts, few one of
-	// three of a fleet of 12.
+	// largeFleet is one of the five data centres of a fleet of 300 hosts, smallFleet
+	// one of the three of a fleet of 12.
 	largeFleet = simulation{hosts: 59, upstreams: 52, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 350 * time.Millisecond,
 		objective: time.Second, load: 0.7, duration: 20 * time.Second, earlyPeriod: 3 * time.Second}
 	smallFleet = simulation{hosts: 4, upstreams: 4, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 290 * time.Millisecond,
 		objective: 800 * time.Millisecond, load: 0.7, duration: time.Minute, earlyPeriod: 3 * time.Second}
 )
 
-// runSeeds plays three seeds and adds up what callers get.
-func (w simulation) runSeeds() *results {
+// runSeeds runs the simulation with three seeds and adds up the results.
+func (s simulation) runSeeds() *results {
 	sum := &results{}
 	for seed := range uint64(3) {
-		sum.add(w.run(seed))
+		sum.add(s.run(seed))
 	}
 	return sum
 }
 
-// Callers of one data centre are served by 59 hosts that share 52 upstreams,
-// seven tenths in use and some more than twice as fast as others. Each host
-// sends an upstream one request in ten seconds. Before: each took the upstream
-// that looked best to it, which was the same for all, and 55 of 100 callers had
-// their answer in time; now 97 do, and 89 where hosts do not tell each other
-// what they have under way.
+// 59 hosts share 52 upstreams at 70% load, some of them more than twice as fast as
+// others; each host sends an upstream about one request in ten seconds. If all hosts
+// picked the best-looking upstream, they would pick the same one, and only 55% of the
+// requests would be in time. They must spread out, even without shared loads.
 func TestLargeFleetSpreadsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := largeFleet
-		alone := w.runSeeds()
-		w.shareLoads = true
-		told := w.runSeeds()
-		t.Logf("alone: %s; told of the others: %s", alone, told)
-		if alone.inTime < alone.total()*85/100 {
-			t.Errorf("%d of %d in time where each host is alone", alone.inTime, alone.total())
+		s := largeFleet
+		unshared := s.runSeeds()
+		s.shareLoads = true
+		shared := s.runSeeds()
+		t.Logf("loads not shared: %s; loads shared: %s", unshared, shared)
+		if unshared.inTime < unshared.total()*85/100 {
+			t.Errorf("%d of %d in time if hosts do not share their loads", unshared.inTime, unshared.total())
 		}
-		if told.inTime < told.total()*95/100 {
-			t.Errorf("%d of %d in time where hosts are told of the others", told.inTime, told.total())
+		if shared.inTime < shared.total()*95/100 {
+			t.Errorf("%d of %d in time if hosts share their loads", shared.inTime, shared.total())
 		}
-		if told.earlyInTime < told.early*92/100 {
-			t.Errorf("%d of %d in time in the first seconds", told.earlyInTime, told.early)
+		if shared.earlyInTime < shared.early*92/100 {
+			t.Errorf("%d of %d in time in the first seconds", shared.earlyInTime, shared.early)
 		}
 	})
 }
 
-// Callers ask the same fleet for a fifth more than its upstreams can do. Sent
-// on, their requests fill every queue and nearly all answers are late: 32 of
-// 100 were in time. Refused at once where the answer would come too late, as
-// all hosts' requests there tell, 67 are, and hardly any upstream turns one
-// away.
+// The same fleet receives 20% more requests than its upstreams have capacity for. If
+// hosts forward all of them, every queue fills up and only 32% of the responses are
+// in time. Hosts must refuse at once the requests that the loads of all hosts show to
+// be late, so that upstreams serve the others in time and rarely reject one.
 func TestOverloadedLargeFleetServesItsCapacityInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := largeFleet
-		w.shareLoads, w.load = true, 1.2
-		r := w.runSeeds()
+		s := largeFleet
+		s.shareLoads, s.load = true, 1.2
+		r := s.runSeeds()
 		t.Logf("%s", r)
 		if r.inTime < r.total()*60/100 {
 			t.Errorf("%d of %d in time", r.inTime, r.total())
 		}
 		if r.rejected > r.total()*4/100 {
-			t.Errorf("%d turned away by upstreams", r.rejected)
+			t.Errorf("%d rejected by full upstreams", r.rejected)
 		}
 	})
 }
 
-// A small fleet's hosts see each upstream often. What they are told of each
-// other must not make their choice worse: before, 99 of 100 callers had their
-// answer in time at seven tenths of the load, and 71 at a fifth too much.
+// In a small fleet each host sends every upstream many requests and infers its load
+// from those. Shared loads must not make its choice worse: without them 99% of the
+// requests are in time at 70% load, and 71% at 120%.
 func TestSharedLoadsDoNotHarmSmallFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := smallFleet
-		w.shareLoads = true
-		usual := w.runSeeds()
-		w.load = 1.2
-		over := w.runSeeds()
-		t.Logf("usual load: %s; a fifth too much: %s", usual, over)
-		if usual.inTime < usual.total()*98/100 {
-			t.Errorf("%d of %d in time", usual.inTime, usual.total())
+		s := smallFleet
+		s.shareLoads = true
+		normal := s.runSeeds()
+		s.load = 1.2
+		overloaded := s.runSeeds()
+		t.Logf("70%% load: %s; 120%% load: %s", normal, overloaded)
+		if normal.inTime < normal.total()*98/100 {
+			t.Errorf("%d of %d in time at 70%% load", normal.inTime, normal.total())
 		}
-		if over.inTime < over.total()*70/100 {
-			t.Errorf("%d of %d in time of a fifth too much", over.inTime, over.total())
+		if overloaded.inTime < overloaded.total()*70/100 {
+			t.Errorf("%d of %d in time at 120%% load", overloaded.inTime, overloaded.total())
 		}
 	})
 }
@@ -280,7 +283,7 @@
 func (r *results) total() int { return r.inTime + r.late + r.refused }
 
 func (r *results) String() string {
-	return fmt.Sprintf("%d in time, %d late, %d refused, %d turned away by upstreams", r.inTime, r.late, r.refused, r.rejected)
+	return fmt.Sprintf("%d in time, %d late, %d refused, %d rejected by full upstreams", r.inTime, r.late, r.refused, r.rejected)
 }
 
 func (r *results) add(o results) {
