--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet keeps what the planner knows of the other entry hosts from
-// their calls: how many there are, which can plan, and which relay the copy
-// of the log to the others of their data centre. It makes no calls.
+// Package fleet tracks the other entry hosts by the calls that they make to this
+// one, usually the planner: how many there are, which are candidates, and which host
+// of each data centre relays the log replica to the others. It makes no calls itself.
 package fleet
 
 import (
@@ -10,90 +10,89 @@
 
 const (
 	// livenessTimeout is how long after its last call a host counts as running.
-	// Undisturbed hosts call three times a second.
+	// Healthy hosts call three times a second.
 	livenessTimeout = 1500 * time.Millisecond
-	// sizeRetention is how long it counts as one that may have connections open
-	// and repeats spent: a host cut off from the planner goes on serving.
+	// sizeRetention is how long after its last call a host counts in the fleet's size.
+	// A host cut off from the planner continues to serve, with its connections to
+	// upstreams and its retries.
 	sizeRetention = time.Minute
-	// minLocalHostsForRelay is the number of hosts in the planner's own data centre from
-	// which on one of them relays: for fewer the planner's own answers are
-	// cheap.
+	// minLocalHostsForRelay is the least number of hosts in the planner's own data
+	// centre for which one of them relays. Replies to fewer cost the planner little.
 	minLocalHostsForRelay = 8
-	// minRemoteHostsForRelay is that number in the other data centres. Bytes between
-	// data centres are priced, and each change of ownership goes to every
-	// follower: on a quiet day of twelve hosts 2.2 of the 8.3 MB between data
-	// centres were answers to followers. With a relay in each the whole worth
-	// of five days of trouble rose from 0.754 to 0.766, of a quiet one from
-	// 0.828 to 0.852, means of three seeds each.
+	// minRemoteHostsForRelay is the same number in other data centres. Traffic between
+	// data centres is charged, and each ownership change goes to every follower: in a
+	// fleet of twelve hosts without relays, replies to followers made up 2.2 of the
+	// 8.3 MB between data centres on a quiet day.
 	minRemoteHostsForRelay = 2
 )
 
-// Host is what a host says of itself.
+// Host describes an entry host, as stated in its calls.
 type Host struct {
 	Name string
-	// DataCentre is where it runs, PeerAddr (host:port) where its peers
-	// reach it.
+	// DataCentre is where it runs. PeerAddr (host:port) is its address for calls from
+	// other hosts.
 	DataCentre, PeerAddr string
-	// Candidate hosts are strong enough to plan and to relay.
+	// Candidate is set if the host may become the planner or a relay.
 	Candidate bool
-	// Followers is how many hosts follow it in turn.
+	// Followers is how many hosts follow this one.
 	Followers int
 }
 
+// hostEntry is the host as of its last call.
 type hostEntry struct {
 	Host
 	lastCall time.Time
 }
 
-// Fleet is safe for concurrent use.
+// Fleet holds the hosts that have called this one. It is safe for concurrent use.
 type Fleet struct {
 	// localDataCentre is this host's data centre.
 	localDataCentre string
 	mu              sync.Mutex
-	hosts           map[string]hostEntry
-	// relays holds the name of each data centre's present relay.
+	// hosts holds the hosts that have called, by name.
+	hosts map[string]hostEntry
+	// relays holds the name of the current relay of each data centre.
 	relays map[string]string
-	// plannerSize is the fleet's size as another host last knew it.
+	// plannerSize is the planner's count of the fleet, received from the planner or a
+	// relay; 0 if none was received.
 	plannerSize int
 }
 
-// New returns a fleet of which nothing is known to a host in the data centre
-// home.
-func New(home string) *Fleet {
-	return &Fleet{localDataCentre: home, hosts: map[string]hostEntry{}, relays: map[string]string{}}
+// New returns a fleet without known hosts, for a host in localDataCentre.
+func New(localDataCentre string) *Fleet {
+	return &Fleet{localDataCentre: localDataCentre, hosts: map[string]hostEntry{}, relays: map[string]string{}}
 }
 
-// RecordHeartbeat takes in a call of h.
+// RecordHeartbeat records a call from h.
 func (f *Fleet) RecordHeartbeat(h Host, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts[h.Name] = hostEntry{Host: h, lastCall: now}
 }
 
-// SetPlannerSize takes in the fleet's size as the planner knows it.
+// SetPlannerSize sets the fleet's size as counted by the planner.
 func (f *Fleet) SetPlannerSize(size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plannerSize = size
 }
 
-// HasPlannerSize reports whether another host has said how many there are.
+// HasPlannerSize reports whether the planner's count of the fleet is known.
 func (f *Fleet) HasPlannerSize() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.plannerSize > 0
 }
 
-// Size returns how many hosts there are, this one included, as the planner
-// or this host itself knows, whichever is more.
+// Size returns the number of hosts including this one: the planner's count or that
+// of this host, whichever is higher.
 func (f *Fleet) Size(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return max(f.followers(now)+1, f.plannerSize)
 }
 
-// Followers returns how many hosts follow this one, itself or through a
-// relay.
+// Followers returns how many hosts follow this one, directly or through a relay.
 func (f *Fleet) Followers(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,8 +111,8 @@
 	return n
 }
 
-// HasLiveCandidate reports whether another host that is strong enough to plan has
-// called lately.
+// HasLiveCandidate reports whether another candidate has called within
+// livenessTimeout.
 func (f *Fleet) HasLiveCandidate(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,9 +124,9 @@
 	return false
 }
 
-// RelayFor returns the peer address of the host that relays in h's data
-// centre; empty if h itself does or none is needed. A relay stays one while
-// it calls, so that hosts do not change back and forth.
+// RelayFor returns the peer address of the relay that h must follow, the one of its
+// data centre; empty if h is that relay or none is needed. A host remains the relay
+// while it calls, to avoid needless changes.
 func (f *Fleet) RelayFor(h Host, now time.Time) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,29 +137,29 @@
 	if relay.Name == "" || relay.Name == h.Name {
 		return ""
 	}
-	delete(f.hosts, h.Name) // from now on it is the relay's to count
+	delete(f.hosts, h.Name) // the relay's follower count includes it from now on
 	return relay.PeerAddr
 }
 
-// electRelay chooses the first eager host by name, if the data centre has
-// enough hosts.
+// electRelay makes the first live candidate by name the relay of the data centre; none
+// if the data centre has too few live hosts.
 func (f *Fleet) electRelay(dataCentre string, now time.Time) hostEntry {
 	var best hostEntry
-	n := 0
+	live := 0
 	for _, e := range f.hosts {
 		if e.DataCentre != dataCentre || now.Sub(e.lastCall) > livenessTimeout {
 			continue
 		}
-		n++
+		live++
 		if e.Candidate && (best.Name == "" || e.Name < best.Name) {
 			best = e
 		}
 	}
-	least := minRemoteHostsForRelay
+	required := minRemoteHostsForRelay
 	if dataCentre == f.localDataCentre {
-		least = minLocalHostsForRelay
+		required = minLocalHostsForRelay
 	}
-	if n < least {
+	if live < required {
 		best = hostEntry{}
 	}
 	f.relays[dataCentre] = best.Name
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-func heartbeat(f *Fleet, dc string, i int, eager bool, now time.Time) string {
-	h := Host{Name: fmt.Sprintf("%s-%02d", dc, i), DataCentre: dc, PeerAddr: fmt.Sprintf("%s:%d", dc, i), Candidate: eager}
+// heartbeat records a call of host i of the data centre and returns the address of the
+// relay to which it is redirected.
+func heartbeat(f *Fleet, dc string, i int, candidate bool, now time.Time) string {
+	h := Host{Name: fmt.Sprintf("%s-%02d", dc, i), DataCentre: dc, PeerAddr: fmt.Sprintf("%s:%d", dc, i), Candidate: candidate}
 	f.RecordHeartbeat(h, now)
 	return f.RelayFor(h, now)
 }
 
-// Twelve hosts of a data centre follow the planner. The first strong one
-// relays, the others are sent to it; a small data centre needs none if it is
-// the planner's own.
+// Twelve hosts of a data centre follow the planner. The first candidate among them
+// becomes the relay, and the others are redirected to it. The planner's own data
+// centre has no relay while it is small.
 func TestRelayInLargeDataCentre(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	for i := range minLocalHostsForRelay - 1 {
 		if to := heartbeat(f, "home", i, true, now); to != "" {
-			t.Errorf("the planner's own small data centre's host is sent to %s", to)
+			t.Errorf("host of the planner's small data centre is redirected to %s", to)
 		}
 	}
 	for i := range 12 {
@@ -31,13 +33,13 @@
 			want = ""
 		}
 		if to := heartbeat(f, "large", i, i >= 3, now); to != want {
-			t.Errorf("host %d is sent to %q, want %q", i, to, want)
+			t.Errorf("host %d is redirected to %q, want %q", i, to, want)
 		}
 	}
 }
 
-// Bytes between data centres are dear: where only three hosts of another data
-// centre follow the planner, two of them follow the third.
+// Traffic between data centres is charged: even if only three hosts of another data
+// centre follow the planner, one of them must become the relay of the other two.
 func TestRelayInSmallRemoteDataCentre(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	for i := range 3 {
@@ -45,13 +47,13 @@
 	}
 	for i, want := range []string{"", "away:0", "away:0"} {
 		if to := heartbeat(f, "away", i, true, now); to != want {
-			t.Errorf("host %d is sent to %q, want %q", i, to, want)
+			t.Errorf("host %d is redirected to %q, want %q", i, to, want)
 		}
 	}
 }
 
-// The relay dies. Its hosts call the planner again and are sent to another
-// strong host; a weak one never relays.
+// The relay crashes. Its followers call the planner again, which must redirect them to
+// another candidate. A host that is no candidate must never become the relay.
 func TestDeadRelayIsReplaced(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	for i := range 12 {
@@ -65,48 +67,48 @@
 		}
 	}
 	if got != "dc:7" {
-		t.Errorf("sent to %q, want the other strong host", got)
+		t.Errorf("redirected to %q, want the other candidate", got)
 	}
-	weak := New("home")
+	noCandidates := New("home")
 	for i := range 12 {
-		if to := heartbeat(weak, "dc", i, false, now); to != "" {
-			t.Errorf("sent to the weak host %s", to)
+		if to := heartbeat(noCandidates, "dc", i, false, now); to != "" {
+			t.Errorf("redirected to %s, which is no candidate", to)
 		}
 	}
 }
 
-// What is shared by all hosts is divided by their number, also by hosts that
-// know it from others only, and for a while by those that went silent: they
-// may go on serving behind a cut.
+// Hosts divide shared limits by the fleet's size. It must include hosts behind a relay
+// and, for a while, hosts that stopped calling: they may be cut off from the planner
+// and still serve. A host that follows the planner must use the planner's count.
 func TestSizeCountsSilentAndIndirectHosts(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	if f.Size(now) != 1 {
-		t.Errorf("alone: %d", f.Size(now))
+		t.Errorf("%d hosts without any call, want 1", f.Size(now))
 	}
 	f.RecordHeartbeat(Host{Name: "a"}, now)
 	f.RecordHeartbeat(Host{Name: "relay", Followers: 30}, now)
 	if got := f.Size(now.Add(sizeRetention / 2)); got != 33 {
-		t.Errorf("%d hosts, want this one, two callers and thirty behind one of them", got)
+		t.Errorf("%d hosts, want 33: this one, two callers and 30 followers of one of them", got)
 	}
 	if got := f.Size(now.Add(2 * sizeRetention)); got != 1 {
-		t.Errorf("%d hosts long after the last call", got)
+		t.Errorf("%d hosts long after the last call, want 1", got)
 	}
 	f.SetPlannerSize(91)
 	if got := f.Size(now); got != 91 {
-		t.Errorf("%d hosts, the planner counts 91", got)
+		t.Errorf("%d hosts, want the planner's count of 91", got)
 	}
 }
 
-// A weak planner gives way to a strong host that calls it, not to one that
-// has ended.
+// A planner that is no candidate hands over to a candidate that calls it. It must not
+// do so for a candidate that has stopped calling.
 func TestHasLiveCandidate(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	f.RecordHeartbeat(Host{Name: "weak"}, now)
 	if f.HasLiveCandidate(now) {
-		t.Error("a weak host counts as strong")
+		t.Error("a host that is no candidate counts as one")
 	}
 	f.RecordHeartbeat(Host{Name: "strong", Candidate: true}, now)
 	if !f.HasLiveCandidate(now) || f.HasLiveCandidate(now.Add(livenessTimeout+time.Second)) {
-		t.Error("a strong host must count while it calls")
+		t.Error("a candidate must count exactly while it calls")
 	}
 }
