--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -22,15 +22,16 @@
 	"github.com/papayatide/papayatide/internal/protocol"
 )
 
-// Target is where a request is sent.
+// Target is the upstream that a request is sent to.
 type Target struct {
-	// ID is the upstream's life that the request is meant for; another server
-	// at the same address refuses it.
-	ID   string
+	// ID is the upstream's ID, which identifies one incarnation. A different server at
+	// the same address refuses the request.
+	ID string
+	// Addr is the upstream's address (host:port).
 	Addr string
 }
 
-// Request is a caller's request, to be sent unchanged.
+// Request is a caller's request, to be forwarded.
 type Request struct {
 	ID     string
 	Method string
@@ -40,23 +41,23 @@
 	Header http.Header
 	// Body is the whole body, or nil if Stream is set.
 	Body []byte
-	// Stream is the body of a request too large to keep; such a request
-	// can be sent once only. Length is its length or -1.
+	// Stream is the body of a request too large to buffer; such a request can be sent
+	// only once. Length is its length in bytes, or -1 if unknown.
 	Stream io.Reader
 	Length int64
 }
 
-// Outcome is what is known of a request that was to be sent.
+// Outcome is what is known about whether the upstream ran a request.
 type Outcome int
 
 const (
 	// NotSent means that no byte of the request left this host.
 	NotSent Outcome = iota
-	// NotRun means the upstream said that it did not run the request.
+	// NotRun means that the upstream's response states that it did not run the request.
 	NotRun
-	// Answered means the upstream's whole answer is at hand.
+	// Answered means that the whole response was received.
 	Answered
-	// OutcomeUnknown means the request was sent and may have run.
+	// OutcomeUnknown means that the request may have been sent and run.
 	OutcomeUnknown
 )
 
@@ -64,46 +65,48 @@
 	return [...]string{"not sent", "not run", "answered", "unknown"}[o]
 }
 
-// Result is the outcome of one send.
+// Result is the result of one attempt.
 type Result struct {
 	Outcome Outcome
-	// Status, Header and Body are the answer's, if there was one.
+	// Status, Header and Body are those of the response, if one was received.
 	Status int
 	Header http.Header
 	Body   []byte
-	// NewConn says that a connection was opened for the request.
+	// NewConn is set if the attempt opened a connection or tried to.
 	NewConn bool
-	// ConnectTime is how long opening it took.
+	// ConnectTime is how long opening the connection took.
 	ConnectTime time.Duration
-	// ConnRejected is set if the upstream took the connection and ended it before
-	// anything was sent: it has too many.
+	// ConnRejected is set if the upstream reset or closed a new connection before
+	// anything was sent, usually because it has too many.
 	ConnRejected bool
-	// Report is what the answer says of the upstream.
+	// Report is the state that the upstream reports in the response headers.
 	Report feedback.Report
-	// Err says why there is no answer.
+	// Err is the reason why there is no response.
 	Err error
 }
 
-// Misdirected reports whether the upstream refused the request because it
-// is not the one meant or does not hold the request's key.
+// Misdirected reports whether the upstream refused the request because it is not the
+// expected one or does not own the request's key.
 func (r *Result) Misdirected() bool { return r.Status == http.StatusMisdirectedRequest }
 
-// Client sends requests over kept connections.
+// Client sends requests to upstreams over persistent connections. It is safe for
+// concurrent use.
 type Client struct {
 	headers protocol.Headers
-	// Dial opens connections; TCP ones unless it is replaced before the first
+	// Dial opens connections, by default TCP ones. It may be replaced before the first
 	// call.
 	Dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 	mu    sync.Mutex
 	pools map[Target]*pool
 }
 
-// NewClient returns a client for upstreams that use the given header names.
+// NewClient returns a client for upstreams that use the header names in h.
 func NewClient(h protocol.Headers) *Client {
 	d := &net.Dialer{Timeout: dialTimeout, Control: setTCPUserTimeout}
 	return &Client{headers: h, Dial: d.DialContext, pools: map[Target]*pool{}}
 }
 
+// poolFor returns the pool of t and creates it if necessary.
 func (c *Client) poolFor(t Target) *pool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,29 +118,29 @@
 	return p
 }
 
-// Prune closes the connections that are past their time and all of those to
-// upstreams for which keep is false.
+// Prune closes idle connections whose idle timeout has passed and all idle ones to
+// upstreams for which keep returns false.
 func (c *Client) Prune(now time.Time, keep func(id string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for t, p := range c.pools {
-		gone := !keep(t.ID)
-		p.closeIdle(now, gone)
-		if gone {
+		removed := !keep(t.ID)
+		p.closeIdle(now, removed)
+		if removed {
 			delete(c.pools, t)
 		}
 	}
 }
 
-// Do sends req to t. The upstream is told to stop at the context's
-// deadline, which must be set. When ctx ends the connection is closed,
-// which makes the upstream drop the work.
+// Do sends req to t. ctx must have a deadline, which is sent to the upstream as the
+// request's timeout. When ctx ends the connection is reset, which makes the upstream
+// abandon the request.
 func (c *Client) Do(ctx context.Context, t Target, req *Request) *Result {
 	p := c.poolFor(t)
 	cn := p.get(time.Now())
-	fresh := cn == nil
-	began := time.Now()
-	if fresh {
+	newConn := cn == nil
+	dialStart := time.Now()
+	if newConn {
 		var err error
 		if cn, err = c.dial(ctx, t.Addr); err != nil {
 			return &Result{Outcome: NotSent, NewConn: true, ConnRejected: errors.Is(err, syscall.ECONNRESET),
@@ -145,20 +148,20 @@
 		}
 		if err := cn.checkRejected(); err != nil {
 			cn.abort()
-			return &Result{Outcome: NotSent, NewConn: true, ConnRejected: true, ConnectTime: time.Since(began),
-				Err: eris.Wrapf(err, "upstream %s: new connection", t.ID)}
+			return &Result{Outcome: NotSent, NewConn: true, ConnRejected: true, ConnectTime: time.Since(dialStart),
+				Err: eris.Wrapf(err, "upstream %s: check new connection", t.ID)}
 		}
 	}
-	connect := time.Since(began)
+	connectTime := time.Since(dialStart)
 	stop := context.AfterFunc(ctx, cn.abort)
 	res, reusable := c.roundTrip(ctx, cn, t, req)
-	if res.NewConn = fresh; fresh {
-		res.ConnectTime = connect
+	if res.NewConn = newConn; newConn {
+		res.ConnectTime = connectTime
 	}
 	if !stop() || !reusable {
 		cn.abort()
-		if !fresh && res.Outcome == NotSent && ctx.Err() == nil {
-			return c.Do(ctx, t, req) // the kept connection had been closed
+		if !newConn && res.Outcome == NotSent && ctx.Err() == nil {
+			return c.Do(ctx, t, req) // the pooled connection had been closed
 		}
 		return res
 	}
@@ -166,8 +169,8 @@
 	return res
 }
 
-// PortClosed reports whether nobody listens at t any more: the process that did
-// has ended. A connection that opens is kept for the next request.
+// PortClosed reports whether t refuses connections, which means that its process has
+// ended. If a connection opens it is pooled for the next request.
 func (c *Client) PortClosed(ctx context.Context, t Target) bool {
 	cn, err := c.dial(ctx, t.Addr)
 	if err != nil {
@@ -178,45 +181,44 @@
 	return false
 }
 
-// roundTrip writes the request and reads its answer. It reports whether the
-// connection can be used again.
+// roundTrip writes the request and reads the response. It reports whether the connection
+// can be reused.
 func (c *Client) roundTrip(ctx context.Context, cn *conn, t Target, req *Request) (*Result, bool) {
 	deadline, ok := ctx.Deadline()
-	left := time.Until(deadline)
-	if !ok || left <= 0 {
+	remaining := time.Until(deadline)
+	if !ok || remaining <= 0 {
 		return &Result{Outcome: NotSent, Err: context.DeadlineExceeded}, true
 	}
-	hreq := c.buildRequest(t, req, left)
+	httpReq := c.buildRequest(t, req, remaining)
 	if err := cn.SetDeadline(deadline); err != nil {
 		return &Result{Outcome: NotSent, Err: eris.Wrap(err, "set deadline")}, false
 	}
-	writing := make(chan error, 1)
+	writeDone := make(chan error, 1)
 	if req.Stream == nil {
-		writing <- writeRequest(cn, hreq)
+		writeDone <- writeRequest(cn, httpReq)
 	} else {
-		go func() { writing <- writeRequest(cn, hreq) }()
+		go func() { writeDone <- writeRequest(cn, httpReq) }()
 	}
-	resp, body, err := c.readResponse(cn, hreq, req.ID)
+	resp, body, err := c.readResponse(cn, httpReq, req.ID)
 	sent := false
 	select {
-	case werr := <-writing:
-		sent = werr == nil
+	case writeErr := <-writeDone:
+		sent = writeErr == nil
 	default:
 	}
 	cn.lastRequestID = req.ID
 	if err != nil {
-		return &Result{Outcome: OutcomeUnknown, Err: eris.Wrapf(err, "upstream %s: answer", t.ID)}, false
+		return &Result{Outcome: OutcomeUnknown, Err: eris.Wrapf(err, "upstream %s: read response", t.ID)}, false
 	}
 	res := &Result{Outcome: Answered, Status: resp.StatusCode, Header: resp.Header, Body: body}
 	if resp.Header.Get(c.headers.NotRun) != "" || res.Misdirected() {
 		res.Outcome = NotRun
 	}
-	if !res.Misdirected() { // it may be another server's answer
+	if !res.Misdirected() { // otherwise another server may have sent the response
 		res.Report = feedback.Decode(c.headers, res.Status, res.Header)
 	}
-	// An answer that came before the whole body was sent leaves the rest of
-	// the body due on this connection; the next request would be read as
-	// that rest. Such a connection is not used again.
+	// If the response came before the whole body was sent, the connection cannot be
+	// reused: the upstream would read the next request as the rest of the body.
 	reusable := sent && !resp.Close && cn.br.Buffered() == 0
 	if reusable {
 		cn.idleUntil = time.Now().Add(idleTimeout(resp.Header))
@@ -225,27 +227,29 @@
 	return res, reusable
 }
 
-// buildRequest makes the request as it goes on the wire.
-func (c *Client) buildRequest(t Target, req *Request, left time.Duration) *http.Request {
+// buildRequest returns req as an HTTP request to t, with the timeout and expected-upstream
+// headers set.
+func (c *Client) buildRequest(t Target, req *Request, timeout time.Duration) *http.Request {
 	h := req.Header.Clone()
 	if _, ok := h["User-Agent"]; !ok {
-		h["User-Agent"] = nil // keeps net/http from adding its own
+		h["User-Agent"] = nil // prevents net/http from adding its own
 	}
-	h.Set(c.headers.TimeoutMs, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+	h.Set(c.headers.TimeoutMs, strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
 	h.Set(c.headers.ExpectedUpstream, catalogue.ServerID(t.ID))
-	hreq := &http.Request{Method: req.Method, URL: &url.URL{Scheme: "http", Host: req.Host, Opaque: req.URI},
+	httpReq := &http.Request{Method: req.Method, URL: &url.URL{Scheme: "http", Host: req.Host, Opaque: req.URI},
 		Host: req.Host, Header: h, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}
 	switch {
 	case req.Stream != nil:
-		hreq.Body, hreq.ContentLength = io.NopCloser(req.Stream), req.Length
+		httpReq.Body, httpReq.ContentLength = io.NopCloser(req.Stream), req.Length
 	case len(req.Body) > 0:
-		hreq.Body, hreq.ContentLength = io.NopCloser(bytes.NewReader(req.Body)), int64(len(req.Body))
+		httpReq.Body, httpReq.ContentLength = io.NopCloser(bytes.NewReader(req.Body)), int64(len(req.Body))
 	}
-	return hreq
+	return httpReq
 }
 
 const writeBufferBytes = 16 << 10
 
+// writeRequest writes the request to w through one buffer.
 func writeRequest(w io.Writer, r *http.Request) error {
 	bw := bufio.NewWriterSize(w, writeBufferBytes)
 	if err := r.Write(bw); err != nil {
@@ -254,22 +258,23 @@
 	return bw.Flush()
 }
 
-// MaxAnswerBytes bounds an answer kept in memory. Answers are kept whole so
-// that one that breaks off never reaches a caller as if it were complete.
+// MaxResponseBytes bounds a response body. Responses are buffered whole, so that a
+// truncated one never reaches a caller as if it were complete.
 const MaxResponseBytes = 8 << 20
 
-// strays bounds the answers to earlier requests that are passed over.
+// maxStrayResponses bounds how many responses to earlier requests an attempt skips
+// before it fails.
 const maxStrayResponses = 2
 
 var errStrayResponse = errors.New("answer belongs to another request")
 
-// readResponse reads answers until one bears the request's ID. An upstream may
-// send a second answer to an earlier request late, where the next answer is
-// due; given to this caller it would be somebody else's. An answer without
-// an ID is this request's only if the connection has carried no other.
-func (c *Client) readResponse(cn *conn, hreq *http.Request, id string) (*http.Response, []byte, error) {
+// readResponse reads responses until one has the request's ID. An upstream may send a
+// late second response to an earlier request, which must not go to this caller. A
+// response without an ID is accepted only on a connection that has carried no earlier
+// request.
+func (c *Client) readResponse(cn *conn, httpReq *http.Request, id string) (*http.Response, []byte, error) {
 	for range maxStrayResponses + 1 {
-		resp, err := http.ReadResponse(cn.br, hreq)
+		resp, err := http.ReadResponse(cn.br, httpReq)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -281,7 +286,7 @@
 			return nil, nil, err
 		}
 		if len(body) > MaxResponseBytes {
-			return nil, nil, eris.Errorf("answer over %d bytes", MaxResponseBytes)
+			return nil, nil, eris.Errorf("response over %d bytes", MaxResponseBytes)
 		}
 		got := resp.Header.Get(c.headers.RequestID)
 		if got == id || (got == "" && cn.lastRequestID == "") {
@@ -291,8 +296,8 @@
 	return nil, nil, errStrayResponse
 }
 
-// idleTimeout returns how long a connection may be kept after an answer with
-// the given headers.
+// idleTimeout returns how long a connection may stay idle after a response with the given
+// headers.
 func idleTimeout(h http.Header) time.Duration {
 	for _, v := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(v), "=")
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,9 +1,9 @@
-// Package upstream sends one request to one upstream and says what is known
-// of it afterwards: answered, certainly not run, or unknown.
+// Package upstream sends a request to an upstream and reports the outcome: answered,
+// not sent, not run, or unknown.
 //
-// It keeps its own connections rather than net/http's transport, because
-// three things decide whether a request may be sent again or an answer
-// passed on: whether any byte of the request left this host, whether an
-// answer belongs to the request that is waiting, and whether bytes are left
-// over on the connection. Parsing is net/http's.
+// It manages its own connections instead of using http.Transport, which does not
+// expose three facts that decide whether a request may be retried or a response
+// forwarded: whether any byte of the request left this host, whether a response
+// belongs to the pending request, and whether unread bytes remain on the connection.
+// It uses net/http to write requests and parse responses.
 package upstream
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -17,42 +17,41 @@
 
 // Timings of connections to upstreams.
 const (
-	// dialTimeout bounds connecting. Hosts and upstreams are within 2 ms of
-	// each other and a new connection costs 1 ms; a lost opening packet
-	// would only be sent again after a second.
+	// dialTimeout bounds connecting. Hosts and upstreams are within 2 ms of each other
+	// and connecting takes 1 ms; the kernel retransmits a lost SYN only after a second.
 	dialTimeout = 300 * time.Millisecond
-	// tcpUserTimeout bounds how long sent bytes go without being
-	// acknowledged before the kernel gives the connection up; without it a
-	// partition would keep the connection in use until the deadline.
+	// tcpUserTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection. Without it a network partition would block the request
+	// until its deadline.
 	tcpUserTimeout = 2 * time.Second
-	// defaultIdleTimeout is how long a connection is kept if the upstream has not
-	// said how long it will keep it.
+	// defaultIdleTimeout is how long a connection may stay idle if the upstream sends
+	// no Keep-Alive timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// idleTimeoutFraction is the part of the upstream's idle time that is used; the
-	// rest covers the way there, so that a request does not meet a
-	// connection that is being closed.
+	// idleTimeoutFraction is the fraction of the upstream's idle timeout that is used. The
+	// rest covers the network delay, so that a request does not arrive at a connection
+	// that the upstream is closing.
 	idleTimeoutFraction = 0.7
 	readBufferBytes     = 4 << 10
 )
 
-// conn is one connection to an upstream, used for one request at a time.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
 	br *bufio.Reader
-	// lastRequestID is the ID of the request answered last on this connection; an
-	// extra answer to it may still arrive.
+	// lastRequestID is the ID of the previous request on this connection; a second
+	// response to it may still arrive.
 	lastRequestID string
-	// idleUntil is when the connection may no longer be used again.
+	// idleUntil is when the connection's idle timeout passes; it is not reused after.
 	idleUntil time.Time
 }
 
-// pool keeps the idle connections to one upstream, newest last.
+// pool holds the idle connections to one upstream, most recently used last.
 type pool struct {
 	mu   sync.Mutex
 	idle []*conn
 }
 
-// get returns an idle connection that still looks sound, or nil.
+// get returns a healthy idle connection, or nil if there is none.
 func (p *pool) get(now time.Time) *conn {
 	for {
 		c := p.pop()
@@ -84,7 +83,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// closeIdle closes the connections that are past their time, or all.
+// closeIdle closes the idle connections whose idle timeout has passed, or all of them
+// if all is set.
 func (p *pool) closeIdle(now time.Time, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,10 +99,9 @@
 	p.idle = kept
 }
 
-// healthy reports whether the connection is open with nothing to read. Bytes
-// that arrived while nobody was waiting belong to no request, and an end of
-// file means that the upstream has closed it: a request sent now would be
-// lost without anybody knowing whether it ran.
+// healthy reports whether the connection is open with nothing to read. Bytes that
+// arrived while it was idle belong to no request. After an end of file the upstream
+// has closed the connection, and a request sent now would have an unknown outcome.
 func (c *conn) healthy() bool {
 	if c.br.Buffered() > 0 {
 		return false
@@ -111,15 +110,14 @@
 	return state == peek.Idle || state == peek.Unknown
 }
 
-// settleTime is how long after it is open a new connection is watched before the
-// first request: an upstream with too many resets it some two milliseconds later.
+// rejectionWindow is how long a new connection is watched before the first request. An
+// upstream with too many connections resets a new one about 2 ms after accepting it.
 const rejectionWindow = 2500 * time.Microsecond
 
-// checkRejected reports why a new connection cannot be used, nil if it can. An upstream
-// with too many connections resets those beyond; a request that was written
-// meanwhile may have run, as far as this host could tell, and callers with work
-// that must not repeat were left with that. Before anything is sent it certainly
-// has not.
+// checkRejected returns an error if the upstream resets or closes a new connection, or
+// sends data, within rejectionWindow. The request has not been sent by then and can be
+// retried. Written at once, its outcome would be unknown, and a request that is not
+// idempotent could not be retried.
 func (c *conn) checkRejected() error {
 	if err := c.SetReadDeadline(time.Now().Add(rejectionWindow)); err != nil {
 		return err
@@ -134,14 +132,14 @@
 	return c.SetReadDeadline(time.Time{})
 }
 
-var errUnexpectedBytes = errors.New("bytes that answer nothing")
+var errUnexpectedBytes = errors.New("received data before sending a request")
 
-// abort resets the connection. An orderly close would let the kernel go on
-// sending a request that is still queued behind a cut link, and it would run
-// long after its caller was told how it ended.
+// abort resets the connection. After an orderly close the kernel would still send a
+// request that is queued behind a network partition, and the upstream would run it
+// long after its caller received an outcome.
 func (c *conn) abort() {
 	if tc, ok := c.Conn.(*net.TCPConn); ok {
-		// If it fails the connection is closed all the same.
+		// On failure, Close below still closes the connection.
 		_ = tc.SetLinger(0)
 	}
 	_ = c.Close()
@@ -156,13 +154,14 @@
 	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBufferBytes)}, nil
 }
 
+// setTCPUserTimeout is a net.Dialer.Control function that sets TCP_USER_TIMEOUT.
 func setTCPUserTimeout(_, _ string, rc syscall.RawConn) error {
-	var serr error
+	var sockErr error
 	err := rc.Control(func(fd uintptr) {
-		serr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return serr
+	return sockErr
 }
