--- a/internal/peer/feedback.go
+++ b/internal/peer/feedback.go
@@ -12,8 +12,8 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// AcquirePermits asks the planner at addr (host:port) for leave for up to want requests to
-// an upstream that takes perSecond.
+// AcquirePermits requests permits for up to want requests to an upstream from the
+// planner at addr (host:port). perSecond is the upstream's rate limit.
 func (c *Client) AcquirePermits(ctx context.Context, addr, upstream string, perSecond float64, want int) (ratelimit.Permit, error) {
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Admit(ctx,
 		&peerpb.AdmitRequest{Upstream: upstream, PerSecond: perSecond, Want: uint32(want)})
@@ -25,12 +25,13 @@
 
 // Admit implements peerpb.Peer.
 func (s *Server) Admit(_ context.Context, m *peerpb.AdmitRequest) (*peerpb.AdmitReply, error) {
-	g, ok := s.AcquirePermits(m.Upstream, m.PerSecond, int(m.Want))
+	permit, ok := s.AcquirePermits(m.Upstream, m.PerSecond, int(m.Want))
 	if !ok {
-		return nil, twirp.NewError(twirp.Unavailable, "this host does not plan")
+		return nil, twirp.NewError(twirp.Unavailable, "this host is not the planner")
 	}
-	// Rounded up: a host that asked just before leave is due would ask twice.
-	return &peerpb.AdmitReply{Requests: uint32(g.Requests), WaitMs: uint32((g.Wait + time.Millisecond - 1).Milliseconds())}, nil
+	// WaitMs is rounded up: a host that retried just before the next permit is due
+	// would have to retry again.
+	return &peerpb.AdmitReply{Requests: uint32(permit.Requests), WaitMs: uint32((permit.Wait + time.Millisecond - 1).Milliseconds())}, nil
 }
 
 func encodeNotices(ns []feedback.Notice) []*peerpb.UpstreamNotice {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer carries messages between entry hosts.
+// Package peer implements the RPCs between entry hosts.
 package peer
 
 import (
@@ -21,10 +21,10 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// ServiceLoad is what callers asked of one keyed service.
+// ServiceLoad samples the requests that a host received for one keyed service.
 type ServiceLoad struct {
 	Service string
-	// Weight is how many requests each sample stands for.
+	// Weight is how many requests each sample represents.
 	Weight  float64
 	Samples []keyload.Sample
 }
@@ -33,57 +33,59 @@
 type Client struct {
 	http *http.Client
 	mu   sync.Mutex
-	// subsetHashes holds the token of the list of upstreams that the host at each address
-	// knows of this one.
+	// subsetHashes holds the hash of this host's subset of upstreams as last acknowledged
+	// by the host at each address.
 	subsetHashes map[string]uint64
 }
 
-// NewClient returns a client that calls over hc.
+// NewClient returns a client that makes its calls with hc.
 func NewClient(hc *http.Client) *Client { return &Client{http: hc, subsetHashes: map[string]uint64{}} }
 
-// FollowRequest is what a host says when it calls Follow.
+// FollowRequest holds the arguments of Follow.
 type FollowRequest struct {
+	// Self describes the calling host.
 	Self fleet.Host
-	// Positions are how far it has read each stream.
+	// Positions holds the offset of the next record that it needs from each stream.
 	Positions map[metastore.Stream]int64
-	// Loads are what its callers asked for since its last call.
+	// Loads samples the requests that it received since its last call.
 	Loads []ServiceLoad
-	// LoadStats are what it has at upstreams that any host may choose.
+	// LoadStats describes its requests at upstreams that any host may choose.
 	LoadStats []balance.LoadStats
-	// Subset are the upstreams of which it wants to know what others have there.
+	// Subset lists the upstreams for which it wants the load of the other hosts.
 	Subset balance.Subset
-	// Notices are what upstreams have reported of themselves.
+	// Notices holds the state that upstreams have reported.
 	Notices []feedback.Notice
-	// Wait is how long the call may wait for something new.
+	// Wait is how long the callee may wait for new records before it replies.
 	Wait time.Duration
 }
 
-// FollowReply is the answer to Follow.
+// FollowReply is the result of Follow.
 type FollowReply struct {
-	// Batches are what this host lacks of the log.
+	// Batches holds the log records that the calling host lacks.
 	Batches []relay.Batch
-	// Age is how long ago the planner last knew that its copy is current.
+	// Age is how long ago the replica was last known to be current with the log service.
 	Age time.Duration
-	// LogReachableFor is for how long it has reached the log service without a break.
+	// LogReachableFor is how long the host that reads the log service, normally the
+	// planner, has reached it without a failure.
 	LogReachableFor time.Duration
-	// HostCount is how many hosts there are.
+	// HostCount is the number of hosts in the fleet.
 	HostCount int
-	// Relay is where to call from now on (host:port); empty for the same
-	// host again.
+	// Relay is the host to follow from now on (host:port); empty to stay with the
+	// callee.
 	Relay string
-	// PeerLoads is what the other hosts of the data centre have at the upstreams
-	// asked for; empty if the host asked is in another one.
+	// PeerLoads is the load of the other hosts of the data centre at the requested
+	// upstreams; empty if the callee is in another data centre.
 	PeerLoads []balance.PeerLoad
-	// Notices are what upstreams have reported of themselves to other hosts.
+	// Notices holds the state that upstreams have reported to other hosts.
 	Notices []feedback.Notice
 }
 
-// ErrNoCopy means that a host answered that it has no copy of the log that could
-// be followed: it reaches neither the planner nor the log service.
-var ErrNoReplica = errors.New("no copy of the log to follow")
+// ErrNoReplica means that the callee has no log replica that others can follow: it
+// reaches neither the planner nor the log service.
+var ErrNoReplica = errors.New("no log replica to follow")
 
-// Follow hands loads to the host at addr (host:port), the planner or a relay,
-// and returns what this host lacks of the log.
+// Follow sends this host's state to the host at addr (host:port), the planner or a
+// relay, and returns the log records that this host lacks.
 func (c *Client) Follow(ctx context.Context, addr string, q FollowRequest) (*FollowReply, error) {
 	msg := &peerpb.FollowRequest{Host: q.Self.Name, DataCentre: q.Self.DataCentre, PeerAddr: q.Self.PeerAddr,
 		Eager: q.Self.Candidate, Followers: uint32(q.Self.Followers), WaitMs: uint32(q.Wait.Milliseconds())}
@@ -104,8 +106,8 @@
 	}
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Follow(ctx, msg)
 	if err != nil {
-		var told twirp.Error
-		if errors.As(err, &told) && told.Code() == twirp.Unavailable {
+		var rpcErr twirp.Error
+		if errors.As(err, &rpcErr) && rpcErr.Code() == twirp.Unavailable {
 			err = errors.Join(ErrNoReplica, err)
 		}
 		return nil, eris.Wrapf(err, "peer %s: follow", addr)
@@ -122,7 +124,8 @@
 	return out, nil
 }
 
-// decodePeerLoads returns what the reply says of the upstreams, where it does.
+// decodePeerLoads returns the loads in the reply, which are in the order of ids. It omits
+// upstreams for which the callee has no data.
 func decodePeerLoads(ids []string, reply *peerpb.FollowReply) []balance.PeerLoad {
 	var out []balance.PeerLoad
 	for i, id := range ids {
@@ -133,29 +136,30 @@
 	return out
 }
 
-// knownSubset returns the token of the list of upstreams that the host at addr
-// knows of this one; 0 if it knows none.
+// knownSubset returns the hash of this host's subset that the host at addr last
+// acknowledged; 0 if none.
 func (c *Client) knownSubset(addr string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.subsetHashes[addr]
 }
 
-// setKnownSubset notes which list the host at addr knows. Only a few are followed.
-func (c *Client) setKnownSubset(addr string, token uint64) {
+// setKnownSubset records the subset that the host at addr acknowledged.
+func (c *Client) setKnownSubset(addr string, hash uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.subsetHashes) >= maxKnownSubsets {
 		clear(c.subsetHashes)
 	}
-	c.subsetHashes[addr] = token
+	c.subsetHashes[addr] = hash
 }
 
-// maxTold bounds the hosts of which is remembered what they were told.
+// maxKnownSubsets bounds the hosts in subsetHashes. A host follows only a few others.
 const maxKnownSubsets = 16
 
-// Retire asks the host at addr (host:port) to send no more grants of terms
-// before the given one. It returns that host's name and whether it sends none.
+// Retire requests that the host at addr (host:port), a previous planner, send no more
+// grants of a service in terms before the given one. It returns the name of that host
+// and whether no such grant is in flight any more.
 func (c *Client) Retire(ctx context.Context, addr, service string, term int64) (host string, retired bool, err error) {
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Retire(ctx, &peerpb.RetireRequest{Service: service, Term: term})
 	if err != nil {
@@ -166,7 +170,7 @@
 
 func encodeLoad(l ServiceLoad) *peerpb.ServiceLoad {
 	out := &peerpb.ServiceLoad{Service: l.Service, Weight: l.Weight}
-	index := map[string]uint32{"": 0}
+	index := map[string]uint32{"": 0} // position in Upstreams + 1; 0 for none
 	for _, s := range l.Samples {
 		i, ok := index[s.Upstream]
 		if !ok {
@@ -184,7 +188,7 @@
 func decodeLoad(m *peerpb.ServiceLoad) (ServiceLoad, error) {
 	out := ServiceLoad{Service: m.Service, Weight: m.Weight}
 	if len(m.Upstream) != len(m.Keys) || len(m.LatencyMs) != len(m.Keys) {
-		return out, eris.Errorf("load report for %s: lists of %d, %d and %d entries", m.Service, len(m.Keys), len(m.Upstream), len(m.LatencyMs))
+		return out, eris.Errorf("load report for %s: list lengths differ: %d keys, %d upstreams, %d latencies", m.Service, len(m.Keys), len(m.Upstream), len(m.LatencyMs))
 	}
 	for i, k := range m.Keys {
 		s := keyload.Sample{Key: int(k), Latency: time.Duration(m.LatencyMs[i]) * time.Millisecond}
@@ -222,44 +226,44 @@
 	return out
 }
 
-// ReplicaStatus is how far a host's copy of the log can be relied on.
+// ReplicaStatus says how current a host's log replica is.
 type ReplicaStatus struct {
-	// Planning is set on the planner, whose copy the others follow.
+	// Planning is set on the planner, whose replica the others follow.
 	Planning bool
-	// Age and Steady are as in Answer.
+	// Age and LogReachableFor are as in FollowReply.
 	Age, LogReachableFor time.Duration
 }
 
-// Server answers other hosts.
+// Server handles calls from other hosts.
 type Server struct {
-	// Copy is this host's copy of the log.
+	// Copy is this host's log replica.
 	Copy *relay.Replica
-	// ReplicaStatus returns the copy's standing; false if this host neither plans
-	// nor has lately followed the planner itself.
+	// ReplicaStatus returns the status of the replica; false if this host is not the
+	// planner, has not followed it recently and does not read the log service itself.
 	ReplicaStatus func(now time.Time) (ReplicaStatus, bool)
-	// Fleet is told of each call.
+	// Fleet records each call.
 	Fleet *fleet.Fleet
-	// OnLoads is handed each report.
+	// OnLoads receives the loads of each call.
 	OnLoads func([]ServiceLoad)
-	// OnLoadStats is handed what the caller has at upstreams, Others returns what the
-	// other hosts of its data centre have at each of those with the given IDs.
-	OnLoadStats func(caller fleet.Host, uses []balance.LoadStats)
+	// OnLoadStats receives the caller's requests at upstreams. PeerLoads returns the
+	// load of the other hosts in the caller's data centre at each of the given upstreams.
+	OnLoadStats func(caller fleet.Host, loads []balance.LoadStats)
 	PeerLoads   func(caller fleet.Host, ids []string) []balance.PeerLoad
-	// Feedback is what upstreams have reported of themselves.
+	// Feedback tracks the state that upstreams have reported.
 	Feedback *feedback.Tracker
-	// AcquirePermits gives leave to send to an upstream with a rate limit; false if this
-	// host does not plan.
+	// AcquirePermits issues permits for requests to an upstream with a rate limit; false
+	// if this host is not the planner.
 	AcquirePermits func(upstream string, perSecond float64, want int) (ratelimit.Permit, bool)
-	// Name is this host's.
+	// Name is this host's name.
 	Name string
-	// RetireTermsBefore stops what this host plans of a service in terms before the
-	// given one, and reports whether no grant of those is under way any more.
+	// RetireTermsBefore stops this host's planning of a service in terms before the given
+	// one, and reports whether no grant from those terms is in flight any more.
 	RetireTermsBefore func(ctx context.Context, service string, term int64) bool
-	// HostStatus describes this host.
+	// HostStatus returns this host's status.
 	HostStatus func(context.Context) *peerpb.StatusReply
 
 	mu sync.Mutex
-	// subsets are the upstreams that each caller is told of, by its name.
+	// subsets holds the upstreams for which each caller wants loads, by its host name.
 	subsets map[string]balance.Subset
 }
 
@@ -273,13 +277,13 @@
 	return s.HostStatus(ctx), nil
 }
 
-// maxWait bounds how long a call is kept waiting.
+// maxFollowWait bounds how long Follow waits for new records.
 const maxFollowWait = 2 * time.Second
 
 // Follow implements peerpb.Peer.
 func (s *Server) Follow(ctx context.Context, m *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
 	if _, ok := s.ReplicaStatus(time.Now()); !ok {
-		return nil, twirp.NewError(twirp.Unavailable, "this host is neither the planner nor does it follow one")
+		return nil, twirp.NewError(twirp.Unavailable, "this host is not the planner and does not follow it")
 	}
 	loads, err := decodeLoads(m.Loads)
 	if err != nil {
@@ -300,21 +304,21 @@
 		reply.Batches = append(reply.Batches, encodeBatch(b))
 	}
 	reply.Notices = encodeNotices(feedback.ForFollower(s.Feedback.Notices(time.Now()), notices))
-	using := s.subsetOf(m)
-	reply.UsingToken = using.Hash
-	for _, o := range s.PeerLoads(caller, using.IDs) {
-		reply.UnderWay = append(reply.UnderWay, uint32(max(o.InFlight, 0)))
-		reply.WorkMs = append(reply.WorkMs, uint32(o.WorkTime.Milliseconds()))
+	subset := s.subsetOf(m)
+	reply.UsingToken = subset.Hash
+	for _, l := range s.PeerLoads(caller, subset.IDs) {
+		reply.UnderWay = append(reply.UnderWay, uint32(max(l.InFlight, 0)))
+		reply.WorkMs = append(reply.WorkMs, uint32(l.WorkTime.Milliseconds()))
 	}
 	return reply, s.setReplyStatus(reply, caller)
 }
 
-// maxLists bounds the lists that are kept: far over the hosts that follow one.
+// maxSubsets bounds the stored subsets, far above the number of hosts that follow one.
 const maxSubsets = 1024
 
-// subsetOf returns the upstreams that the caller is to be told of: those that it
-// names now, or the last ones if it means the same. Without it each call and each
-// answer would name a hundred upstreams.
+// subsetOf returns the upstreams for which the caller wants loads: those in the request,
+// or the stored ones if the hash matches. This avoids sending about a hundred upstream
+// IDs in each call; the result is empty if the caller must send them again.
 func (s *Server) subsetOf(m *peerpb.FollowRequest) balance.Subset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -330,18 +334,18 @@
 	return balance.Subset{}
 }
 
-// setReplyStatus says in the reply how far it can be relied on and whom the caller
-// calls next.
+// setReplyStatus sets the replica's status, the fleet's size and the relay to follow in
+// the reply.
 func (s *Server) setReplyStatus(reply *peerpb.FollowReply, caller fleet.Host) error {
 	now := time.Now()
-	st, ok := s.ReplicaStatus(now)
+	status, ok := s.ReplicaStatus(now)
 	if !ok {
-		return twirp.NewError(twirp.Unavailable, "this host has lost the planner")
+		return twirp.NewError(twirp.Unavailable, "this host no longer follows the planner")
 	}
-	reply.AgeMs = uint32(st.Age.Milliseconds())
-	reply.SteadyMs = uint32(st.LogReachableFor.Milliseconds())
+	reply.AgeMs = uint32(status.Age.Milliseconds())
+	reply.SteadyMs = uint32(status.LogReachableFor.Milliseconds())
 	reply.Hosts = uint32(s.Fleet.Size(now))
-	if st.Planning {
+	if status.Planning {
 		reply.Relay = s.Fleet.RelayFor(caller, now)
 	}
 	return nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,7 +16,8 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// startServer is a host that answers as one that can be followed.
+// startServer starts a server that replies as the planner. Its load at an upstream is the
+// length of the upstream's ID; it has no data for the ID unknown.
 func startServer(t *testing.T) (addr string, s *Server) {
 	t.Helper()
 	s = &Server{Copy: relay.NewReplica(), Feedback: feedback.NewTracker(), Fleet: fleet.New("dc"), OnLoads: func([]ServiceLoad) {}, OnLoadStats: func(fleet.Host, []balance.LoadStats) {},
@@ -35,25 +36,25 @@
 	return srv.Listener.Addr().String(), s
 }
 
-// A host names the upstreams that it wants to hear of once, and again when they
-// change or the host that it follows has forgotten them, as one does that starts
-// again. What it is told is always of those that it meant.
+// A host sends its subset of upstreams once, and again when the subset changes or the
+// callee no longer has it, as after a restart. The loads that it receives must always
+// belong to the subset of that call, never to an earlier one.
 func TestPeerLoadsMatchTheRequestedSubset(t *testing.T) {
 	addr, s := startServer(t)
 	c := NewClient(http.DefaultClient)
-	ask := func(token uint64, ids ...string) []string {
-		a, err := c.Follow(t.Context(), addr, FollowRequest{Self: fleet.Host{Name: "h"}, Subset: balance.Subset{IDs: ids, Hash: token}})
+	follow := func(hash uint64, ids ...string) []string {
+		reply, err := c.Follow(t.Context(), addr, FollowRequest{Self: fleet.Host{Name: "h"}, Subset: balance.Subset{IDs: ids, Hash: hash}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		var told []string
-		for _, o := range a.PeerLoads {
-			told = append(told, fmt.Sprint(o.ID, o.InFlight))
+		var got []string
+		for _, l := range reply.PeerLoads {
+			got = append(got, fmt.Sprint(l.ID, l.InFlight))
 		}
-		return told
+		return got
 	}
 	for i, step := range []struct {
-		token  uint64
+		hash   uint64
 		forget bool
 		ids    []string
 		want   []string
@@ -69,13 +70,14 @@
 			s.subsets = nil
 			s.mu.Unlock()
 		}
-		if got := ask(step.token, step.ids...); !slices.Equal(got, step.want) {
-			t.Errorf("step %d: told %v, want %v", i, got, step.want)
+		if got := follow(step.hash, step.ids...); !slices.Equal(got, step.want) {
+			t.Errorf("step %d: received %v, want %v", i, got, step.want)
 		}
 	}
 }
 
-// What callers asked of keyed services reaches the planner as it was reported.
+// Encoding and decoding must not change the load samples that a host reports, nor mix
+// up samples with and without an upstream.
 func TestFollowDeliversLoadsUnchanged(t *testing.T) {
 	addr, s := startServer(t)
 	var got []ServiceLoad
