--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -45,7 +45,8 @@
 type FollowRequest struct {
 	// Self describes the calling host.
 	Self fleet.Host
-	// Positions holds the offset of the next record that it needs from each stream.
+	// Positions holds the offset of the next record that it needs from each stream; -1
+	// for the newest record of every key.
 	Positions map[metastore.Stream]int64
 	// Loads samples the requests that it received since its last call.
 	Loads []ServiceLoad
@@ -86,23 +87,23 @@
 
 // Follow sends this host's state to the host at addr (host:port), the planner or a
 // relay, and returns the log records that this host lacks.
-func (c *Client) Follow(ctx context.Context, addr string, q FollowRequest) (*FollowReply, error) {
-	msg := &peerpb.FollowRequest{Host: q.Self.Name, DataCentre: q.Self.DataCentre, PeerAddr: q.Self.PeerAddr,
-		Eager: q.Self.Candidate, Followers: uint32(q.Self.Followers), WaitMs: uint32(q.Wait.Milliseconds())}
+func (c *Client) Follow(ctx context.Context, addr string, req FollowRequest) (*FollowReply, error) {
+	msg := &peerpb.FollowRequest{Host: req.Self.Name, DataCentre: req.Self.DataCentre, PeerAddr: req.Self.PeerAddr,
+		Eager: req.Self.Candidate, Followers: uint32(req.Self.Followers), WaitMs: uint32(req.Wait.Milliseconds())}
 	for _, s := range relay.Streams {
-		msg.Positions = append(msg.Positions, &peerpb.Position{Stream: string(s), Next: q.Positions[s]})
+		msg.Positions = append(msg.Positions, &peerpb.Position{Stream: string(s), Next: req.Positions[s]})
 	}
-	for _, l := range q.Loads {
+	for _, l := range req.Loads {
 		msg.Loads = append(msg.Loads, encodeLoad(l))
 	}
-	for _, u := range q.LoadStats {
+	for _, u := range req.LoadStats {
 		msg.Uses = append(msg.Uses, &peerpb.UpstreamUse{Id: u.ID, UnderWay: uint32(u.InFlight), Answered: uint32(u.Answered),
 			LatencyMs: uint32(u.Latency.Milliseconds())})
 	}
-	msg.Notices = encodeNotices(q.Notices)
-	msg.UsingToken = q.Subset.Hash
-	if c.knownSubset(addr) != q.Subset.Hash {
-		msg.Using = q.Subset.IDs
+	msg.Notices = encodeNotices(req.Notices)
+	msg.UsingToken = req.Subset.Hash
+	if c.knownSubset(addr) != req.Subset.Hash {
+		msg.Using = req.Subset.IDs
 	}
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Follow(ctx, msg)
 	if err != nil {
@@ -118,8 +119,8 @@
 		out.Batches = append(out.Batches, decodeBatch(b))
 	}
 	c.setKnownSubset(addr, reply.UsingToken)
-	if reply.UsingToken == q.Subset.Hash {
-		out.PeerLoads = decodePeerLoads(q.Subset.IDs, reply)
+	if reply.UsingToken == req.Subset.Hash {
+		out.PeerLoads = decodePeerLoads(req.Subset.IDs, reply)
 	}
 	return out, nil
 }
