--- a/internal/feedback/tracker.go
+++ b/internal/feedback/tracker.go
@@ -9,135 +9,145 @@
 	"time"
 )
 
-// state is what is known of one upstream's life.
-type state struct {
-	// limit is in requests a second, 0 for none. limitAt is when the newest
-	// answer that says so was received, by this or another host.
-	limit   float64
-	limitAt time.Time
-	// leavingAt is when a host first received a report that it leaves; zero if none did.
-	leavingAt time.Time
-	// restUntil is the end of the rest that this host was asked for, others are
-	// those that followers of this host reported, by follower.
-	restUntil time.Time
-	others    map[string]othersRest
-	// restOver is when the last rest that is known of ends or ended.
-	restOver time.Time
-	// endedAt is when a host last saw it end.
-	endedAt time.Time
+// upstreamState is the reported state of one upstream incarnation.
+type upstreamState struct {
+	// rateLimit is in requests per second, 0 for none. rateLimitAt is when this or
+	// another host received the newest response that set or ended the limit.
+	rateLimit   float64
+	rateLimitAt time.Time
+	// leavingSince is when a host first received a report that the upstream is
+	// leaving; zero if none did.
+	leavingSince time.Time
+	// backoffUntil is the end of this host's own backoff. followerBackoffs holds
+	// the backoffs reported by hosts that follow this one, by host name.
+	backoffUntil     time.Time
+	followerBackoffs map[string]followerBackoff
+	// lastBackoffEnd is the latest end, past or future, of any known backoff.
+	lastBackoffEnd time.Time
+	// crashedAt is when a host last observed a crash of the upstream.
+	crashedAt time.Time
 }
 
-// othersRest is a rest that a follower reports: its own, and of those that follow it.
-type othersRest struct {
+// followerBackoff is the backoff reported by a follower, for itself and its own
+// followers. hosts is how many of them are backing off.
+type followerBackoff struct {
 	hosts int
 	until time.Time
 }
 
-// resting returns how many hosts the upstream has asked for a rest that is not over,
-// and how long the longest of the rests lasts.
-func (s *state) resting(now time.Time) (hosts int, left time.Duration) {
-	if now.Before(s.restUntil) {
-		hosts, left = 1, s.restUntil.Sub(now)
+// activeBackoffs returns how many hosts are in a backoff that the upstream requested,
+// and the longest remaining time. It deletes expired follower backoffs.
+func (s *upstreamState) activeBackoffs(now time.Time) (hosts int, remaining time.Duration) {
+	if now.Before(s.backoffUntil) {
+		hosts, remaining = 1, s.backoffUntil.Sub(now)
 	}
-	for from, o := range s.others {
-		if !now.Before(o.until) {
-			delete(s.others, from)
+	for follower, b := range s.followerBackoffs {
+		if !now.Before(b.until) {
+			delete(s.followerBackoffs, follower)
 			continue
 		}
-		hosts, left = hosts+o.hosts, max(left, o.until.Sub(now))
+		hosts, remaining = hosts+b.hosts, max(remaining, b.until.Sub(now))
 	}
-	return hosts, left
+	return hosts, remaining
 }
 
-// notable reports whether the state says more than that of an upstream that has
+// hasInfo reports whether the state differs from that of an upstream that has
 // never reported anything.
-func (s *state) notable(now time.Time) bool {
-	return !s.leavingAt.IsZero() || s.lately(now) || s.ended(now)
+func (s *upstreamState) hasInfo(now time.Time) bool {
+	return !s.leavingSince.IsZero() || s.recentlyThrottled(now) || s.recentlyCrashed(now)
 }
 
-// ended reports whether a host has seen the upstream end so lately that the others
-// should know.
-func (s *state) ended(now time.Time) bool { return now.Sub(s.endedAt) < endedTold }
+// recentlyCrashed reports whether a host observed a crash of the upstream within
+// crashNoticeTTL.
+func (s *upstreamState) recentlyCrashed(now time.Time) bool {
+	return now.Sub(s.crashedAt) < crashNoticeTTL
+}
 
-// sameEnd is how much later than another an end must have been seen to be one more:
-// hosts see the same at different times, and ages are a little off on the way.
-const sameEnd = time.Second
+// crashDedupWindow is how much later than the last known crash a reported one must
+// be to count as another. Hosts observe the same crash at different times, and
+// message delays shift the ages in notices.
+const crashDedupWindow = time.Second
 
-// endedTold is for how long hosts tell each other that they saw an upstream end: the
-// log service is mostly back by then, and says what is there now.
-const endedTold = 10 * time.Second
+// crashNoticeTTL is how long hosts include a crash in their notices. By then the log
+// service is usually reachable again and lists the current upstreams.
+const crashNoticeTTL = 10 * time.Second
 
-// lately reports whether a limit or a rest is in force or ended within endedFor.
-func (s *state) lately(now time.Time) bool {
-	return s.limit > 0 || now.Sub(s.limitAt) < endedFor || now.Sub(s.restOver) < endedFor
+// recentlyThrottled reports whether a rate limit or a backoff is in force or ended
+// within throttleRetention.
+func (s *upstreamState) recentlyThrottled(now time.Time) bool {
+	return s.rateLimit > 0 || now.Sub(s.rateLimitAt) < throttleRetention || now.Sub(s.lastBackoffEnd) < throttleRetention
 }
 
-// endedFor is how long the end of a limit or a rest is remembered: older reports of
-// other hosts must not bring it back, and the upstream may have lost its keys.
-const endedFor = time.Minute
+// throttleRetention is how long the end of a rate limit or a backoff is remembered.
+// Older reports from other hosts must not restore it, and the upstream may have lost
+// its keys because of it.
+const throttleRetention = time.Minute
 
-// Change describes a change of what is known of an upstream.
+// Change describes a change in the reported state of an upstream.
 type Change struct {
 	Upstream string
-	// From is the host that received the answer; empty for this one.
+	// From is the host whose notice brought the change; empty for a response that
+	// this host received.
 	From string
-	// RateLimit is the one in force, 0 for none, and Before the one until now.
+	// RateLimit is the new limit and PreviousRateLimit the old one, in requests per
+	// second; 0 for none.
 	RateLimit, PreviousRateLimit float64
-	// Leaving is set if the upstream is now known to leave.
+	// Leaving is set if the upstream has just become known to be leaving.
 	Leaving bool
-	// Backoff is the rest that the upstream has asked this host for.
+	// Backoff is the backoff that the upstream requested from this host.
 	Backoff time.Duration
-	// CrashedAt is when another host saw the upstream end; zero if that is not new.
+	// CrashedAt is when another host observed a crash of the upstream; zero if the
+	// notice has no crash or one that is already known.
 	CrashedAt time.Time
 }
 
-// Tracker keeps the reports of all upstreams. It is safe for concurrent use.
+// Tracker keeps the reported state of all upstreams. It is safe for concurrent use.
 type Tracker struct {
-	// OnChange is called, without the lock, for each change. It must be set
-	// before the first use.
+	// OnChange is called for each change, without holding the lock. Set it before
+	// the first use.
 	OnChange func(Change)
 
-	mu sync.Mutex
-	by map[string]*state
+	mu        sync.Mutex
+	upstreams map[string]*upstreamState
 }
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
-	return &Tracker{OnChange: func(Change) {}, by: map[string]*state{}}
+	return &Tracker{OnChange: func(Change) {}, upstreams: map[string]*upstreamState{}}
 }
 
-func (t *Tracker) of(id string) *state {
-	s := t.by[id]
+func (t *Tracker) stateOf(id string) *upstreamState {
+	s := t.upstreams[id]
 	if s == nil {
-		s = &state{}
-		t.by[id] = s
+		s = &upstreamState{}
+		t.upstreams[id] = s
 	}
 	return s
 }
 
-// Record takes in the report of an answer that this host received at now to a
-// request that it had sent at sent. A limit ends with the first answer without one
-// to a request sent after the last answer that named it: earlier requests may have
-// been answered before the limit was set.
+// Record applies the report of a response that this host received at now, to a
+// request sent at sent. A response without a limit ends the current one only if its
+// request was sent after the limit was last reported: the upstream may have answered
+// an earlier request before it set the limit.
 func (t *Tracker) Record(id string, r Report, sent, now time.Time) {
 	t.mu.Lock()
-	if t.by[id] == nil && r == (Report{}) {
+	if t.upstreams[id] == nil && r == (Report{}) {
 		t.mu.Unlock()
 		return
 	}
-	s := t.of(id)
-	c := Change{Upstream: id, PreviousRateLimit: s.limit, Backoff: r.Backoff}
+	s := t.stateOf(id)
+	c := Change{Upstream: id, PreviousRateLimit: s.rateLimit, Backoff: r.Backoff}
 	switch {
 	case r.RateLimit > 0:
-		s.limit, s.limitAt = r.RateLimit, now
-	case !r.LimitUnreadable && s.limit > 0 && sent.After(s.limitAt):
-		s.limit, s.limitAt = 0, now
+		s.rateLimit, s.rateLimitAt = r.RateLimit, now
+	case !r.LimitUnreadable && s.rateLimit > 0 && sent.After(s.rateLimitAt):
+		s.rateLimit, s.rateLimitAt = 0, now
 	}
-	if c.RateLimit = s.limit; r.Leaving && s.leavingAt.IsZero() {
-		s.leavingAt, c.Leaving = now, true
+	if c.RateLimit = s.rateLimit; r.Leaving && s.leavingSince.IsZero() {
+		s.leavingSince, c.Leaving = now, true
 	}
-	if until := now.Add(r.Backoff); r.Backoff > 0 && until.After(s.restUntil) {
-		s.restUntil, s.restOver = until, until
+	if until := now.Add(r.Backoff); r.Backoff > 0 && until.After(s.backoffUntil) {
+		s.backoffUntil, s.lastBackoffEnd = until, until
 	}
 	t.mu.Unlock()
 	t.notify(c)
@@ -149,123 +159,127 @@
 	}
 }
 
-// RecordCrash takes note that this host saw the upstream end at now.
+// RecordCrash records that this host observed a crash of the upstream at now.
 func (t *Tracker) RecordCrash(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.of(id).endedAt = now
+	t.stateOf(id).crashedAt = now
 }
 
-// RateLimit returns the upstream's limit in requests a second; 0 if it has none.
+// RateLimit returns the upstream's limit in requests per second; 0 if it has none.
 func (t *Tracker) RateLimit(id string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.by[id]; s != nil {
-		return s.limit
+	if s := t.upstreams[id]; s != nil {
+		return s.rateLimit
 	}
 	return 0
 }
 
-// Backoff returns for how much longer the upstream wants no requests from this host.
+// Backoff returns how much longer this host must send the upstream no requests.
 func (t *Tracker) Backoff(id string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.by[id]; s != nil {
-		return max(s.restUntil.Sub(now), 0)
+	if s := t.upstreams[id]; s != nil {
+		return max(s.backoffUntil.Sub(now), 0)
 	}
 	return 0
 }
 
-// Status is what counts for the placing of an upstream's keys.
+// Status is the reported state that key placement takes into account.
 type Status struct {
-	// RateLimit is in requests a second, 0 for none; LimitAge how long ago the newest
-	// answer that says so was received by a host.
+	// RateLimit is in requests per second, 0 for none. RateLimitAge is how long ago a
+	// host received the newest response that set or ended the limit.
 	RateLimit    float64
 	RateLimitAge time.Duration
-	// BackoffHosts is how many hosts, of this one and its followers, it has asked for a
-	// rest that is not over.
+	// BackoffHosts is how many hosts, among this one and its followers, are in a
+	// backoff that the upstream requested.
 	BackoffHosts int
-	// RecentlyThrottled is set if it has, or had within the last minute, a limit or a rest.
+	// RecentlyThrottled is set if a rate limit or a backoff is in force or ended
+	// within throttleRetention.
 	RecentlyThrottled bool
 }
 
-// Status returns the upstream's.
+// Status returns the upstream's status; the zero value if nothing is known of it.
 func (t *Tracker) Status(id string, now time.Time) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.by[id]
+	s := t.upstreams[id]
 	if s == nil {
 		return Status{}
 	}
-	hosts, _ := s.resting(now)
-	return Status{RateLimit: s.limit, RateLimitAge: now.Sub(s.limitAt), BackoffHosts: hosts, RecentlyThrottled: s.lately(now)}
+	hosts, _ := s.activeBackoffs(now)
+	return Status{RateLimit: s.rateLimit, RateLimitAge: now.Sub(s.rateLimitAt), BackoffHosts: hosts, RecentlyThrottled: s.recentlyThrottled(now)}
 }
 
-// LeavingSince returns when a host first received a report that the upstream leaves,
-// and whether one did.
+// LeavingSince returns when a host first received a report that the upstream is
+// leaving, and whether one did.
 func (t *Tracker) LeavingSince(id string) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.by[id]; s != nil {
-		return s.leavingAt, !s.leavingAt.IsZero()
+	if s := t.upstreams[id]; s != nil {
+		return s.leavingSince, !s.leavingSince.IsZero()
 	}
 	return time.Time{}, false
 }
 
-// Notice is what hosts tell each other of an upstream.
+// Notice is the gossip message about one upstream that hosts exchange.
 type Notice struct {
 	Upstream string
-	// RateLimit is as in Report, LimitAge how long ago the newest answer that says
-	// so was received; negative if no answer ever named a limit.
+	// RateLimit is as in Report. RateLimitAge is how long ago a host received the
+	// newest response that set or ended the limit; negative if there never was one.
 	RateLimit    float64
 	RateLimitAge time.Duration
-	// Leaving is set if the upstream leaves, LeavingAge how long that is known.
+	// Leaving is set if the upstream is leaving; LeavingAge is how long ago a host
+	// first received a report of that.
 	Leaving    bool
 	LeavingAge time.Duration
-	// BackoffHosts is how many hosts were asked for a rest, RestLeft how much of the
-	// longest is left. They are sent only to the host that one follows.
+	// BackoffHosts is how many hosts are backing off, BackoffLeft the longest
+	// remaining time. Hosts send both only to the host that they follow.
 	BackoffHosts int
 	BackoffLeft  time.Duration
-	// Crashed is set if a host saw the upstream end lately, EndedAge ago.
+	// Crashed is set if a host observed a crash of the upstream, CrashAge ago and
+	// within crashNoticeTTL.
 	Crashed  bool
 	CrashAge time.Duration
 }
 
-// maxNotices bounds the notices of one message.
+// maxNotices bounds the notices in one message.
 const maxNotices = 64
 
-// Notices returns what other hosts should know, the newest first where there are
-// more than fit in a message.
+// Notices returns the notices to send to other hosts, sorted by upstream. If there are
+// more than maxNotices it returns the newest ones, newest first.
 func (t *Tracker) Notices(now time.Time) []Notice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Notice
-	for id, s := range t.by {
-		n := Notice{Upstream: id, RateLimit: s.limit, RateLimitAge: -1, Leaving: !s.leavingAt.IsZero(), Crashed: s.ended(now)}
-		if n.BackoffHosts, n.BackoffLeft = s.resting(now); s.limitAt.IsZero() && !n.Leaving && n.BackoffHosts == 0 && !n.Crashed {
+	for id, s := range t.upstreams {
+		n := Notice{Upstream: id, RateLimit: s.rateLimit, RateLimitAge: -1, Leaving: !s.leavingSince.IsZero(), Crashed: s.recentlyCrashed(now)}
+		if n.BackoffHosts, n.BackoffLeft = s.activeBackoffs(now); s.rateLimitAt.IsZero() && !n.Leaving && n.BackoffHosts == 0 && !n.Crashed {
 			continue
 		}
 		if n.Crashed {
-			n.CrashAge = now.Sub(s.endedAt)
+			n.CrashAge = now.Sub(s.crashedAt)
 		}
-		if !s.limitAt.IsZero() {
-			n.RateLimitAge = now.Sub(s.limitAt)
+		if !s.rateLimitAt.IsZero() {
+			n.RateLimitAge = now.Sub(s.rateLimitAt)
 		}
 		if n.Leaving {
-			n.LeavingAge = now.Sub(s.leavingAt)
+			n.LeavingAge = now.Sub(s.leavingSince)
 		}
 		out = append(out, n)
 	}
 	slices.SortFunc(out, func(x, y Notice) int { return strings.Compare(x.Upstream, y.Upstream) })
 	if len(out) > maxNotices {
-		slices.SortStableFunc(out, func(x, y Notice) int { return cmp.Compare(x.newest(), y.newest()) })
+		slices.SortStableFunc(out, func(x, y Notice) int { return cmp.Compare(x.newestAge(), y.newestAge()) })
 		out = out[:maxNotices]
 	}
 	return out
 }
 
-// newest is the age of the newest thing that the notice says.
-func (n Notice) newest() time.Duration {
+// newestAge returns the age of the newest item in the notice; an active backoff has
+// age 0.
+func (n Notice) newestAge() time.Duration {
 	age := time.Duration(math.MaxInt64)
 	if n.BackoffHosts > 0 {
 		age = 0
@@ -282,17 +296,18 @@
 	return age
 }
 
-// ForFollower returns the notices that are new to a follower which has sent some
-// itself. Rests are left out: they would come back and be counted twice.
+// ForFollower returns the notices that are new to a follower that has sent the
+// notices in sent. It omits backoffs: the follower would send them back, and they
+// would count twice.
 func ForFollower(notices, sent []Notice) []Notice {
-	by := make(map[string]Notice, len(sent))
+	sentByID := make(map[string]Notice, len(sent))
 	for _, n := range sent {
-		by[n.Upstream] = n
+		sentByID[n.Upstream] = n
 	}
 	var out []Notice
 	for _, n := range notices {
-		its, ok := by[n.Upstream]
-		known := ok && its.RateLimit == n.RateLimit && its.Leaving == n.Leaving && its.Crashed == n.Crashed
+		theirs, ok := sentByID[n.Upstream]
+		known := ok && theirs.RateLimit == n.RateLimit && theirs.Leaving == n.Leaving && theirs.Crashed == n.Crashed
 		if known || (n.RateLimitAge < 0 && !n.Leaving && !n.Crashed) {
 			continue
 		}
@@ -302,61 +317,62 @@
 	return out
 }
 
-// Merge takes in what another host knows. Rests are taken in from followers.
+// Merge applies the notices received from another host. Only followers send
+// backoffs.
 func (t *Tracker) Merge(from string, notices []Notice, now time.Time) {
 	for _, n := range notices {
-		t.notify(t.learn(from, n, now))
+		t.notify(t.mergeNotice(from, n, now))
 	}
 }
 
-func (t *Tracker) learn(from string, n Notice, now time.Time) Change {
+func (t *Tracker) mergeNotice(from string, n Notice, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.of(n.Upstream)
-	c := Change{Upstream: n.Upstream, From: from, PreviousRateLimit: s.limit}
-	if at := now.Add(-n.RateLimitAge); n.RateLimitAge >= 0 && at.After(s.limitAt) {
-		s.limit, s.limitAt = n.RateLimit, at
+	s := t.stateOf(n.Upstream)
+	c := Change{Upstream: n.Upstream, From: from, PreviousRateLimit: s.rateLimit}
+	if at := now.Add(-n.RateLimitAge); n.RateLimitAge >= 0 && at.After(s.rateLimitAt) {
+		s.rateLimit, s.rateLimitAt = n.RateLimit, at
 	}
-	if c.RateLimit = s.limit; n.Leaving && s.leavingAt.IsZero() {
-		s.leavingAt, c.Leaving = now.Add(-n.LeavingAge), true
+	if c.RateLimit = s.rateLimit; n.Leaving && s.leavingSince.IsZero() {
+		s.leavingSince, c.Leaving = now.Add(-n.LeavingAge), true
 	}
-	if at := now.Add(-n.CrashAge); n.Crashed && at.After(s.endedAt.Add(sameEnd)) {
-		s.endedAt, c.CrashedAt = at, at
+	if at := now.Add(-n.CrashAge); n.Crashed && at.After(s.crashedAt.Add(crashDedupWindow)) {
+		s.crashedAt, c.CrashedAt = at, at
 	}
 	if n.BackoffHosts > 0 {
-		if s.others == nil {
-			s.others = map[string]othersRest{}
+		if s.followerBackoffs == nil {
+			s.followerBackoffs = map[string]followerBackoff{}
 		}
 		until := now.Add(n.BackoffLeft)
-		s.others[from] = othersRest{n.BackoffHosts, until}
-		if until.After(s.restOver) {
-			s.restOver = until
+		s.followerBackoffs[from] = followerBackoff{n.BackoffHosts, until}
+		if until.After(s.lastBackoffEnd) {
+			s.lastBackoffEnd = until
 		}
 	}
 	return c
 }
 
-// Prune forgets upstreams that keep does not know, and those of which nothing is
-// known any more.
+// Prune deletes the state of upstreams for which keep returns false, and of those
+// without a current or recent report.
 func (t *Tracker) Prune(keep func(id string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, s := range t.by {
-		if !keep(id) || !s.notable(now) {
-			delete(t.by, id)
+	for id, s := range t.upstreams {
+		if !keep(id) || !s.hasInfo(now) {
+			delete(t.upstreams, id)
 		}
 	}
 }
 
-// Counts returns how many upstreams have a limit, and how many leave.
+// Counts returns how many upstreams have a rate limit, and how many are leaving.
 func (t *Tracker) Counts() (limited, leaving int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, s := range t.by {
-		if s.limit > 0 {
+	for _, s := range t.upstreams {
+		if s.rateLimit > 0 {
 			limited++
 		}
-		if !s.leavingAt.IsZero() {
+		if !s.leavingSince.IsZero() {
 			leaving++
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet keeps what the planner knows of the other entry hosts from
-// their calls: how many there are, which can plan, and which relay the copy
-// of the log to the others of their data centre. It makes no calls.
+// Package fleet tracks the other entry hosts by the calls that they make to this
+// one, usually the planner: how many there are, which are candidates, and which host
+// of each data centre relays the log replica to the others. It makes no calls itself.
 package fleet
 
 import (
@@ -9,91 +9,90 @@
 )
 
 const (
-	// alive is how long after its last call a host counts as running.
-	// Undisturbed hosts call three times a second.
-	alive = 1500 * time.Millisecond
-	// counted is how long it counts as one that may have connections open
-	// and repeats spent: a host cut off from the planner goes on serving.
-	counted = time.Minute
-	// relayFrom is the number of hosts in the planner's own data centre from
-	// which on one of them relays: for fewer the planner's own answers are
-	// cheap.
-	relayFrom = 8
-	// relayFarFrom is that number in the other data centres. Bytes between
-	// data centres are priced, and each change of ownership goes to every
-	// follower: on a quiet day of twelve hosts 2.2 of the 8.3 MB between data
-	// centres were answers to followers. With a relay in each the whole worth
-	// of five days of trouble rose from 0.754 to 0.766, of a quiet one from
-	// 0.828 to 0.852, means of three seeds each.
-	relayFarFrom = 2
+	// livenessTimeout is how long after its last call a host counts as running.
+	// Healthy hosts call three times a second.
+	livenessTimeout = 1500 * time.Millisecond
+	// sizeRetention is how long after its last call a host counts in the fleet's size.
+	// A host cut off from the planner continues to serve, with its connections to
+	// upstreams and its retries.
+	sizeRetention = time.Minute
+	// minLocalHostsForRelay is the least number of hosts in the planner's own data
+	// centre for which one of them relays. Replies to fewer cost the planner little.
+	minLocalHostsForRelay = 8
+	// minRemoteHostsForRelay is the same number in other data centres. Traffic between
+	// data centres is charged, and each ownership change goes to every follower: in a
+	// fleet of twelve hosts without relays, replies to followers made up 2.2 of the
+	// 8.3 MB between data centres on a quiet day.
+	minRemoteHostsForRelay = 2
 )
 
-// Host is what a host says of itself.
+// Host describes an entry host, as stated in its calls.
 type Host struct {
 	Name string
-	// DataCentre is where it runs, PeerAddr (host:port) where its peers
-	// reach it.
+	// DataCentre is where it runs. PeerAddr (host:port) is its address for calls from
+	// other hosts.
 	DataCentre, PeerAddr string
-	// Candidate hosts are strong enough to plan and to relay.
+	// Candidate is set if the host may become the planner or a relay.
 	Candidate bool
-	// Followers is how many hosts follow it in turn.
+	// Followers is how many hosts follow this one.
 	Followers int
 }
 
-type entry struct {
+// hostEntry is the host as of its last call.
+type hostEntry struct {
 	Host
-	at time.Time
+	lastCall time.Time
 }
 
-// Fleet is safe for concurrent use.
+// Fleet holds the hosts that have called this one. It is safe for concurrent use.
 type Fleet struct {
-	// home is this host's data centre.
-	home string
-	mu   sync.Mutex
-	by   map[string]entry
-	// relays holds the name of each data centre's present relay.
+	// localDataCentre is this host's data centre.
+	localDataCentre string
+	mu              sync.Mutex
+	// hosts holds the hosts that have called, by name.
+	hosts map[string]hostEntry
+	// relays holds the name of the current relay of each data centre.
 	relays map[string]string
-	// told is the fleet's size as another host last knew it.
-	told int
+	// plannerSize is the planner's count of the fleet, received from the planner or a
+	// relay; 0 if none was received.
+	plannerSize int
 }
 
-// New returns a fleet of which nothing is known to a host in the data centre
-// home.
-func New(home string) *Fleet {
-	return &Fleet{home: home, by: map[string]entry{}, relays: map[string]string{}}
+// New returns a fleet without known hosts, for a host in localDataCentre.
+func New(localDataCentre string) *Fleet {
+	return &Fleet{localDataCentre: localDataCentre, hosts: map[string]hostEntry{}, relays: map[string]string{}}
 }
 
-// RecordHeartbeat takes in a call of h.
+// RecordHeartbeat records a call from h.
 func (f *Fleet) RecordHeartbeat(h Host, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.by[h.Name] = entry{Host: h, at: now}
+	f.hosts[h.Name] = hostEntry{Host: h, lastCall: now}
 }
 
-// SetPlannerSize takes in the fleet's size as the planner knows it.
+// SetPlannerSize sets the fleet's size as counted by the planner.
 func (f *Fleet) SetPlannerSize(size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = size
+	f.plannerSize = size
 }
 
-// HasPlannerSize reports whether another host has said how many there are.
+// HasPlannerSize reports whether the planner's count of the fleet is known.
 func (f *Fleet) HasPlannerSize() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told > 0
+	return f.plannerSize > 0
 }
 
-// Size returns how many hosts there are, this one included, as the planner
-// or this host itself knows, whichever is more.
+// Size returns the number of hosts including this one: the planner's count or that
+// of this host, whichever is higher.
 func (f *Fleet) Size(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(f.followers(now)+1, f.told)
+	return max(f.followers(now)+1, f.plannerSize)
 }
 
-// Followers returns how many hosts follow this one, itself or through a
-// relay.
+// Followers returns how many hosts follow this one, directly or through a relay.
 func (f *Fleet) Followers(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,9 +101,9 @@
 
 func (f *Fleet) followers(now time.Time) int {
 	n := 0
-	for name, e := range f.by {
-		if now.Sub(e.at) > counted {
-			delete(f.by, name)
+	for name, e := range f.hosts {
+		if now.Sub(e.lastCall) > sizeRetention {
+			delete(f.hosts, name)
 			continue
 		}
 		n += 1 + e.Followers
@@ -112,56 +111,56 @@
 	return n
 }
 
-// HasLiveCandidate reports whether another host that is strong enough to plan has
-// called lately.
+// HasLiveCandidate reports whether another candidate has called within
+// livenessTimeout.
 func (f *Fleet) HasLiveCandidate(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range f.by {
-		if e.Candidate && now.Sub(e.at) <= alive {
+	for _, e := range f.hosts {
+		if e.Candidate && now.Sub(e.lastCall) <= livenessTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// RelayFor returns the peer address of the host that relays in h's data
-// centre; empty if h itself does or none is needed. A relay stays one while
-// it calls, so that hosts do not change back and forth.
+// RelayFor returns the peer address of the relay that h must follow, the one of its
+// data centre; empty if h is that relay or none is needed. A host remains the relay
+// while it calls, to avoid needless changes.
 func (f *Fleet) RelayFor(h Host, now time.Time) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	relay := f.by[f.relays[h.DataCentre]]
-	if relay.Name == "" || now.Sub(relay.at) > alive {
+	relay := f.hosts[f.relays[h.DataCentre]]
+	if relay.Name == "" || now.Sub(relay.lastCall) > livenessTimeout {
 		relay = f.electRelay(h.DataCentre, now)
 	}
 	if relay.Name == "" || relay.Name == h.Name {
 		return ""
 	}
-	delete(f.by, h.Name) // from now on it is the relay's to count
+	delete(f.hosts, h.Name) // the relay's follower count includes it from now on
 	return relay.PeerAddr
 }
 
-// electRelay chooses the first eager host by name, if the data centre has
-// enough hosts.
-func (f *Fleet) electRelay(dataCentre string, now time.Time) entry {
-	var best entry
-	n := 0
-	for _, e := range f.by {
-		if e.DataCentre != dataCentre || now.Sub(e.at) > alive {
+// electRelay makes the first live candidate by name the relay of the data centre; none
+// if the data centre has too few live hosts.
+func (f *Fleet) electRelay(dataCentre string, now time.Time) hostEntry {
+	var best hostEntry
+	live := 0
+	for _, e := range f.hosts {
+		if e.DataCentre != dataCentre || now.Sub(e.lastCall) > livenessTimeout {
 			continue
 		}
-		n++
+		live++
 		if e.Candidate && (best.Name == "" || e.Name < best.Name) {
 			best = e
 		}
 	}
-	least := relayFarFrom
-	if dataCentre == f.home {
-		least = relayFrom
+	required := minRemoteHostsForRelay
+	if dataCentre == f.localDataCentre {
+		required = minLocalHostsForRelay
 	}
-	if n < least {
-		best = entry{}
+	if live < required {
+		best = hostEntry{}
 	}
 	f.relays[dataCentre] = best.Name
 	return best
--- /dev/null
+++ b/internal/inflight/simulation_test.go
@@ -0,0 +1,296 @@
+package inflight
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/papayatide/papayatide/internal/admission"
+	"github.com/papayatide/papayatide/internal/balance"
+	"github.com/papayatide/papayatide/internal/catalogue"
+)
+
+// simServer simulates an upstream with slots and a bounded queue, in virtual time.
+type simServer struct {
+	mu         sync.Mutex
+	busy       int
+	queue      []chan struct{}
+	slots      int
+	queueLimit int
+	speed      float64
+	// rejected is how many requests found the queue full.
+	rejected int
+}
+
+// serve processes a request, after queueing for a slot if need be. It returns false
+// if the queue is full.
+func (s *simServer) serve(work time.Duration) bool {
+	s.mu.Lock()
+	switch {
+	case s.busy < s.slots:
+		s.busy++
+		s.mu.Unlock()
+	case len(s.queue) >= s.queueLimit:
+		s.rejected++
+		s.mu.Unlock()
+		return false
+	default:
+		ch := make(chan struct{})
+		s.queue = append(s.queue, ch)
+		s.mu.Unlock()
+		<-ch
+	}
+	time.Sleep(time.Duration(float64(work) / s.speed))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.queue) > 0 {
+		close(s.queue[0])
+		s.queue = s.queue[1:]
+		return true
+	}
+	s.busy--
+	return true
+}
+
+// simulation describes one data centre: hosts that share the upstreams of one
+// service.
+type simulation struct {
+	hosts, upstreams    int
+	slots               int
+	speeds              []float64
+	workTime, objective time.Duration
+	// load is the request rate as a fraction of the capacity of all upstreams.
+	load     float64
+	duration time.Duration
+	// shareLoads makes the hosts exchange their requests in flight.
+	shareLoads bool
+	// earlyPeriod is the time from the start in which requests also count as early.
+	earlyPeriod time.Duration
+}
+
+// results counts requests by outcome; rejected counts attempts that found an
+// upstream's queue full.
+type results struct {
+	inTime, late, refused, rejected int
+	earlyInTime, early              int
+}
+
+// maxAttempts is how many upstreams a request may be sent to.
+const maxAttempts = 3
+
+// run sends requests through the hosts and counts their outcomes.
+func (s simulation) run(seed uint64) results {
+	rng := rand.New(rand.NewPCG(seed, 11))
+	var upstreams []*catalogue.Upstream
+	servers := map[string]*simServer{}
+	capacity := 0.0 // requests per second
+	for i := range s.upstreams {
+		id := fmt.Sprintf("u%03d", i)
+		speed := s.speeds[rng.IntN(len(s.speeds))]
+		upstreams = append(upstreams, &catalogue.Upstream{ID: id, Service: "s", Slots: s.slots, DataCentre: "dc"})
+		servers[id] = &simServer{slots: s.slots, queueLimit: 4 * s.slots, speed: speed}
+		capacity += float64(s.slots) * speed / s.workTime.Seconds()
+	}
+	pickers := make([]*balance.Picker, s.hosts)
+	for i := range pickers {
+		pickers[i] = balance.NewPicker(fmt.Sprint("host", i))
+	}
+	done := make(chan struct{})
+	defer close(done)
+	if s.shareLoads {
+		go exchangeLoads(pickers, upstreams, done)
+	}
+	var res results
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	start := time.Now()
+	for time.Since(start) < s.duration {
+		time.Sleep(time.Duration(rng.ExpFloat64() / (capacity * s.load) * float64(time.Second)))
+		b := pickers[rng.IntN(s.hosts)]
+		work := time.Duration(float64(s.workTime) * (0.6 + 0.8*rng.Float64()))
+		early := time.Since(start) < s.earlyPeriod
+		wg.Go(func() {
+			ok, took := s.sendRequest(b, upstreams, servers, work)
+			mu.Lock()
+			defer mu.Unlock()
+			switch {
+			case !ok:
+				res.refused++
+			case took > s.objective:
+				res.late++
+			default:
+				res.inTime++
+			}
+			if early {
+				res.early++
+				if ok && took <= s.objective {
+					res.earlyInTime++
+				}
+			}
+		})
+	}
+	wg.Wait()
+	for _, srv := range servers {
+		res.rejected += srv.rejected
+	}
+	return res
+}
+
+// reportInterval is how often a host reports its load and receives the others'.
+const reportInterval = 300 * time.Millisecond
+
+// exchangeLoads makes the hosts report one after another, each once per
+// reportInterval.
+func exchangeLoads(pickers []*balance.Picker, upstreams []*catalogue.Upstream, done chan struct{}) {
+	byID := map[string]*catalogue.Upstream{}
+	for _, u := range upstreams {
+		byID[u.ID] = u
+	}
+	listed := catalogue.NewSnapshot(byID)
+	agg := New(func() *catalogue.Snapshot { return listed }, time.Now())
+	for {
+		for i, b := range pickers {
+			select {
+			case <-done:
+				return
+			case <-time.After(reportInterval / time.Duration(len(pickers))):
+			}
+			name := fmt.Sprint(i)
+			agg.Record(name, b.FlushLoadStats(), time.Now())
+			b.SetPeerLoads(agg.PeerLoads(name, b.Subset().IDs, time.Now()), time.Now())
+		}
+	}
+}
+
+// sendRequest makes up to maxAttempts attempts at a request. It returns whether the
+// request was served and how long that took.
+func (s simulation) sendRequest(b *balance.Picker, upstreams []*catalogue.Upstream, servers map[string]*simServer, work time.Duration) (bool, time.Duration) {
+	start := time.Now()
+	c := balance.Criteria{LocalDataCentre: "dc", FarPenalty: s.objective / 4}
+	for range maxAttempts {
+		u := b.Pick(upstreams, c, time.Now())
+		if b.ExpectedLatency(u, time.Now()) > s.objective {
+			return false, time.Since(start) // the dispatcher refuses it, too
+		}
+		maxWait := max(s.objective/2-time.Since(start), 0)
+		ticket := b.Limiter(u.ID).Acquire(context.Background(), maxWait, admission.ShareOf(u.Slots, 0, s.hosts))
+		if ticket == nil {
+			return false, time.Since(start)
+		}
+		sent := time.Now()
+		ok := servers[u.ID].serve(work)
+		took := time.Since(sent)
+		signal, outcome := admission.InTime, balance.Served
+		if !ok {
+			signal, outcome = admission.Full, balance.Overloaded
+		} else if took > s.objective*8/10 {
+			signal = admission.Late
+		}
+		b.Done(u.ID, outcome, took, time.Now())
+		ticket.Done(signal, took)
+		if ok {
+			return true, time.Since(start)
+		}
+		c.Excluded = append(c.Excluded, u.ID)
+	}
+	return false, time.Since(start)
+}
+
+var (
+	// largeFleet is one of the five data centres of a fleet of 300 hosts, smallFleet
+	// one of the three of a fleet of 12.
+	largeFleet = simulation{hosts: 59, upstreams: 52, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 350 * time.Millisecond,
+		objective: time.Second, load: 0.7, duration: 20 * time.Second, earlyPeriod: 3 * time.Second}
+	smallFleet = simulation{hosts: 4, upstreams: 4, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 290 * time.Millisecond,
+		objective: 800 * time.Millisecond, load: 0.7, duration: time.Minute, earlyPeriod: 3 * time.Second}
+)
+
+// runSeeds runs the simulation with three seeds and adds up the results.
+func (s simulation) runSeeds() *results {
+	sum := &results{}
+	for seed := range uint64(3) {
+		sum.add(s.run(seed))
+	}
+	return sum
+}
+
+// 59 hosts share 52 upstreams at 70% load, some of them more than twice as fast as
+// others; each host sends an upstream about one request in ten seconds. If all hosts
+// picked the best-looking upstream, they would pick the same one, and only 55% of the
+// requests would be in time. They must spread out, even without shared loads.
+func TestLargeFleetSpreadsRequests(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := largeFleet
+		unshared := s.runSeeds()
+		s.shareLoads = true
+		shared := s.runSeeds()
+		t.Logf("loads not shared: %s; loads shared: %s", unshared, shared)
+		if unshared.inTime < unshared.total()*85/100 {
+			t.Errorf("%d of %d in time if hosts do not share their loads", unshared.inTime, unshared.total())
+		}
+		if shared.inTime < shared.total()*95/100 {
+			t.Errorf("%d of %d in time if hosts share their loads", shared.inTime, shared.total())
+		}
+		if shared.earlyInTime < shared.early*92/100 {
+			t.Errorf("%d of %d in time in the first seconds", shared.earlyInTime, shared.early)
+		}
+	})
+}
+
+// The same fleet receives 20% more requests than its upstreams have capacity for. If
+// hosts forward all of them, every queue fills up and only 32% of the responses are
+// in time. Hosts must refuse at once the requests that the loads of all hosts show to
+// be late, so that upstreams serve the others in time and rarely reject one.
+func TestOverloadedLargeFleetServesItsCapacityInTime(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := largeFleet
+		s.shareLoads, s.load = true, 1.2
+		r := s.runSeeds()
+		t.Logf("%s", r)
+		if r.inTime < r.total()*60/100 {
+			t.Errorf("%d of %d in time", r.inTime, r.total())
+		}
+		if r.rejected > r.total()*4/100 {
+			t.Errorf("%d rejected by full upstreams", r.rejected)
+		}
+	})
+}
+
+// In a small fleet each host sends every upstream many requests and infers its load
+// from those. Shared loads must not make its choice worse: without them 99% of the
+// requests are in time at 70% load, and 71% at 120%.
+func TestSharedLoadsDoNotHarmSmallFleet(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := smallFleet
+		s.shareLoads = true
+		normal := s.runSeeds()
+		s.load = 1.2
+		overloaded := s.runSeeds()
+		t.Logf("70%% load: %s; 120%% load: %s", normal, overloaded)
+		if normal.inTime < normal.total()*98/100 {
+			t.Errorf("%d of %d in time at 70%% load", normal.inTime, normal.total())
+		}
+		if overloaded.inTime < overloaded.total()*70/100 {
+			t.Errorf("%d of %d in time at 120%% load", overloaded.inTime, overloaded.total())
+		}
+	})
+}
+
+func (r *results) total() int { return r.inTime + r.late + r.refused }
+
+func (r *results) String() string {
+	return fmt.Sprintf("%d in time, %d late, %d refused, %d rejected by full upstreams", r.inTime, r.late, r.refused, r.rejected)
+}
+
+func (r *results) add(o results) {
+	r.inTime += o.inTime
+	r.late += o.late
+	r.refused += o.refused
+	r.rejected += o.rejected
+	r.early += o.early
+	r.earlyInTime += o.earlyInTime
+}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer carries messages between entry hosts.
+// Package peer implements the RPCs between entry hosts.
 package peer
 
 import (
@@ -21,10 +21,10 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// ServiceLoad is what callers asked of one keyed service.
+// ServiceLoad samples the requests that a host received for one keyed service.
 type ServiceLoad struct {
 	Service string
-	// Weight is how many requests each sample stands for.
+	// Weight is how many requests each sample represents.
 	Weight  float64
 	Samples []keyload.Sample
 }
@@ -33,79 +33,82 @@
 type Client struct {
 	http *http.Client
 	mu   sync.Mutex
-	// told holds the token of the list of upstreams that the host at each address
-	// knows of this one.
-	told map[string]uint64
+	// subsetHashes holds the hash of this host's subset of upstreams as last acknowledged
+	// by the host at each address.
+	subsetHashes map[string]uint64
 }
 
-// NewClient returns a client that calls over hc.
-func NewClient(hc *http.Client) *Client { return &Client{http: hc, told: map[string]uint64{}} }
+// NewClient returns a client that makes its calls with hc.
+func NewClient(hc *http.Client) *Client { return &Client{http: hc, subsetHashes: map[string]uint64{}} }
 
-// FollowRequest is what a host says when it calls Follow.
+// FollowRequest holds the arguments of Follow.
 type FollowRequest struct {
+	// Self describes the calling host.
 	Self fleet.Host
-	// Positions are how far it has read each stream.
+	// Positions holds the offset of the next record that it needs from each stream; -1
+	// for the newest record of every key.
 	Positions map[metastore.Stream]int64
-	// Loads are what its callers asked for since its last call.
+	// Loads samples the requests that it received since its last call.
 	Loads []ServiceLoad
-	// LoadStats are what it has at upstreams that any host may choose.
+	// LoadStats describes its requests at upstreams that any host may choose.
 	LoadStats []balance.LoadStats
-	// Subset are the upstreams of which it wants to know what others have there.
+	// Subset lists the upstreams for which it wants the load of the other hosts.
 	Subset balance.Subset
-	// Notices are what upstreams have reported of themselves.
+	// Notices holds the state that upstreams have reported.
 	Notices []feedback.Notice
-	// Wait is how long the call may wait for something new.
+	// Wait is how long the callee may wait for new records before it replies.
 	Wait time.Duration
 }
 
-// FollowReply is the answer to Follow.
+// FollowReply is the result of Follow.
 type FollowReply struct {
-	// Batches are what this host lacks of the log.
+	// Batches holds the log records that the calling host lacks.
 	Batches []relay.Batch
-	// Age is how long ago the planner last knew that its copy is current.
+	// Age is how long ago the replica was last known to be current with the log service.
 	Age time.Duration
-	// LogReachableFor is for how long it has reached the log service without a break.
+	// LogReachableFor is how long the host that reads the log service, normally the
+	// planner, has reached it without a failure.
 	LogReachableFor time.Duration
-	// HostCount is how many hosts there are.
+	// HostCount is the number of hosts in the fleet.
 	HostCount int
-	// Relay is where to call from now on (host:port); empty for the same
-	// host again.
+	// Relay is the host to follow from now on (host:port); empty to stay with the
+	// callee.
 	Relay string
-	// PeerLoads is what the other hosts of the data centre have at the upstreams
-	// asked for; empty if the host asked is in another one.
+	// PeerLoads is the load of the other hosts of the data centre at the requested
+	// upstreams; empty if the callee is in another data centre.
 	PeerLoads []balance.PeerLoad
-	// Notices are what upstreams have reported of themselves to other hosts.
+	// Notices holds the state that upstreams have reported to other hosts.
 	Notices []feedback.Notice
 }
 
-// ErrNoCopy means that a host answered that it has no copy of the log that could
-// be followed: it reaches neither the planner nor the log service.
-var ErrNoReplica = errors.New("no copy of the log to follow")
+// ErrNoReplica means that the callee has no log replica that others can follow: it
+// reaches neither the planner nor the log service.
+var ErrNoReplica = errors.New("no log replica to follow")
 
-// Follow hands loads to the host at addr (host:port), the planner or a relay,
-// and returns what this host lacks of the log.
-func (c *Client) Follow(ctx context.Context, addr string, q FollowRequest) (*FollowReply, error) {
-	msg := &peerpb.FollowRequest{Host: q.Self.Name, DataCentre: q.Self.DataCentre, PeerAddr: q.Self.PeerAddr,
-		Eager: q.Self.Candidate, Followers: uint32(q.Self.Followers), WaitMs: uint32(q.Wait.Milliseconds())}
+// Follow sends this host's state to the host at addr (host:port), the planner or a
+// relay, and returns the log records that this host lacks.
+func (c *Client) Follow(ctx context.Context, addr string, req FollowRequest) (*FollowReply, error) {
+	msg := &peerpb.FollowRequest{Host: req.Self.Name, DataCentre: req.Self.DataCentre, PeerAddr: req.Self.PeerAddr,
+		Eager: req.Self.Candidate, Followers: uint32(req.Self.Followers), WaitMs: uint32(req.Wait.Milliseconds())}
 	for _, s := range relay.Streams {
-		msg.Positions = append(msg.Positions, &peerpb.Position{Stream: string(s), Next: q.Positions[s]})
+		msg.Positions = append(msg.Positions, &peerpb.Position{Stream: string(s), Next: req.Positions[s]})
 	}
-	for _, l := range q.Loads {
+	for _, l := range req.Loads {
 		msg.Loads = append(msg.Loads, encodeLoad(l))
 	}
-	for _, u := range q.LoadStats {
+	for _, u := range req.LoadStats {
 		msg.Uses = append(msg.Uses, &peerpb.UpstreamUse{Id: u.ID, UnderWay: uint32(u.InFlight), Answered: uint32(u.Answered),
 			LatencyMs: uint32(u.Latency.Milliseconds())})
 	}
-	msg.Notices = encodeNotices(q.Notices)
-	msg.UsingToken = q.Subset.Hash
-	if c.listTold(addr) != q.Subset.Hash {
-		msg.Using = q.Subset.IDs
+	msg.Notices = encodeNotices(req.Notices)
+	msg.UsingToken = req.Subset.Hash
+	if c.knownSubset(addr) != req.Subset.Hash {
+		msg.Using = req.Subset.IDs
 	}
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Follow(ctx, msg)
 	if err != nil {
-		var told twirp.Error
-		if errors.As(err, &told) && told.Code() == twirp.Unavailable {
+		var rpcErr twirp.Error
+		if errors.As(err, &rpcErr) && rpcErr.Code() == twirp.Unavailable {
 			err = errors.Join(ErrNoReplica, err)
 		}
 		return nil, eris.Wrapf(err, "peer %s: follow", addr)
@@ -115,15 +118,16 @@
 	for _, b := range reply.Batches {
 		out.Batches = append(out.Batches, decodeBatch(b))
 	}
-	c.tellList(addr, reply.UsingToken)
-	if reply.UsingToken == q.Subset.Hash {
-		out.PeerLoads = decodeOthers(q.Subset.IDs, reply)
+	c.setKnownSubset(addr, reply.UsingToken)
+	if reply.UsingToken == req.Subset.Hash {
+		out.PeerLoads = decodePeerLoads(req.Subset.IDs, reply)
 	}
 	return out, nil
 }
 
-// decodeOthers returns what the reply says of the upstreams, where it does.
-func decodeOthers(ids []string, reply *peerpb.FollowReply) []balance.PeerLoad {
+// decodePeerLoads returns the loads in the reply, which are in the order of ids. It omits
+// upstreams for which the callee has no data.
+func decodePeerLoads(ids []string, reply *peerpb.FollowReply) []balance.PeerLoad {
 	var out []balance.PeerLoad
 	for i, id := range ids {
 		if i < len(reply.UnderWay) && i < len(reply.WorkMs) && reply.WorkMs[i] > 0 {
@@ -133,29 +137,30 @@
 	return out
 }
 
-// listTold returns the token of the list of upstreams that the host at addr
-// knows of this one; 0 if it knows none.
-func (c *Client) listTold(addr string) uint64 {
+// knownSubset returns the hash of this host's subset that the host at addr last
+// acknowledged; 0 if none.
+func (c *Client) knownSubset(addr string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.told[addr]
+	return c.subsetHashes[addr]
 }
 
-// tellList notes which list the host at addr knows. Only a few are followed.
-func (c *Client) tellList(addr string, token uint64) {
+// setKnownSubset records the subset that the host at addr acknowledged.
+func (c *Client) setKnownSubset(addr string, hash uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.told) >= maxTold {
-		clear(c.told)
+	if len(c.subsetHashes) >= maxKnownSubsets {
+		clear(c.subsetHashes)
 	}
-	c.told[addr] = token
+	c.subsetHashes[addr] = hash
 }
 
-// maxTold bounds the hosts of which is remembered what they were told.
-const maxTold = 16
+// maxKnownSubsets bounds the hosts in subsetHashes. A host follows only a few others.
+const maxKnownSubsets = 16
 
-// Retire asks the host at addr (host:port) to send no more grants of terms
-// before the given one. It returns that host's name and whether it sends none.
+// Retire requests that the host at addr (host:port), a previous planner, send no more
+// grants of a service in terms before the given one. It returns the name of that host
+// and whether no such grant is in flight any more.
 func (c *Client) Retire(ctx context.Context, addr, service string, term int64) (host string, retired bool, err error) {
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Retire(ctx, &peerpb.RetireRequest{Service: service, Term: term})
 	if err != nil {
@@ -166,7 +171,7 @@
 
 func encodeLoad(l ServiceLoad) *peerpb.ServiceLoad {
 	out := &peerpb.ServiceLoad{Service: l.Service, Weight: l.Weight}
-	index := map[string]uint32{"": 0}
+	index := map[string]uint32{"": 0} // position in Upstreams + 1; 0 for none
 	for _, s := range l.Samples {
 		i, ok := index[s.Upstream]
 		if !ok {
@@ -184,7 +189,7 @@
 func decodeLoad(m *peerpb.ServiceLoad) (ServiceLoad, error) {
 	out := ServiceLoad{Service: m.Service, Weight: m.Weight}
 	if len(m.Upstream) != len(m.Keys) || len(m.LatencyMs) != len(m.Keys) {
-		return out, eris.Errorf("load report for %s: lists of %d, %d and %d entries", m.Service, len(m.Keys), len(m.Upstream), len(m.LatencyMs))
+		return out, eris.Errorf("load report for %s: list lengths differ: %d keys, %d upstreams, %d latencies", m.Service, len(m.Keys), len(m.Upstream), len(m.LatencyMs))
 	}
 	for i, k := range m.Keys {
 		s := keyload.Sample{Key: int(k), Latency: time.Duration(m.LatencyMs[i]) * time.Millisecond}
@@ -222,45 +227,45 @@
 	return out
 }
 
-// ReplicaStatus is how far a host's copy of the log can be relied on.
+// ReplicaStatus says how current a host's log replica is.
 type ReplicaStatus struct {
-	// Planning is set on the planner, whose copy the others follow.
+	// Planning is set on the planner, whose replica the others follow.
 	Planning bool
-	// Age and Steady are as in Answer.
+	// Age and LogReachableFor are as in FollowReply.
 	Age, LogReachableFor time.Duration
 }
 
-// Server answers other hosts.
+// Server handles calls from other hosts.
 type Server struct {
-	// Copy is this host's copy of the log.
+	// Copy is this host's log replica.
 	Copy *relay.Replica
-	// ReplicaStatus returns the copy's standing; false if this host neither plans
-	// nor has lately followed the planner itself.
+	// ReplicaStatus returns the status of the replica; false if this host is not the
+	// planner, has not followed it recently and does not read the log service itself.
 	ReplicaStatus func(now time.Time) (ReplicaStatus, bool)
-	// Fleet is told of each call.
+	// Fleet records each call.
 	Fleet *fleet.Fleet
-	// OnLoads is handed each report.
+	// OnLoads receives the loads of each call.
 	OnLoads func([]ServiceLoad)
-	// OnLoadStats is handed what the caller has at upstreams, Others returns what the
-	// other hosts of its data centre have at each of those with the given IDs.
-	OnLoadStats func(caller fleet.Host, uses []balance.LoadStats)
+	// OnLoadStats receives the caller's requests at upstreams. PeerLoads returns the
+	// load of the other hosts in the caller's data centre at each of the given upstreams.
+	OnLoadStats func(caller fleet.Host, loads []balance.LoadStats)
 	PeerLoads   func(caller fleet.Host, ids []string) []balance.PeerLoad
-	// Feedback is what upstreams have reported of themselves.
+	// Feedback tracks the state that upstreams have reported.
 	Feedback *feedback.Tracker
-	// AcquirePermits gives leave to send to an upstream with a rate limit; false if this
-	// host does not plan.
+	// AcquirePermits issues permits for requests to an upstream with a rate limit; false
+	// if this host is not the planner.
 	AcquirePermits func(upstream string, perSecond float64, want int) (ratelimit.Permit, bool)
-	// Name is this host's.
+	// Name is this host's name.
 	Name string
-	// RetireTermsBefore stops what this host plans of a service in terms before the
-	// given one, and reports whether no grant of those is under way any more.
+	// RetireTermsBefore stops this host's planning of a service in terms before the given
+	// one, and reports whether no grant from those terms is in flight any more.
 	RetireTermsBefore func(ctx context.Context, service string, term int64) bool
-	// HostStatus describes this host.
+	// HostStatus returns this host's status.
 	HostStatus func(context.Context) *peerpb.StatusReply
 
 	mu sync.Mutex
-	// lists are the upstreams that each caller is told of, by its name.
-	lists map[string]balance.Subset
+	// subsets holds the upstreams for which each caller wants loads, by its host name.
+	subsets map[string]balance.Subset
 }
 
 // Retire implements peerpb.Peer.
@@ -273,13 +278,13 @@
 	return s.HostStatus(ctx), nil
 }
 
-// maxWait bounds how long a call is kept waiting.
-const maxWait = 2 * time.Second
+// maxFollowWait bounds how long Follow waits for new records.
+const maxFollowWait = 2 * time.Second
 
 // Follow implements peerpb.Peer.
 func (s *Server) Follow(ctx context.Context, m *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
 	if _, ok := s.ReplicaStatus(time.Now()); !ok {
-		return nil, twirp.NewError(twirp.Unavailable, "this host is neither the planner nor does it follow one")
+		return nil, twirp.NewError(twirp.Unavailable, "this host is not the planner and does not follow it")
 	}
 	loads, err := decodeLoads(m.Loads)
 	if err != nil {
@@ -292,62 +297,62 @@
 	for _, p := range m.Positions {
 		positions[metastore.Stream(p.Stream)] = p.Next
 	}
-	s.OnLoadStats(caller, decodeUses(m.Uses))
+	s.OnLoadStats(caller, decodeLoadStats(m.Uses))
 	notices := decodeNotices(m.Notices)
 	s.Feedback.Merge(caller.Name, notices, time.Now())
 	reply := &peerpb.FollowReply{}
-	for _, b := range s.Copy.Fetch(ctx, positions, min(time.Duration(m.WaitMs)*time.Millisecond, maxWait)) {
+	for _, b := range s.Copy.Fetch(ctx, positions, min(time.Duration(m.WaitMs)*time.Millisecond, maxFollowWait)) {
 		reply.Batches = append(reply.Batches, encodeBatch(b))
 	}
 	reply.Notices = encodeNotices(feedback.ForFollower(s.Feedback.Notices(time.Now()), notices))
-	using := s.listOf(m)
-	reply.UsingToken = using.Hash
-	for _, o := range s.PeerLoads(caller, using.IDs) {
-		reply.UnderWay = append(reply.UnderWay, uint32(max(o.InFlight, 0)))
-		reply.WorkMs = append(reply.WorkMs, uint32(o.WorkTime.Milliseconds()))
+	subset := s.subsetOf(m)
+	reply.UsingToken = subset.Hash
+	for _, l := range s.PeerLoads(caller, subset.IDs) {
+		reply.UnderWay = append(reply.UnderWay, uint32(max(l.InFlight, 0)))
+		reply.WorkMs = append(reply.WorkMs, uint32(l.WorkTime.Milliseconds()))
 	}
-	return reply, s.describe(reply, caller)
+	return reply, s.setReplyStatus(reply, caller)
 }
 
-// maxLists bounds the lists that are kept: far over the hosts that follow one.
-const maxLists = 1024
+// maxSubsets bounds the stored subsets, far above the number of hosts that follow one.
+const maxSubsets = 1024
 
-// listOf returns the upstreams that the caller is to be told of: those that it
-// names now, or the last ones if it means the same. Without it each call and each
-// answer would name a hundred upstreams.
-func (s *Server) listOf(m *peerpb.FollowRequest) balance.Subset {
+// subsetOf returns the upstreams for which the caller wants loads: those in the request,
+// or the stored ones if the hash matches. This avoids sending about a hundred upstream
+// IDs in each call; the result is empty if the caller must send them again.
+func (s *Server) subsetOf(m *peerpb.FollowRequest) balance.Subset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(m.Using) > 0 {
-		if s.lists == nil || len(s.lists) >= maxLists {
-			s.lists = map[string]balance.Subset{}
+		if s.subsets == nil || len(s.subsets) >= maxSubsets {
+			s.subsets = map[string]balance.Subset{}
 		}
-		s.lists[m.Host] = balance.Subset{IDs: m.Using, Hash: m.UsingToken}
+		s.subsets[m.Host] = balance.Subset{IDs: m.Using, Hash: m.UsingToken}
 	}
-	if known := s.lists[m.Host]; known.Hash == m.UsingToken {
+	if known := s.subsets[m.Host]; known.Hash == m.UsingToken {
 		return known
 	}
 	return balance.Subset{}
 }
 
-// describe says in the reply how far it can be relied on and whom the caller
-// calls next.
-func (s *Server) describe(reply *peerpb.FollowReply, caller fleet.Host) error {
+// setReplyStatus sets the replica's status, the fleet's size and the relay to follow in
+// the reply.
+func (s *Server) setReplyStatus(reply *peerpb.FollowReply, caller fleet.Host) error {
 	now := time.Now()
-	st, ok := s.ReplicaStatus(now)
+	status, ok := s.ReplicaStatus(now)
 	if !ok {
-		return twirp.NewError(twirp.Unavailable, "this host has lost the planner")
+		return twirp.NewError(twirp.Unavailable, "this host no longer follows the planner")
 	}
-	reply.AgeMs = uint32(st.Age.Milliseconds())
-	reply.SteadyMs = uint32(st.LogReachableFor.Milliseconds())
+	reply.AgeMs = uint32(status.Age.Milliseconds())
+	reply.SteadyMs = uint32(status.LogReachableFor.Milliseconds())
 	reply.Hosts = uint32(s.Fleet.Size(now))
-	if st.Planning {
+	if status.Planning {
 		reply.Relay = s.Fleet.RelayFor(caller, now)
 	}
 	return nil
 }
 
-func decodeUses(ms []*peerpb.UpstreamUse) []balance.LoadStats {
+func decodeLoadStats(ms []*peerpb.UpstreamUse) []balance.LoadStats {
 	var out []balance.LoadStats
 	for _, m := range ms {
 		out = append(out, balance.LoadStats{ID: m.Id, InFlight: int(m.UnderWay), Answered: int(m.Answered), Latency: time.Duration(m.LatencyMs) * time.Millisecond})
