--- a/internal/desired/desired.go
+++ b/internal/desired/desired.go
@@ -68,27 +68,27 @@
 
 // State is one version of the desired state. It is immutable once built.
 type State struct {
-	Version  int64
-	Services map[string]*Service
-	Limits   Limits
-	byHost   map[string][]*Route
-	// urgent is the highest rank of a route to each service.
-	urgent map[string]int
+	Version      int64
+	Services     map[string]*Service
+	Limits       Limits
+	routesByHost map[string][]*Route
+	// highestPriority is the highest rank of a route to each service.
+	highestPriority map[string]int
 }
 
 // New indexes routes by host, longest prefix first.
 func New(version int64, routes []*Route, services map[string]*Service, limits Limits) *State {
-	s := &State{Version: version, Services: services, Limits: limits, byHost: map[string][]*Route{}, urgent: map[string]int{}}
+	s := &State{Version: version, Services: services, Limits: limits, routesByHost: map[string][]*Route{}, highestPriority: map[string]int{}}
 	for _, r := range routes {
 		host := strings.ToLower(r.Host)
-		s.byHost[host] = append(s.byHost[host], r)
+		s.routesByHost[host] = append(s.routesByHost[host], r)
 		for _, sh := range r.Shares {
-			if top, ok := s.urgent[sh.Service]; !ok || r.Priority < top {
-				s.urgent[sh.Service] = r.Priority
+			if top, ok := s.highestPriority[sh.Service]; !ok || r.Priority < top {
+				s.highestPriority[sh.Service] = r.Priority
 			}
 		}
 	}
-	for _, rs := range s.byHost {
+	for _, rs := range s.routesByHost {
 		sort.Slice(rs, func(i, j int) bool { return len(rs[i].Prefix) > len(rs[j].Prefix) })
 	}
 	return s
@@ -99,7 +99,7 @@
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
-	for _, r := range s.byHost[strings.ToLower(host)] {
+	for _, r := range s.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -109,7 +109,7 @@
 
 // HighestPriority returns the highest rank (lowest Priority) of the routes to a
 // service.
-func (s *State) HighestPriority(service string) int { return s.urgent[service] }
+func (s *State) HighestPriority(service string) int { return s.highestPriority[service] }
 
 // KeyedServices returns the names of the services divided by key, sorted.
 func (s *State) KeyedServices() []string {
--- a/internal/events/catalogue_test.go
+++ b/internal/events/catalogue_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// numbers returns the numbers of this package's constants by name.
-func numbers(t *testing.T) map[string]string {
+// eventNumbers returns the numbers of this package's constants by name.
+func eventNumbers(t *testing.T) map[string]string {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), "events.go", nil, 0)
 	if err != nil {
@@ -28,8 +28,8 @@
 	return out
 }
 
-// uses returns the names of this package's constants that other code uses.
-func uses(t *testing.T) map[string]bool {
+// loggedEvents returns the names of this package's constants that other code uses.
+func loggedEvents(t *testing.T) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
 	used := regexp.MustCompile(`\bevents\.([A-Z]\w*)`)
@@ -60,9 +60,9 @@
 	for _, m := range regexp.MustCompile(`(?m)^\| (\d+) \|`).FindAllStringSubmatch(string(doc), -1) {
 		catalogued[m[1]] = true
 	}
-	used := uses(t)
+	used := loggedEvents(t)
 	known := map[string]bool{}
-	for name, number := range numbers(t) {
+	for name, number := range eventNumbers(t) {
 		known[number] = true
 		if !used[name] {
 			t.Errorf("%s (%s) is never logged", name, number)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -37,13 +37,13 @@
 }
 
 const (
-	// maxLine bounds a log line.
-	maxLine = 1 << 20
-	// around is how many seconds before a request's end
+	// maxLineBytes bounds a log line.
+	maxLineBytes = 1 << 20
+	// contextBeforeSeconds is how many seconds before a request's end
 	// is looked at for changes of belief,
-	around = 3.0
-	// after is how many seconds after its end.
-	after = 1.0
+	contextBeforeSeconds = 3.0
+	// contextAfterSeconds is how many seconds after its end.
+	contextAfterSeconds = 1.0
 	// firstRequestEvent and lastRequestEvent bound the events of requests.
 	firstRequestEvent, lastRequestEvent = 800, 899
 )
@@ -54,9 +54,9 @@
 func Read(r io.Reader) ([]*Line, error) {
 	var out []*Line
 	sc := bufio.NewScanner(r)
-	sc.Buffer(make([]byte, 0, 64<<10), maxLine)
+	sc.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for sc.Scan() {
-		if l := parse(sc.Bytes()); l != nil {
+		if l := parseLine(sc.Bytes()); l != nil {
 			l.seq = len(out)
 			out = append(out, l)
 		}
@@ -64,7 +64,7 @@
 	return out, eris.Wrap(sc.Err(), "read log")
 }
 
-func parse(data []byte) *Line {
+func parseLine(data []byte) *Line {
 	i := bytes.IndexByte(data, '{')
 	if i < 0 {
 		return nil
@@ -94,7 +94,7 @@
 	out := map[string]string{}
 	for _, l := range lines {
 		id := l.Field("request")
-		if !isRequest(l) || id == "" {
+		if !isRequestEvent(l) || id == "" {
 			continue
 		}
 		switch {
@@ -123,19 +123,19 @@
 		}
 	}
 	for _, l := range lines {
-		if !isRequest(l) && s.concerns(l) {
+		if !isRequestEvent(l) && s.isContext(l) {
 			s.ContextLines = append(s.ContextLines, l)
 		}
 	}
 	return s
 }
 
-func isRequest(l *Line) bool { return l.Event >= firstRequestEvent && l.Event <= lastRequestEvent }
+func isRequestEvent(l *Line) bool { return l.Event >= firstRequestEvent && l.Event <= lastRequestEvent }
 
-// concerns reports whether a line belongs beside the request's own.
-func (s *Timeline) concerns(l *Line) bool {
+// isContext reports whether a line belongs beside the request's own.
+func (s *Timeline) isContext(l *Line) bool {
 	for _, own := range s.RequestLines {
-		if l.At < own.At-around || l.At > own.At+after {
+		if l.At < own.At-contextBeforeSeconds || l.At > own.At+contextAfterSeconds {
 			continue
 		}
 		onPlanner := l.Event >= 700 && l.Event < 800
@@ -161,7 +161,7 @@
 	})
 	for _, l := range all {
 		mark := " "
-		if isRequest(l) {
+		if isRequestEvent(l) {
 			mark = ">"
 		}
 		if _, err := fmt.Fprintf(w, "%s %.3f %-22s %d %s%s\n", mark, l.At, l.Host, l.Event, l.Text, l.details()); err != nil {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const logs = `  1.0 host-a {"level":"info","ts":100.0,"msg":"ownership adopted","event":640,"service":"s","fence":3}
+const testLogs = `  1.0 host-a {"level":"info","ts":100.0,"msg":"ownership adopted","event":640,"service":"s","fence":3}
   1.1 host-b {"level":"info","ts":100.1,"msg":"ownership recorded","event":704,"service":"s","cause":"owner lost"}
   1.1 host-b {"level":"info","ts":100.1,"msg":"upstream is leaving","event":631,"service":"s","peer":"u1"}
 not a log line
@@ -18,8 +18,8 @@
 // On-call has a request's ID and the hosts' logs. The story holds the
 // request's line, what its own host came to believe of its service, and what
 // the planner did, in order; nothing of other requests, services or times.
-func TestStoryHoldsWhatConcernsTheRequest(t *testing.T) {
-	lines, err := Read(strings.NewReader(logs))
+func TestTimelineHoldsRequestAndContext(t *testing.T) {
+	lines, err := Read(strings.NewReader(testLogs))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(logs))
+	f.Add([]byte(testLogs))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		lines, err := Read(strings.NewReader(string(data)))
 		if err == nil {
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -46,7 +46,7 @@
 	MaxViewAge time.Duration // view_age: how long grants are renewed without word from the log service
 }
 
-var entrySchema = map[string]map[string]string{
+var entryHostSchema = map[string]map[string]string{
 	"host": {"name": "", "data_centre": "", "listen": "", "ready_listen": "", "peer_listen": "", "metrics_listen": "",
 		"log_level": "info", "memory_mb": "284", "cpu_share": "1", "link_mbps": "1000",
 		"first_start": "false"},
@@ -58,28 +58,28 @@
 
 // LoadEntryHost reads and checks an entry host's settings file.
 func LoadEntryHost(path string) (*EntryHost, error) {
-	f, err := ini.Load(path)
+	file, err := ini.Load(path)
 	if err != nil {
 		return nil, eris.Wrapf(err, "settings %s", path)
 	}
-	e, err := entryFromFile(f)
+	e, err := entryHostFromFile(file)
 	return e, eris.Wrapf(err, "settings %s", path)
 }
 
 // ParseEntryHost reads and checks settings from INI text.
 func ParseEntryHost(data []byte) (*EntryHost, error) {
-	f, err := ini.Load(data)
+	file, err := ini.Load(data)
 	if err != nil {
 		return nil, eris.Wrap(err, "settings")
 	}
-	return entryFromFile(f)
+	return entryHostFromFile(file)
 }
 
-func entryFromFile(f *ini.File) (*EntryHost, error) {
-	if err := checkKnown(f, entrySchema); err != nil {
+func entryHostFromFile(file *ini.File) (*EntryHost, error) {
+	if err := rejectUnknownKeys(file, entryHostSchema); err != nil {
 		return nil, err
 	}
-	r := &reader{f: f, schema: entrySchema}
+	r := &reader{file: file, schema: entryHostSchema}
 	e := &EntryHost{
 		Host:              r.str("host", "name"),
 		DataCentre:        r.str("host", "data_centre"),
@@ -88,19 +88,19 @@
 		PeerListen:        r.hostPort("host", "peer_listen"),
 		MetricsListen:     r.hostPort("host", "metrics_listen"),
 		LogLevel:          r.str("host", "log_level"),
-		MemoryMB:          r.count("host", "memory_mb"),
+		MemoryMB:          r.positiveInt("host", "memory_mb"),
 		FirstStart:        r.boolean("host", "first_start"),
-		CPUShare:          r.fraction("host", "cpu_share"),
-		LinkMbps:          r.fraction("host", "link_mbps"),
+		CPUShare:          r.nonNegativeFloat("host", "cpu_share"),
+		LinkMbps:          r.nonNegativeFloat("host", "link_mbps"),
 		LogAddr:           r.hostPort("log", "addr"),
 		MinLeaseTTL:       r.duration("log", "seat_min"),
 		MaxGrantTTL:       r.duration("bounds", "hold_max"),
 		ShutdownGrace:     r.duration("bounds", "grace"),
-		RetryBudgetRatio:  r.fraction("bounds", "repeat_ratio"),
-		RetryBudgetSlack:  r.fraction("bounds", "repeat_slack"),
+		RetryBudgetRatio:  r.nonNegativeFloat("bounds", "repeat_ratio"),
+		RetryBudgetSlack:  r.nonNegativeFloat("bounds", "repeat_slack"),
 		RetryBudgetWindow: r.duration("bounds", "repeat_window"),
-		SlowStartFactor:   r.fraction("bounds", "slow_start_factor"),
-		SlowStartSlack:    r.fraction("bounds", "slow_start_slack"),
+		SlowStartFactor:   r.nonNegativeFloat("bounds", "slow_start_factor"),
+		SlowStartSlack:    r.nonNegativeFloat("bounds", "slow_start_slack"),
 		EvacuationTimeout: r.duration("bounds", "evacuate"),
 		DrainTimeout:      r.duration("bounds", "drain"),
 		GrantTTL:          r.duration("ownership", "hold"),
@@ -131,8 +131,8 @@
 	return b
 }
 
-// fraction reads a number of 0 or more.
-func (r *reader) fraction(section, key string) float64 {
+// nonNegativeFloat reads a number of 0 or more.
+func (r *reader) nonNegativeFloat(section, key string) float64 {
 	v := r.str(section, key)
 	if r.err != nil {
 		return 0
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -52,7 +52,7 @@
 
 // schema lists every allowed section and key with its default ("" means
 // required).
-var schema = map[string]map[string]string{
+var daemonSchema = map[string]map[string]string{
 	"host": {"name": "", "data_centre": "", "listen": "", "admin_listen": "", "log_level": "info"},
 	"log":  {"addr": "", "poll_interval": "100ms"},
 	"routing": {"request_timeout": "2s", "attempt_timeout": "250ms", "view_lease": "2s", "retry_after": "1s", "grant_lease": "1s",
@@ -64,25 +64,25 @@
 
 // LoadDaemon reads and checks the settings file at path.
 func LoadDaemon(path string) (*Daemon, error) {
-	f, err := ini.Load(path)
+	file, err := ini.Load(path)
 	if err != nil {
 		return nil, eris.Wrapf(err, "settings %s", path)
 	}
-	d, err := fromFile(f)
+	d, err := daemonFromFile(file)
 	return d, eris.Wrapf(err, "settings %s", path)
 }
 
 // ParseDaemon reads and checks settings from INI text.
 func ParseDaemon(data []byte) (*Daemon, error) {
-	f, err := ini.Load(data)
+	file, err := ini.Load(data)
 	if err != nil {
 		return nil, eris.Wrap(err, "settings")
 	}
-	return fromFile(f)
+	return daemonFromFile(file)
 }
 
 type reader struct {
-	f      *ini.File
+	file   *ini.File
 	schema map[string]map[string]string
 	err    error
 }
@@ -91,7 +91,7 @@
 	if r.err != nil {
 		return ""
 	}
-	v := r.f.Section(section).Key(key).String()
+	v := r.file.Section(section).Key(key).String()
 	if v == "" {
 		v = r.schema[section][key]
 	}
@@ -113,7 +113,7 @@
 	return d
 }
 
-func (r *reader) count(section, key string) int {
+func (r *reader) positiveInt(section, key string) int {
 	v := r.str(section, key)
 	if r.err != nil {
 		return 0
@@ -158,9 +158,9 @@
 	return r.baseURL(section, key)
 }
 
-// checkKnown refuses sections and keys the schema does not list.
-func checkKnown(f *ini.File, schema map[string]map[string]string) error {
-	for _, sec := range f.Sections() {
+// rejectUnknownKeys refuses sections and keys the schema does not list.
+func rejectUnknownKeys(file *ini.File, schema map[string]map[string]string) error {
+	for _, sec := range file.Sections() {
 		if sec.Name() == ini.DefaultSection {
 			if len(sec.Keys()) > 0 {
 				return eris.Errorf("key %q is outside any section", sec.Keys()[0].Name())
@@ -182,11 +182,11 @@
 
 var logLevels = map[string]bool{"debug": true, "info": true, "warn": true, "error": true}
 
-func fromFile(f *ini.File) (*Daemon, error) {
-	if err := checkKnown(f, schema); err != nil {
+func daemonFromFile(file *ini.File) (*Daemon, error) {
+	if err := rejectUnknownKeys(file, daemonSchema); err != nil {
 		return nil, err
 	}
-	r := &reader{f: f, schema: schema}
+	r := &reader{file: file, schema: daemonSchema}
 	d := &Daemon{
 		Host:             r.str("host", "name"),
 		DataCentre:       r.str("host", "data_centre"),
@@ -200,8 +200,8 @@
 		RetryAfter:       r.duration("routing", "retry_after"),
 		GrantTTL:         r.duration("routing", "grant_lease"),
 		ProbeInterval:    r.duration("routing", "probe_interval"),
-		ProbeFailures:    r.count("routing", "probe_failures"),
-		SnapshotEvery:    r.count("routing", "snapshot_every"),
+		ProbeFailures:    r.positiveInt("routing", "probe_failures"),
+		SnapshotEvery:    r.positiveInt("routing", "snapshot_every"),
 		SnapshotInterval: r.duration("routing", "snapshot_interval"),
 		ShutdownGrace:    r.duration("routing", "shutdown_grace"),
 
@@ -209,7 +209,7 @@
 		HostListInterval:    r.duration("hosts", "poll_interval"),
 		HeartbeatInterval:   r.duration("membership", "heartbeat_interval"),
 		HeartbeatTimeout:    r.duration("membership", "host_lease"),
-		RenewersPerUpstream: r.count("membership", "renewers"),
+		RenewersPerUpstream: r.positiveInt("membership", "renewers"),
 
 		LatencyObjective: r.duration("objectives", "latency"),
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestExampleLoads(t *testing.T) {
+func TestExampleSettingsLoad(t *testing.T) {
 	d, err := LoadDaemon("../../examples/papayatided.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -17,9 +17,9 @@
 	}
 }
 
-// TestBadSettingsNameTheKey checks that a bad file gives one error that
+// TestInvalidSettingsErrorNamesKey checks that a bad file gives one error that
 // names the section and key at fault.
-func TestBadSettingsNameTheKey(t *testing.T) {
+func TestInvalidSettingsErrorNamesKey(t *testing.T) {
 	base, err := os.ReadFile("../../examples/papayatided.ini")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -39,26 +39,26 @@
 
 // Publisher publishes views. Publish is called by one goroutine only.
 type Publisher struct {
-	p atomic.Pointer[View]
+	current atomic.Pointer[View]
 }
 
 // NewPublisher returns a holder of an empty view.
 func NewPublisher() *Publisher {
 	h := &Publisher{}
-	h.p.Store(&View{Upstreams: catalogue.NewSnapshot(nil), Tables: map[string]*ownership.Table{}, next: make(chan struct{})})
+	h.current.Store(&View{Upstreams: catalogue.NewSnapshot(nil), Tables: map[string]*ownership.Table{}, next: make(chan struct{})})
 	return h
 }
 
 // Load returns the present view.
-func (h *Publisher) Load() *View { return h.p.Load() }
+func (h *Publisher) Load() *View { return h.current.Load() }
 
 // Publish replaces the view by what change makes of a copy of it.
 func (h *Publisher) Publish(change func(*View)) {
-	old := h.p.Load()
+	old := h.current.Load()
 	v := *old
 	v.next = make(chan struct{})
 	v.UpdatedAt = time.Now()
 	change(&v)
-	h.p.Store(&v)
+	h.current.Store(&v)
 	close(old.next)
 }
