--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings loads and checks the daemon's INI settings
-// (gopkg.in/ini.v1) in one place. Every key is checked at start; the first
-// problem is returned as one error naming the section and key, and unknown
-// sections or keys are refused so a misspelling is not silently ignored.
+// Package settings loads and validates the daemon's INI settings files
+// (gopkg.in/ini.v1). All keys are validated at start. The first problem is
+// returned as one error that names the section and key. Unknown sections and
+// keys are rejected, so that a misspelt key is not silently ignored.
 package settings
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -8,44 +8,48 @@
 	"gopkg.in/ini.v1"
 )
 
-// EntryHost holds the settings of an entry host on the platform. The platform
-// fills in the template deploy/entry.ini.
+// EntryHost holds the settings of an entry host on the platform, which renders
+// them from the template deploy/entry.ini. Each field's comment starts with its
+// key in the file.
 type EntryHost struct {
 	// [host]
-	Host          string // name: this host's name
-	DataCentre    string // data_centre: the data centre it runs in
+	Host          string // name: name of this host
+	DataCentre    string // data_centre: data centre of this host
 	Listen        string // listen: host:port for callers
-	ReadyListen   string // ready_listen: host:port on which the platform asks whether callers may come
+	ReadyListen   string // ready_listen: host:port of the platform's readiness check
 	PeerListen    string // peer_listen: host:port for the other entry hosts
-	MetricsListen string // metrics_listen: host:port of the metrics page
+	MetricsListen string // metrics_listen: host:port of the metrics endpoint
 	LogLevel      string // log_level: debug, info, warn or error
-	MemoryMB      int    // memory_mb: what the host may use
-	FirstStart    bool   // first_start: the whole fleet starts for the first time
-	// cpu_share: its part of a core; link_mbps: its link's speed.
+	MemoryMB      int    // memory_mb: memory limit of this host in MB
+	FirstStart    bool   // first_start: whether the whole fleet is starting for the first time
+	// cpu_share: CPU cores available to this host; link_mbps: bandwidth of its
+	// network link in Mbit/s.
 	CPUShare, LinkMbps float64
 
 	// [log]
 	LogAddr     string        // addr: host:port of the log service
-	MinLeaseTTL time.Duration // seat_min: the shortest time to live the service takes for a group's member
+	MinLeaseTTL time.Duration // seat_min: shortest TTL that the service accepts for a group member
 
-	// [bounds], each from the platform
-	MaxGrantTTL       time.Duration // hold_max: the longest grant an upstream takes
-	ShutdownGrace     time.Duration // grace: from the stop signal to the kill
-	RetryBudgetRatio  float64       // repeat_ratio: repeats allowed for each request, over all hosts
-	RetryBudgetSlack  float64       // repeat_slack: repeats allowed beside those, over all hosts
-	RetryBudgetWindow time.Duration // repeat_window: the span over which both count
-	// slow_start_factor and slow_start_slack: in any second a cold upstream may
-	// get the requests that it bears times the factor, plus the slack.
+	// [bounds], all set by the platform
+	MaxGrantTTL       time.Duration // hold_max: longest grant TTL that an upstream accepts
+	ShutdownGrace     time.Duration // grace: time from the stop signal to the kill signal
+	RetryBudgetRatio  float64       // repeat_ratio: retries allowed per request, across all hosts
+	RetryBudgetSlack  float64       // repeat_slack: retries allowed in addition, across all hosts
+	RetryBudgetWindow time.Duration // repeat_window: window over which both are counted
+	// slow_start_factor and slow_start_slack: in any one-second window, a cold
+	// upstream may be sent its rate limit times the factor, plus the slack.
 	SlowStartFactor, SlowStartSlack float64
-	EvacuationTimeout               time.Duration // evacuate: from the order to evacuate a data centre to the last request there
+	EvacuationTimeout               time.Duration // evacuate: time from a data centre's evacuation order to the last request sent there
 
-	DrainTimeout time.Duration // drain: from an answer that says its upstream leaves to the last request there
+	DrainTimeout time.Duration // drain: time from an upstream's report that it is leaving to the last request sent to it
 
 	// [ownership]
-	GrantTTL   time.Duration // hold: how long a grant lasts
-	MaxViewAge time.Duration // view_age: how long grants are renewed without word from the log service
+	GrantTTL   time.Duration // hold: TTL of a grant
+	MaxViewAge time.Duration // view_age: how long grants are renewed without contact to the log service
 }
 
+// entryHostSchema lists every allowed section and key with its default ("" means
+// required).
 var entryHostSchema = map[string]map[string]string{
 	"host": {"name": "", "data_centre": "", "listen": "", "ready_listen": "", "peer_listen": "", "metrics_listen": "",
 		"log_level": "info", "memory_mb": "284", "cpu_share": "1", "link_mbps": "1000",
@@ -56,7 +60,7 @@
 	"ownership": {"hold": "3s", "view_age": "6s"},
 }
 
-// LoadEntryHost reads and checks an entry host's settings file.
+// LoadEntryHost reads and validates the settings file of an entry host.
 func LoadEntryHost(path string) (*EntryHost, error) {
 	file, err := ini.Load(path)
 	if err != nil {
@@ -66,7 +70,7 @@
 	return e, eris.Wrapf(err, "settings %s", path)
 }
 
-// ParseEntryHost reads and checks settings from INI text.
+// ParseEntryHost parses and validates settings from INI text.
 func ParseEntryHost(data []byte) (*EntryHost, error) {
 	file, err := ini.Load(data)
 	if err != nil {
@@ -113,12 +117,12 @@
 		return nil, eris.Errorf("[host] log_level = %q: want debug, info, warn or error", e.LogLevel)
 	}
 	if e.GrantTTL > e.MaxGrantTTL {
-		return nil, eris.Errorf("[ownership] hold %s is over [bounds] hold_max %s", e.GrantTTL, e.MaxGrantTTL)
+		return nil, eris.Errorf("[ownership] hold %s exceeds [bounds] hold_max %s", e.GrantTTL, e.MaxGrantTTL)
 	}
 	return e, nil
 }
 
-// boolean reads true or false.
+// boolean reads a Boolean value.
 func (r *reader) boolean(section, key string) bool {
 	v := r.str(section, key)
 	if r.err != nil {
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Whatever a settings file holds, it is refused with an error or gives
-// settings that keep the promises made of them; it never ends the process.
+// Any input must be rejected with an error or yield settings within their
+// documented bounds, without a panic.
 func FuzzParseEntry(f *testing.F) {
 	f.Add([]byte("[host]\nname = h\ndata_centre = d\nlisten = 127.0.0.1:1\nready_listen = 127.0.0.1:2\npeer_listen = 127.0.0.1:3\nmetrics_listen = 127.0.0.1:4\n[log]\naddr = 127.0.0.1:5\n"))
 	f.Add([]byte("[ownership]\nhold = 20s\n[bounds]\nhold_max = 10s\n"))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,47 +10,48 @@
 	"gopkg.in/ini.v1"
 )
 
-// Daemon holds the entry-host daemon's settings.
+// Daemon holds the settings of the entry-host daemon. Each field's comment
+// starts with its key in the file.
 type Daemon struct {
 	// [host]
-	Host        string // name: this entry host's name
-	DataCentre  string // data_centre: the data centre it runs in
+	Host        string // name: name of this entry host
+	DataCentre  string // data_centre: data centre of this host
 	Listen      string // listen: host:port for callers
-	AdminListen string // admin_listen: host:port for admin, metrics, health
+	AdminListen string // admin_listen: host:port for admin, metrics and health endpoints
 	LogLevel    string // log_level: debug, info, warn or error
 
 	// [log]
 	LogAddr      string        // addr: base URL of the log service
-	PollInterval time.Duration // poll_interval
+	PollInterval time.Duration // poll_interval: interval of reads from the log service
 
 	// [routing]
-	RequestTimeout time.Duration // request_timeout: largest deadline per request
-	AttemptTimeout time.Duration // attempt_timeout: first attempt of an idempotent request before a retry on a new connection
-	MaxViewAge     time.Duration // view_lease: oldest view for non-idempotent work
-	RetryAfter     time.Duration // retry_after: told to callers refused for a passing cause
-	GrantTTL       time.Duration // grant_lease: lease of a grant at a target
-	ProbeInterval  time.Duration // probe_interval
-	ProbeFailures  int           // probe_failures: failed probes in a row that mark an upstream down
+	RequestTimeout time.Duration // request_timeout: longest deadline of a request
+	AttemptTimeout time.Duration // attempt_timeout: time allowed for an idempotent request's first attempt before a retry on a new connection
+	MaxViewAge     time.Duration // view_lease: maximum age of the routing view for non-idempotent requests
+	RetryAfter     time.Duration // retry_after: sent to callers whose request is refused for a temporary cause
+	GrantTTL       time.Duration // grant_lease: TTL of a grant at a target
+	ProbeInterval  time.Duration // probe_interval: interval of health probes
+	ProbeFailures  int           // probe_failures: consecutive failed probes after which an upstream is marked down
 	SnapshotEvery  int           // snapshot_every: placement records between snapshots
-	// snapshot_interval: longest time between snapshots; keep it well under
+	// snapshot_interval: longest time between snapshots. It must be well below
 	// the log service's retention.
 	SnapshotInterval time.Duration
-	ShutdownGrace    time.Duration // shutdown_grace: how long a planned stop waits for requests in flight
+	ShutdownGrace    time.Duration // shutdown_grace: how long a graceful shutdown waits for requests in flight
 
 	// [hosts]
 	HostListAddr     string        // addr: base URL of the platform's host list, or "off"
-	HostListInterval time.Duration // poll_interval
+	HostListInterval time.Duration // poll_interval: interval of reads of the host list
 
 	// [membership]
-	HeartbeatInterval   time.Duration // heartbeat_interval: how often this host appends a heartbeat
-	HeartbeatTimeout    time.Duration // host_lease: how long a silent host still counts as alive
-	RenewersPerUpstream int           // renewers: live hosts that grant and probe each upstream
+	HeartbeatInterval   time.Duration // heartbeat_interval: interval at which this host appends heartbeats
+	HeartbeatTimeout    time.Duration // host_lease: time without a heartbeat after which a host counts as down
+	RenewersPerUpstream int           // renewers: number of live hosts that renew each upstream's grants and probe it
 
 	// [objectives]
-	LatencyObjective time.Duration // latency: a request answered later counts as slow
+	LatencyObjective time.Duration // latency: a request that takes longer counts as slow
 }
 
-// schema lists every allowed section and key with its default ("" means
+// daemonSchema lists every allowed section and key with its default ("" means
 // required).
 var daemonSchema = map[string]map[string]string{
 	"host": {"name": "", "data_centre": "", "listen": "", "admin_listen": "", "log_level": "info"},
@@ -62,7 +63,7 @@
 	"objectives": {"latency": "16ms"},
 }
 
-// LoadDaemon reads and checks the settings file at path.
+// LoadDaemon reads and validates the settings file at path.
 func LoadDaemon(path string) (*Daemon, error) {
 	file, err := ini.Load(path)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return d, eris.Wrapf(err, "settings %s", path)
 }
 
-// ParseDaemon reads and checks settings from INI text.
+// ParseDaemon parses and validates settings from INI text.
 func ParseDaemon(data []byte) (*Daemon, error) {
 	file, err := ini.Load(data)
 	if err != nil {
@@ -81,6 +82,8 @@
 	return daemonFromFile(file)
 }
 
+// reader reads values of a settings file and their defaults. It keeps the first
+// error in err; all reads after it return zero values.
 type reader struct {
 	file   *ini.File
 	schema map[string]map[string]string
@@ -120,7 +123,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < 1 {
-		r.err = eris.Errorf("[%s] %s = %q: want a whole number of 1 or more", section, key, v)
+		r.err = eris.Errorf("[%s] %s = %q: want an integer of 1 or more", section, key, v)
 	}
 	return n
 }
@@ -148,7 +151,7 @@
 	return v
 }
 
-// HostListOff as [hosts] addr means no host list is read.
+// HostListOff is the value of [hosts] addr that disables reading the host list.
 const HostListOff = "off"
 
 func (r *reader) optionalURL(section, key string) string {
@@ -158,7 +161,7 @@
 	return r.baseURL(section, key)
 }
 
-// rejectUnknownKeys refuses sections and keys the schema does not list.
+// rejectUnknownKeys returns an error for a section or key that is not in the schema.
 func rejectUnknownKeys(file *ini.File, schema map[string]map[string]string) error {
 	for _, sec := range file.Sections() {
 		if sec.Name() == ini.DefaultSection {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,8 +17,7 @@
 	}
 }
 
-// TestInvalidSettingsErrorNamesKey checks that a bad file gives one error that
-// names the section and key at fault.
+// The error for an invalid settings file must name the section and key at fault.
 func TestInvalidSettingsErrorNamesKey(t *testing.T) {
 	base, err := os.ReadFile("../../examples/papayatided.ini")
 	if err != nil {
