--- a/internal/events/catalogue_test.go
+++ b/internal/events/catalogue_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// eventNumbers returns the numbers of this package's constants by name.
+// eventNumbers returns the values of this package's constants by name.
 func eventNumbers(t *testing.T) map[string]string {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), "events.go", nil, 0)
@@ -28,7 +28,8 @@
 	return out
 }
 
-// loggedEvents returns the names of this package's constants that other code uses.
+// loggedEvents returns the names of this package's constants that code outside
+// of tests uses.
 func loggedEvents(t *testing.T) map[string]bool {
 	t.Helper()
 	out := map[string]bool{}
@@ -49,8 +50,8 @@
 	return out
 }
 
-// On-call looks a logged number up in the catalogue: each number that is
-// logged is in it, and each that is in it is logged.
+// Operators look up logged event numbers in docs/EVENTS.md. It must list every
+// event that is logged and no other.
 func TestEveryEventIsCatalogued(t *testing.T) {
 	doc, err := os.ReadFile("../../docs/EVENTS.md")
 	if err != nil {
@@ -60,20 +61,20 @@
 	for _, m := range regexp.MustCompile(`(?m)^\| (\d+) \|`).FindAllStringSubmatch(string(doc), -1) {
 		catalogued[m[1]] = true
 	}
-	used := loggedEvents(t)
-	known := map[string]bool{}
+	logged := loggedEvents(t)
+	defined := map[string]bool{}
 	for name, number := range eventNumbers(t) {
-		known[number] = true
-		if !used[name] {
-			t.Errorf("%s (%s) is never logged", name, number)
+		defined[number] = true
+		if !logged[name] {
+			t.Errorf("%s (%s) is not logged by any code", name, number)
 		}
 		if !catalogued[number] {
 			t.Errorf("%s (%s) is not in docs/EVENTS.md", name, number)
 		}
 	}
 	for number := range catalogued {
-		if !known[number] {
-			t.Errorf("docs/EVENTS.md has %s, which is no event", number)
+		if !defined[number] {
+			t.Errorf("docs/EVENTS.md lists %s, which is not an event number", number)
 		}
 	}
 }
--- a/internal/events/doc.go
+++ b/internal/events/doc.go
@@ -1,4 +1,4 @@
-// Package events numbers the events papayatide logs. Every log line carries
-// one number in its "event" field; docs/EVENTS.md catalogues them all, so an
-// operator can search by number rather than by wording.
+// Package events defines the numbers of the events that papayatide logs. Every
+// log line has its number in the field "event". docs/EVENTS.md lists all events,
+// so that operators can search logs by number instead of by message.
 package events
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,6 +1,7 @@
 package events
 
-// Event numbers. Numbers are never reused; retired ones stay in docs/EVENTS.md.
+// Event numbers. Numbers are never reused; retired ones stay listed in
+// docs/EVENTS.md.
 const (
 	// 1xx: process lifecycle.
 	Started = 100
@@ -36,7 +37,7 @@
 
 // Events of an entry host on the platform.
 const (
-	// 6xx: what the host believes.
+	// 6xx: the host's state and its view of the fleet.
 	EntryHostStarted        = 600
 	EntryHostStopping       = 601
 	EntryHostStopped        = 602
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain tells the story of one request from the hosts' logs: its
-// own lines, and what its host came to believe around it.
+// Package explain reconstructs the timeline of a request from the hosts' logs:
+// the request's own lines, and its context, which are the changes of state near
+// it on its hosts and on the planner.
 package explain
 
 import (
@@ -16,18 +17,20 @@
 
 // Line is one log line of a host.
 type Line struct {
-	// Host is the host's name where the log says it: from the line's host
-	// field, or from what stands before the JSON.
+	// Host is the last word before the JSON object, or else the line's host
+	// field.
 	Host string
-	// At is the line's time in seconds.
-	At     float64
-	Event  int
+	// At is the line's timestamp in seconds.
+	At    float64
+	Event int
+	// Text is the line's message.
 	Text   string
 	fields map[string]any
-	seq    int
+	// seq is the line's position in its input.
+	seq int
 }
 
-// Field returns a field as text, or "".
+// Field returns the value of a field as text, or "" if the line lacks it.
 func (l *Line) Field(name string) string {
 	v, ok := l.fields[name]
 	if !ok {
@@ -37,20 +40,19 @@
 }
 
 const (
-	// maxLineBytes bounds a log line.
+	// maxLineBytes is the longest log line that is read.
 	maxLineBytes = 1 << 20
-	// contextBeforeSeconds is how many seconds before a request's end
-	// is looked at for changes of belief,
+	// A request's context starts contextBeforeSeconds before and ends
+	// contextAfterSeconds after its log line, which is written at its end.
 	contextBeforeSeconds = 3.0
-	// contextAfterSeconds is how many seconds after its end.
-	contextAfterSeconds = 1.0
-	// firstRequestEvent and lastRequestEvent bound the events of requests.
+	contextAfterSeconds  = 1.0
+	// Range of the event numbers of requests; see package events.
 	firstRequestEvent, lastRequestEvent = 800, 899
 )
 
-// Read reads log lines. What stands before the JSON object, such as a time
-// and a host's name added by a log collector, is kept as the host; lines
-// without one are passed over.
+// Read parses log lines. A log collector may put a prefix that ends in the
+// host's name before the JSON object. Lines without a JSON object that has an
+// event number are skipped.
 func Read(r io.Reader) ([]*Line, error) {
 	var out []*Line
 	sc := bufio.NewScanner(r)
@@ -64,6 +66,7 @@
 	return out, eris.Wrap(sc.Err(), "read log")
 }
 
+// parseLine returns nil if data is not the log line of an event.
 func parseLine(data []byte) *Line {
 	i := bytes.IndexByte(data, '{')
 	if i < 0 {
@@ -80,16 +83,17 @@
 	l.Event = int(event)
 	l.At, _ = l.fields["ts"].(float64)
 	l.Text, _ = l.fields["msg"].(string)
-	if before := strings.Fields(string(data[:i])); len(before) > 0 {
-		l.Host = before[len(before)-1]
+	if prefix := strings.Fields(string(data[:i])); len(prefix) > 0 {
+		l.Host = prefix[len(prefix)-1]
 	} else {
 		l.Host = l.Field("host")
 	}
 	return l
 }
 
-// Causes returns why each request ended as it did, for those whose lines say
-// so: the refusal's cause, or the upstream's failure.
+// Causes returns the logged cause of each request's outcome by request ID: the
+// cause of its refusal, or the message with the upstream's status. Requests
+// whose lines have neither are left out.
 func Causes(lines []*Line) map[string]string {
 	out := map[string]string{}
 	for _, l := range lines {
@@ -107,52 +111,55 @@
 	return out
 }
 
-// Timeline is what the logs say of one request.
+// Timeline holds the log lines that explain one request.
 type Timeline struct {
-	// RequestLines are the request's lines on all hosts, Around the changes of
-	// belief on those hosts that concern its service or upstream.
+	// RequestLines are the request's own lines on all hosts. ContextLines are
+	// the lines about its service or upstream near them in time, on the same
+	// hosts and on the planner.
 	RequestLines, ContextLines []*Line
 }
 
-// Find returns the story of the request with the given ID.
+// Find returns the timeline of the request with the given ID. RequestLines is
+// empty if no line has the ID.
 func Find(lines []*Line, id string) Timeline {
-	var s Timeline
+	var t Timeline
 	for _, l := range lines {
 		if l.Field("request") == id {
-			s.RequestLines = append(s.RequestLines, l)
+			t.RequestLines = append(t.RequestLines, l)
 		}
 	}
 	for _, l := range lines {
-		if !isRequestEvent(l) && s.isContext(l) {
-			s.ContextLines = append(s.ContextLines, l)
+		if !isRequestEvent(l) && t.isContext(l) {
+			t.ContextLines = append(t.ContextLines, l)
 		}
 	}
-	return s
+	return t
 }
 
 func isRequestEvent(l *Line) bool { return l.Event >= firstRequestEvent && l.Event <= lastRequestEvent }
 
-// isContext reports whether a line belongs beside the request's own.
-func (s *Timeline) isContext(l *Line) bool {
-	for _, own := range s.RequestLines {
-		if l.At < own.At-contextBeforeSeconds || l.At > own.At+contextAfterSeconds {
+// isContext reports whether l is near one of the request's lines in time, from
+// the same host or from the planner, and not about another service or upstream.
+func (t *Timeline) isContext(l *Line) bool {
+	for _, request := range t.RequestLines {
+		if l.At < request.At-contextBeforeSeconds || l.At > request.At+contextAfterSeconds {
 			continue
 		}
-		onPlanner := l.Event >= 700 && l.Event < 800
-		if l.Host != own.Host && !onPlanner {
+		plannerEvent := l.Event >= 700 && l.Event < 800
+		if l.Host != request.Host && !plannerEvent {
 			continue
 		}
 		service, peer := l.Field("service"), l.Field("peer")
-		if (service == "" || service == own.Field("service")) && (peer == "" || peer == own.Field("peer")) {
+		if (service == "" || service == request.Field("service")) && (peer == "" || peer == request.Field("peer")) {
 			return true
 		}
 	}
 	return false
 }
 
-// Write tells the story in order of time.
-func (s Timeline) Write(w io.Writer) error {
-	all := append(append([]*Line(nil), s.RequestLines...), s.ContextLines...)
+// Write prints all lines in order of time, with a ">" before the request's own.
+func (t Timeline) Write(w io.Writer) error {
+	all := append(append([]*Line(nil), t.RequestLines...), t.ContextLines...)
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].At != all[j].At {
 			return all[i].At < all[j].At
@@ -171,7 +178,8 @@
 	return nil
 }
 
-// details returns the line's other fields, sorted by name.
+// details returns the fields that Write does not print by themselves, sorted by
+// name.
 func (l *Line) details() string {
 	var names []string
 	for name := range l.fields {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -15,9 +15,9 @@
   9.9 host-a {"level":"info","ts":140.0,"msg":"ownership adopted","event":640,"service":"s","fence":9}
 `
 
-// On-call has a request's ID and the hosts' logs. The story holds the
-// request's line, what its own host came to believe of its service, and what
-// the planner did, in order; nothing of other requests, services or times.
+// The timeline of a request must hold, in order of time, its own line, changes
+// of its service on its host, and the planner's changes. It must leave out lines
+// of other requests, services and times.
 func TestTimelineHoldsRequestAndContext(t *testing.T) {
 	lines, err := Read(strings.NewReader(testLogs))
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	got := strings.Split(strings.TrimSpace(b.String()), "\n")
 	if len(got) != 3 || !strings.Contains(got[0], "640") || !strings.Contains(got[1], "704") || !strings.HasPrefix(got[2], "> ") {
-		t.Errorf("story:\n%s", b.String())
+		t.Errorf("timeline:\n%s", b.String())
 	}
 	if !strings.Contains(got[2], "cause=the key is changing hands") {
 		t.Errorf("the cause is missing: %s", got[2])
