--- a/internal/bootclock/clock.go
+++ b/internal/bootclock/clock.go
@@ -1,10 +1,10 @@
-// Package bootclock reads a clock that keeps counting while the host is
+// Package bootclock reads a clock that keeps running while the host is
 // suspended.
 //
-// Go's monotonic clock stops during a suspend. A host that woke up after
-// ten seconds would take a lease it held before for fresh and renew grants
-// that another host has already given away. Everything that bounds a lease
-// is therefore measured with this clock.
+// Go's monotonic clock stops during a suspend. A planner that resumes after ten
+// seconds would regard its planner lease as valid and renew grants of keys that
+// another host has granted anew. Leases and grants are therefore timed with this
+// clock.
 package bootclock
 
 import (
@@ -13,14 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time is a reading in time since boot, suspends included.
+// Time is the time since boot, including suspends.
 type Time time.Duration
 
-// Clock returns the present reading. Tests pass their own.
+// Clock returns the current time. Tests replace it.
 type Clock func() Time
 
-// Now reads CLOCK_BOOTTIME. If the kernel refuses it, the monotonic clock
-// since process start stands in; suspends then go unnoticed.
+// Now reads CLOCK_BOOTTIME. If that fails, Now returns the monotonic time since
+// the start of the process, which does not include suspends.
 func Now() Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/bootclock/wallclock_test.go
+++ b/internal/bootclock/wallclock_test.go
@@ -11,20 +11,21 @@
 	"testing"
 )
 
-// readsTimeOfDay are the calls that take the time of day out of a time. All
-// others compare the steady clock's readings that time.Now returns beside it.
+// wallClockMethods are the methods that read the wall clock of a time.Time or strip
+// its monotonic clock. Methods such as Sub and Before use the monotonic clock.
 var wallClockMethods = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro", "Round", "Truncate", "UTC", "Local", "In"}
 
-// mayRead are the places that may, and why.
+// wallClockAllowed lists the paths whose code may read the wall clock, with the
+// reason.
 var wallClockAllowed = map[string]string{
-	"internal/crashes/record.go": "an end counts for a day, also at hosts that start later; a jump of seconds is nothing to that",
-	"internal/target/client.go":  "targets of the own interface are told deadlines as times of day",
-	"internal/standin":           "stand-ins, not the product",
-	"internal/soak":              "the harness, not the product",
+	"internal/crashes/record.go": "crash records count for a day, also on hosts that start later; clock jumps of seconds do not matter",
+	"internal/target/client.go":  "deadlines are sent to targets as wall-clock times",
+	"internal/standin":           "test stand-ins, not part of the product",
+	"internal/soak":              "test harness, not part of the product",
 }
 
-// The time of day jumps by seconds, either way. A repeat budget that was counted
-// by it was spent twice after a jump: nothing that decides may read it.
+// The wall clock may jump by seconds in either direction. A retry budget timed by
+// it was spent twice after a jump, so no code that makes decisions may read it.
 func TestNoWallClockReads(t *testing.T) {
 	for _, dir := range []string{"internal", "platform", "cmd"} {
 		err := filepath.WalkDir(filepath.Join("../..", dir), func(path string, d fs.DirEntry, err error) error {
@@ -32,7 +33,7 @@
 				return err
 			}
 			for at := range findWallClockReads(t, path) {
-				t.Errorf("%s reads the time of day", at)
+				t.Errorf("%s reads the wall clock", at)
 			}
 			return nil
 		})
@@ -42,10 +43,11 @@
 	}
 }
 
+// findWallClockReads returns the positions of the file's wall clock reads.
 func findWallClockReads(t *testing.T, path string) map[string]bool {
 	t.Helper()
-	for place := range wallClockAllowed {
-		if strings.Contains(filepath.ToSlash(path), place) {
+	for allowed := range wallClockAllowed {
+		if strings.Contains(filepath.ToSlash(path), allowed) {
 			return nil
 		}
 	}
@@ -69,7 +71,7 @@
 	return out
 }
 
-// isPackageSelector reports whether the selector is of one of the packages.
+// isPackageSelector reports whether sel selects a name of one of the packages.
 func isPackageSelector(sel *ast.SelectorExpr, names ...string) bool {
 	id, ok := sel.X.(*ast.Ident)
 	return ok && id.Obj == nil && slices.Contains(names, id.Name)
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,5 +1,6 @@
-// Package view holds what this host believes about the fleet, as one
-// immutable snapshot that traffic reads without locks.
+// Package view holds this host's current state of the fleet: the desired state,
+// the upstreams and the ownership tables. It is published as an immutable
+// snapshot that request handling reads without locks.
 package view
 
 import (
@@ -11,23 +12,25 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// View is one snapshot. Its parts are nil or empty until first read.
+// View is one immutable snapshot. Each part is nil or empty until its stream has
+// been read.
 type View struct {
 	Desired   *desired.State
 	Upstreams *catalogue.Snapshot
-	// Tables are the ownership tables by service.
+	// Tables holds the ownership tables by service name.
 	Tables map[string]*ownership.Table
-	// UpdatedAt is when the newest part was read.
+	// UpdatedAt is when the view was published.
 	UpdatedAt time.Time
-	// next is closed when a newer view is published.
+	// next is closed when this view is replaced.
 	next chan struct{}
 }
 
-// Changed returns a channel that is closed once the view is out of date.
+// Changed returns a channel that is closed when a newer view is published.
 func (v *View) Changed() <-chan struct{} { return v.next }
 
-// Owner returns the upstream that owns key of service and the fencing token
-// of its grant, or nil if nobody known does.
+// Owner returns the upstream that owns the key of a service, and the fencing
+// token of its grant. The upstream is nil if the key has no owner, or the owner
+// is not a known upstream.
 func (v *View) Owner(service string, key int) (*catalogue.Upstream, int64) {
 	t := v.Tables[service]
 	if t == nil {
@@ -37,28 +40,30 @@
 	return v.Upstreams.ByID[r.Owner], r.FencingToken
 }
 
-// Publisher publishes views. Publish is called by one goroutine only.
+// Publisher holds the current view. Load is safe for concurrent use; Publish must
+// be called by one goroutine only.
 type Publisher struct {
 	current atomic.Pointer[View]
 }
 
-// NewPublisher returns a holder of an empty view.
+// NewPublisher returns a publisher that holds an empty view.
 func NewPublisher() *Publisher {
-	h := &Publisher{}
-	h.current.Store(&View{Upstreams: catalogue.NewSnapshot(nil), Tables: map[string]*ownership.Table{}, next: make(chan struct{})})
-	return h
+	p := &Publisher{}
+	p.current.Store(&View{Upstreams: catalogue.NewSnapshot(nil), Tables: map[string]*ownership.Table{}, next: make(chan struct{})})
+	return p
 }
 
-// Load returns the present view.
-func (h *Publisher) Load() *View { return h.current.Load() }
+// Load returns the current view.
+func (p *Publisher) Load() *View { return p.current.Load() }
 
-// Publish replaces the view by what change makes of a copy of it.
-func (h *Publisher) Publish(change func(*View)) {
-	old := h.current.Load()
+// Publish applies change to a shallow copy of the current view and makes the copy
+// the current view.
+func (p *Publisher) Publish(change func(*View)) {
+	old := p.current.Load()
 	v := *old
 	v.next = make(chan struct{})
 	v.UpdatedAt = time.Now()
 	change(&v)
-	h.current.Store(&v)
+	p.current.Store(&v)
 	close(old.next)
 }
