--- a/internal/desired/desired.go
+++ b/internal/desired/desired.go
@@ -1,5 +1,5 @@
-// Package desired holds the desired state that operators publish: which
-// service serves which host and path, and under which limits.
+// Package desired defines the desired state that operators publish: which
+// service serves which host and path, and the limits that apply.
 package desired
 
 import (
@@ -8,57 +8,58 @@
 	"time"
 )
 
-// Share is one part of a route's traffic.
+// Share is the part of a route's traffic that goes to one service.
 type Share struct {
 	Service string
 	// Weight is relative to the sum over the route's shares.
 	Weight int
 }
 
-// Route says where requests for a host and path prefix go.
+// Route assigns the requests for a host and path prefix to services.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Idempotent requests may run more than once.
+	// Idempotent reports whether the route's requests may run more than once.
 	Idempotent bool
-	// Timeout is the longest a caller is kept waiting.
+	// Timeout is the longest that a caller waits for a response.
 	Timeout time.Duration
-	// LatencyObjective is the latency within which an answer is worth most.
+	// LatencyObjective is the latency that responses should not exceed.
 	LatencyObjective time.Duration
-	// Priority ranks routes; 0 is the most urgent.
+	// Priority orders routes by urgency; 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the upstreams one request may be sent to.
+	// MaxAttempts limits how many times one request may be sent to an upstream.
 	MaxAttempts int
-	// Shares has one entry, or several for split traffic.
+	// Shares has one entry, or several if the traffic is split.
 	Shares []Share
 }
 
 // Service is a group of upstreams.
 type Service struct {
 	Name string
-	// Keyed services divide their keys among their upstreams.
+	// Keyed reports whether the service's keys are divided among its upstreams.
 	Keyed bool
-	// WarmUp is how long keys are slow that arrive without a handover.
+	// WarmUp is how long requests for a key are slow after the key has moved to
+	// another upstream without a handover.
 	WarmUp time.Duration
-	// MaxConns bounds an upstream's connections from all hosts together.
+	// MaxConns limits the connections to one upstream from all hosts together.
 	MaxConns int
-	// SlowStart is what its upstreams bear after their start.
+	// SlowStart limits the requests to upstreams that have just started.
 	SlowStart SlowStart
 }
 
-// SlowStart is the time after its start, or after a pause, in which an upstream
-// is cold: slower than usual, and easily overloaded.
+// SlowStart describes the time after its start, or after a period without
+// requests, in which an upstream is cold: slower than usual and easily overloaded.
 type SlowStart struct {
-	// Duration is how long it takes.
+	// Duration is how long the upstream is cold.
 	Duration time.Duration
-	// PerSecond is how many requests a second a cold upstream bears from all
-	// hosts together; 0 if no bound is known.
+	// PerSecond is the rate limit of a cold upstream in requests per second from
+	// all hosts together; 0 if there is no known limit.
 	PerSecond float64
 }
 
-// Limits bound what callers may send.
+// Limits restricts the requests and connections of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -72,11 +73,11 @@
 	Services     map[string]*Service
 	Limits       Limits
 	routesByHost map[string][]*Route
-	// highestPriority is the highest rank of a route to each service.
+	// highestPriority is the lowest Priority value of the routes to each service.
 	highestPriority map[string]int
 }
 
-// New indexes routes by host, longest prefix first.
+// New returns a state whose routes are indexed by host, longest prefix first.
 func New(version int64, routes []*Route, services map[string]*Service, limits Limits) *State {
 	s := &State{Version: version, Services: services, Limits: limits, routesByHost: map[string][]*Route{}, highestPriority: map[string]int{}}
 	for _, r := range routes {
@@ -94,7 +95,8 @@
 	return s
 }
 
-// Match returns the route for a host (a port is ignored) and path, or nil.
+// Match returns the route with the longest prefix for a host and path, or nil. A
+// port in host is ignored.
 func (s *State) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -107,11 +109,11 @@
 	return nil
 }
 
-// HighestPriority returns the highest rank (lowest Priority) of the routes to a
-// service.
+// HighestPriority returns the highest priority (lowest Priority value) of the
+// routes to a service.
 func (s *State) HighestPriority(service string) int { return s.highestPriority[service] }
 
-// KeyedServices returns the names of the services divided by key, sorted.
+// KeyedServices returns the names of the keyed services, sorted.
 func (s *State) KeyedServices() []string {
 	var out []string
 	for name, svc := range s.Services {
--- a/internal/metastore/doc.go
+++ b/internal/metastore/doc.go
@@ -1,6 +1,6 @@
-// Package metastore defines what papayatide needs from the platform's log
-// service: streams of keyed records that can be followed, appended to under
-// a condition, and a group whose one seat elects the planner.
+// Package metastore defines the interface to the platform's log service that
+// papayatide needs: streams of keyed records that can be read as they grow and
+// appended to conditionally, and the election of the planner by a lease.
 //
-// The platform adapter and the in-memory stand-in both satisfy Store.
+// The platform adapter and the in-memory stand-in for tests implement Store.
 package metastore
