--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -54,10 +54,10 @@
 
 // dcState is the placement in force for one (service, data centre).
 type dcState struct {
-	state    placement.State
-	assign   *placement.Assignment
-	since    map[string]int64
-	handover map[int]time.Time
+	state         placement.State
+	assignment    *placement.Assignment
+	sinceEpoch    map[string]int64
+	handoverUntil map[int]time.Time
 }
 
 // Control-traffic counters, read by scripts/capacity.sh for docs/CAPACITY.md.
@@ -71,46 +71,46 @@
 
 // Loop is the control loop. Create it with New and run it with Run.
 type Loop struct {
-	opts    Options
-	logc    *logservice.Client
-	targets *target.Client
-	zl      *zap.Logger
-	table   atomic.Pointer[routing.Table]
-	wake    chan struct{}
+	opts      Options
+	logClient *logservice.Client
+	targets   *target.Client
+	logger    *zap.Logger
+	table     atomic.Pointer[routing.Table]
+	wake      chan struct{}
 
 	// Everything below is owned by the Run goroutine.
-	man         *manifest.Manifest
-	manOffset   int64
-	manNext     int64
-	placeNext   int64
-	sinceSnap   int
-	lastSnap    time.Time
-	states      map[string]*dcState
-	homes       map[string][]uint8
-	health      map[string]*health
-	viewAt      time.Time
-	logDown     bool
-	lastProbe   time.Time
-	lastPropose map[string]time.Time
-	// granted maps an upstream to the epoch of the last full grant it
+	manifest             *manifest.Manifest
+	manifestOffset       int64
+	nextManifest         int64
+	nextPlacement        int64
+	recordsSinceSnapshot int
+	lastSnapshot         time.Time
+	states               map[string]*dcState
+	homes                map[string][]uint8
+	health               map[string]*health
+	viewAt               time.Time
+	logDown              bool
+	lastProbe            time.Time
+	lastProposal         map[string]time.Time
+	// grantedEpoch maps an upstream to the epoch of the last full grant it
 	// accepted; later rounds at that epoch send only a renewal.
-	granted map[string]int64
+	grantedEpoch map[string]int64
 	// leaving are target addresses the platform's host list says are
 	// leaving.
 	leaving      map[string]bool
 	lastHostList time.Time
-	// hosts is the view of live entry hosts, from heartbeats.
-	hosts         *membership.View
-	hostsNext     int64
+	// liveHosts is the view of live entry hosts, from heartbeats.
+	liveHosts     *membership.View
+	nextHeartbeat int64
 	lastHeartbeat time.Time
 }
 
 // New returns a control loop.
 func New(opts Options, logc *logservice.Client, targets *target.Client, zl *zap.Logger) *Loop {
-	return &Loop{opts: opts, logc: logc, targets: targets, zl: zl, wake: make(chan struct{}, 1),
-		manOffset: -1, states: map[string]*dcState{}, homes: map[string][]uint8{},
-		health: map[string]*health{}, lastPropose: map[string]time.Time{}, granted: map[string]int64{},
-		hosts: membership.NewView(opts.HeartbeatTimeout.Milliseconds())}
+	return &Loop{opts: opts, logClient: logc, targets: targets, logger: zl, wake: make(chan struct{}, 1),
+		manifestOffset: -1, states: map[string]*dcState{}, homes: map[string][]uint8{},
+		health: map[string]*health{}, lastProposal: map[string]time.Time{}, grantedEpoch: map[string]int64{},
+		liveHosts: membership.NewView(opts.HeartbeatTimeout.Milliseconds())}
 }
 
 // Table returns the routing table in force, or nil before the first
@@ -143,7 +143,7 @@
 
 func (l *Loop) tick(ctx context.Context, now time.Time) {
 	changed, err := l.readLog(ctx)
-	l.noteLog(err, now)
+	l.updateLogStatus(err, now)
 	// Grants go out before the table that routes by them, so a target
 	// holds the new epoch's grant before this host sends it that token.
 	// They are renewed through a log outage too: no one can change the
@@ -153,7 +153,7 @@
 	// are not members get a plain probe at the same pace.
 	if changed || now.Sub(l.lastProbe) >= l.opts.ProbeInterval {
 		l.lastProbe = now
-		l.grant(ctx)
+		l.sendGrants(ctx)
 	}
 	// A successful read refreshes the view's age even when nothing changed.
 	if changed || err == nil {
@@ -165,12 +165,12 @@
 	if err != nil {
 		return
 	}
-	if l.man != nil {
+	if l.manifest != nil {
 		l.propose(ctx, now)
-		l.snapshot(ctx, now)
+		l.appendSnapshotIfDue(ctx, now)
 	}
 	if due(&l.lastHeartbeat, l.opts.HeartbeatInterval, now) {
-		l.heartbeat(ctx)
+		l.appendHeartbeat(ctx)
 	}
 }
 
@@ -184,14 +184,14 @@
 	return true
 }
 
-// noteLog records whether the last read of the log succeeded, logging
+// updateLogStatus records whether the last read of the log succeeded, logging
 // only the changes between reachable and unreachable.
-func (l *Loop) noteLog(err error, now time.Time) {
+func (l *Loop) updateLogStatus(err error, now time.Time) {
 	switch {
 	case err != nil && !l.logDown:
-		l.zl.Warn("log service unreachable", zap.Int("event", events.LogUnreachable), zap.Error(err))
+		l.logger.Warn("log service unreachable", zap.Int("event", events.LogUnreachable), zap.Error(err))
 	case err == nil && l.logDown:
-		l.zl.Info("log service reachable again", zap.Int("event", events.LogRecovered))
+		l.logger.Info("log service reachable again", zap.Int("event", events.LogRecovered))
 	}
 	l.logDown = err != nil
 	if err == nil {
@@ -224,19 +224,19 @@
 		if *next == 0 {
 			return // a host that starts late expects to find the beginning gone
 		}
-		l.zl.Warn("records passed retention unread", zap.Int("event", events.RecordsGap),
+		l.logger.Warn("records passed retention unread", zap.Int("event", events.RecordsGap),
 			zap.String("stream", stream), zap.Int64("from", *next), zap.Int64("first", first))
 	}
 	var err error
-	*next, err = l.logc.Scan(ctx, stream, *next, gap, func(rec *logsvcpb.Record) { changed = apply(rec) || changed })
+	*next, err = l.logClient.Scan(ctx, stream, *next, gap, func(rec *logsvcpb.Record) { changed = apply(rec) || changed })
 	return changed, err
 }
 
 func (l *Loop) readManifests(ctx context.Context) (bool, error) {
-	return l.tail(ctx, logservice.StreamManifests, &l.manNext, func(rec *logsvcpb.Record) bool {
+	return l.tail(ctx, logservice.StreamManifests, &l.nextManifest, func(rec *logsvcpb.Record) bool {
 		m, err := manifest.Parse(rec.Data)
 		if err != nil {
-			l.zl.Warn("manifest refused", zap.Int("event", events.ManifestRejected), zap.Int64("offset", rec.Offset), zap.Error(err))
+			l.logger.Warn("manifest refused", zap.Int("event", events.ManifestRejected), zap.Int64("offset", rec.Offset), zap.Error(err))
 			return false
 		}
 		l.adoptManifest(m, rec.Offset)
@@ -245,10 +245,10 @@
 }
 
 func (l *Loop) adoptManifest(m *manifest.Manifest, offset int64) {
-	l.man, l.manOffset = m, offset
+	l.manifest, l.manifestOffset = m, offset
 	// A manifest can change shard lists without a new epoch (new weights),
 	// so every upstream gets a full grant again.
-	clear(l.granted)
+	clear(l.grantedEpoch)
 	l.homes = map[string][]uint8{}
 	for i := range m.Services {
 		l.homes[m.Services[i].Name] = placement.Homes(&m.Services[i], m.DataCentres)
@@ -256,5 +256,5 @@
 	for _, st := range l.states {
 		l.reassign(st, st.state)
 	}
-	l.zl.Info("manifest adopted", zap.Int("event", events.ManifestAdopted), zap.Int64("offset", offset), zap.Stringer("manifest", m))
+	l.logger.Info("manifest adopted", zap.Int("event", events.ManifestAdopted), zap.Int64("offset", offset), zap.Stringer("manifest", m))
 }
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -20,40 +20,40 @@
 	defer cancel()
 	leaving, err := l.opts.HostList.Leaving(ctx)
 	if err != nil {
-		l.zl.Debug("host list unreadable", zap.Int("event", events.HostListFailed), zap.Error(err))
+		l.logger.Debug("host list unreadable", zap.Int("event", events.HostListFailed), zap.Error(err))
 		return
 	}
 	l.leaving = leaving
 }
 
-func (l *Loop) heartbeat(ctx context.Context) {
+func (l *Loop) appendHeartbeat(ctx context.Context) {
 	data, err := (&membership.Heartbeat{Host: l.opts.Host, DataCentre: l.opts.DataCentre}).Encode()
 	if err != nil {
 		return
 	}
 	logAppends.Inc()
-	if _, err := l.logc.Append(ctx, logservice.StreamEntryHosts, data); err != nil {
-		l.zl.Debug("heartbeat not written", zap.Int("event", events.HeartbeatFailed), zap.Error(err))
+	if _, err := l.logClient.Append(ctx, logservice.StreamEntryHosts, data); err != nil {
+		l.logger.Debug("heartbeat not written", zap.Int("event", events.HeartbeatFailed), zap.Error(err))
 	}
 }
 
 func (l *Loop) readHeartbeats(ctx context.Context) error {
-	_, err := l.tail(ctx, logservice.StreamEntryHosts, &l.hostsNext, func(rec *logsvcpb.Record) bool {
-		_ = l.hosts.Observe(rec.Data, rec.UnixMs)
+	_, err := l.tail(ctx, logservice.StreamEntryHosts, &l.nextHeartbeat, func(rec *logsvcpb.Record) bool {
+		_ = l.liveHosts.Observe(rec.Data, rec.UnixMs)
 		return false
 	})
 	return err
 }
 
-// renews says whether this host grants and probes the named upstream: the
+// isRenewer says whether this host grants and probes the named upstream: the
 // Renewers live hosts of its data centre with the highest rendezvous score
 // for it do. Sharing the work keeps each host's control cost from growing
 // with all of its data centre's upstreams; with fewer live hosts known
 // (at start, before any heartbeat is read) this host does all of it.
-func (l *Loop) renews(upstream string) bool {
+func (l *Loop) isRenewer(upstream string) bool {
 	if l.opts.RenewersPerUpstream <= 0 {
 		return true
 	}
-	alive := l.hosts.Alive(l.opts.DataCentre, l.opts.Host)
+	alive := l.liveHosts.Alive(l.opts.DataCentre, l.opts.Host)
 	return slices.Contains(placement.Pick(upstream, alive, l.opts.RenewersPerUpstream), l.opts.Host)
 }
--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -19,10 +19,10 @@
 )
 
 func (l *Loop) readPlacement(ctx context.Context) (bool, error) {
-	return l.tail(ctx, logservice.StreamPlacement, &l.placeNext, func(rec *logsvcpb.Record) bool {
+	return l.tail(ctx, logservice.StreamPlacement, &l.nextPlacement, func(rec *logsvcpb.Record) bool {
 		r, err := placement.DecodeRecord(rec.Data)
 		if err != nil {
-			l.zl.Warn("placement record refused", zap.Int("event", events.PlacementRejected), zap.Int64("offset", rec.Offset), zap.Error(err))
+			l.logger.Warn("placement record refused", zap.Int("event", events.PlacementRejected), zap.Int64("offset", rec.Offset), zap.Error(err))
 			return false
 		}
 		l.applyRecord(r, rec.Offset)
@@ -33,12 +33,12 @@
 func (l *Loop) applyRecord(r *placement.Record, offset int64) {
 	switch r.Kind {
 	case placement.KindMembers:
-		l.sinceSnap++
+		l.recordsSinceSnapshot++
 		s := *r.State
 		s.Epoch = offset
 		l.setState(s)
 	case placement.KindSnapshot:
-		l.sinceSnap, l.lastSnap = 0, time.Now()
+		l.recordsSinceSnapshot, l.lastSnapshot = 0, time.Now()
 		for _, s := range r.States {
 			if cur := l.states[s.Key()]; cur == nil || cur.state.Epoch < s.Epoch {
 				l.setState(s)
@@ -50,11 +50,11 @@
 func (l *Loop) setState(s placement.State) {
 	st := l.states[s.Key()]
 	if st == nil {
-		st = &dcState{since: map[string]int64{}, handover: map[int]time.Time{}}
+		st = &dcState{sinceEpoch: map[string]int64{}, handoverUntil: map[int]time.Time{}}
 		l.states[s.Key()] = st
 	}
 	l.reassign(st, s)
-	l.zl.Info("placement adopted", zap.Int("event", events.PlacementAdopted), zap.String("service", s.Service),
+	l.logger.Info("placement adopted", zap.Int("event", events.PlacementAdopted), zap.String("service", s.Service),
 		zap.String("data_centre", s.DataCentre), zap.Int64("epoch", s.Epoch), zap.Strings("members", s.Members))
 }
 
@@ -62,65 +62,65 @@
 // force. Shards that change owner enter handover for one grant lease: the
 // old owner may hold a live grant for them until it lapses.
 func (l *Loop) reassign(st *dcState, s placement.State) {
-	old := st.assign
+	old := st.assignment
 	st.state = s
-	if l.man == nil {
+	if l.manifest == nil {
 		return
 	}
-	svc := l.man.Service(s.Service)
-	dc := slices.Index(l.man.DataCentres, s.DataCentre)
+	svc := l.manifest.Service(s.Service)
+	dc := slices.Index(l.manifest.DataCentres, s.DataCentre)
 	if svc == nil || dc < 0 {
-		st.assign = nil
+		st.assignment = nil
 		return
 	}
-	st.assign = placement.Update(old, svc, s.Members, s.Epoch, l.homes[svc.Name], uint8(dc))
+	st.assignment = placement.Update(old, svc, s.Members, s.Epoch, l.homes[svc.Name], uint8(dc))
 	now := time.Now()
-	for shard, until := range st.handover {
+	for shard, until := range st.handoverUntil {
 		if now.After(until) {
-			delete(st.handover, shard)
+			delete(st.handoverUntil, shard)
 		}
 	}
-	if old == nil || old.Shards() != st.assign.Shards() {
-		for _, m := range st.assign.Members {
-			st.since[m.Name] = s.Epoch
+	if old == nil || old.Shards() != st.assignment.Shards() {
+		for _, m := range st.assignment.Members {
+			st.sinceEpoch[m.Name] = s.Epoch
 		}
 		return
 	}
 	until := now.Add(l.opts.GrantTTL)
 	changed := map[string]bool{}
-	for _, shard := range placement.Moved(old, st.assign) {
+	for _, shard := range placement.Moved(old, st.assignment) {
 		if o := old.Owner(shard); o != nil {
 			changed[o.Name] = true
-			st.handover[shard] = until
+			st.handoverUntil[shard] = until
 		}
-		if n := st.assign.Owner(shard); n != nil {
+		if n := st.assignment.Owner(shard); n != nil {
 			changed[n.Name] = true
 		}
 	}
-	for _, m := range st.assign.Members {
-		if _, ok := st.since[m.Name]; !ok || changed[m.Name] {
-			st.since[m.Name] = s.Epoch
+	for _, m := range st.assignment.Members {
+		if _, ok := st.sinceEpoch[m.Name]; !ok || changed[m.Name] {
+			st.sinceEpoch[m.Name] = s.Epoch
 		}
 	}
 }
 
 // publish builds and stores a new routing table from the state in force.
 func (l *Loop) publish() {
-	if l.man == nil {
+	if l.manifest == nil {
 		return
 	}
-	t := &routing.Table{Manifest: l.man, ManifestOffset: l.manOffset, Services: map[string]*routing.Service{}, ViewAt: l.viewAt}
-	for i := range l.man.Services {
-		svc := &l.man.Services[i]
-		rs := &routing.Service{Spec: svc, Homes: l.homes[svc.Name], ByDC: make([]*placement.Assignment, len(l.man.DataCentres)),
+	t := &routing.Table{Manifest: l.manifest, ManifestOffset: l.manifestOffset, Services: map[string]*routing.Service{}, ViewAt: l.viewAt}
+	for i := range l.manifest.Services {
+		svc := &l.manifest.Services[i]
+		rs := &routing.Service{Spec: svc, Homes: l.homes[svc.Name], ByDC: make([]*placement.Assignment, len(l.manifest.DataCentres)),
 			HandoverUntil: map[int]time.Time{}}
-		for d, dc := range l.man.DataCentres {
+		for d, dc := range l.manifest.DataCentres {
 			st := l.states[svc.Name+"/"+dc]
-			if st == nil || st.assign == nil {
+			if st == nil || st.assignment == nil {
 				continue
 			}
-			rs.ByDC[d] = st.assign
-			for shard, until := range st.handover {
+			rs.ByDC[d] = st.assignment
+			for shard, until := range st.handoverUntil {
 				rs.HandoverUntil[shard] = until
 			}
 		}
@@ -133,36 +133,36 @@
 // whose wanted members differ from those in force. At most one proposal per
 // key per poll interval, so a host that keeps losing races backs off.
 func (l *Loop) propose(ctx context.Context, now time.Time) {
-	for i := range l.man.Services {
-		svc := &l.man.Services[i]
+	for i := range l.manifest.Services {
+		svc := &l.manifest.Services[i]
 		local := l.localUpstreams(svc)
 		if len(local) == 0 {
 			continue
 		}
 		key := svc.Name + "/" + l.opts.DataCentre
 		cur := l.states[key]
-		want, ready := l.wanted(local, cur)
+		want, ready := l.wantedMembers(local, cur)
 		if !ready || (cur != nil && slices.Equal(want, cur.state.Members)) {
 			continue
 		}
-		if now.Sub(l.lastPropose[key]) < l.opts.PollInterval {
+		if now.Sub(l.lastProposal[key]) < l.opts.PollInterval {
 			continue
 		}
-		l.lastPropose[key] = now
+		l.lastProposal[key] = now
 		s := placement.State{Service: svc.Name, DataCentre: l.opts.DataCentre, Members: want}
 		if cur != nil {
 			s.Drained = cur.state.Drained
 		}
-		l.append(ctx, &placement.Record{Kind: placement.KindMembers, State: &s})
+		l.appendRecord(ctx, &placement.Record{Kind: placement.KindMembers, State: &s})
 	}
 }
 
-// wanted returns the sorted members a (service, data centre) should have:
+// wantedMembers returns the sorted members a (service, data centre) should have:
 // every local upstream that is healthy, not drained and not leaving. Upstreams this host
 // does not renew keep the membership they have (their renewers judge
 // them; with no placement yet they count as members). It is not ready
 // until each upstream it renews has been probed at least once.
-func (l *Loop) wanted(local []manifest.Upstream, cur *dcState) ([]string, bool) {
+func (l *Loop) wantedMembers(local []manifest.Upstream, cur *dcState) ([]string, bool) {
 	var drained, members []string
 	if cur != nil {
 		drained, members = cur.state.Drained, cur.state.Members
@@ -172,7 +172,7 @@
 		if l.leaving[u.Addr] {
 			continue
 		}
-		if !l.renews(u.Name) {
+		if !l.isRenewer(u.Name) {
 			if (cur == nil || slices.Contains(members, u.Name)) && !slices.Contains(drained, u.Name) {
 				want = append(want, u.Name)
 			}
@@ -190,39 +190,39 @@
 	return want, true
 }
 
-// append writes rec at the stream's next offset. Losing the race is normal
+// appendRecord writes rec at the stream's next offset. Losing the race is normal
 // and left to the next read; a lost answer is also left to the next read,
 // which finds the record (by nonce) if it landed.
-func (l *Loop) append(ctx context.Context, rec *placement.Record) {
+func (l *Loop) appendRecord(ctx context.Context, rec *placement.Record) {
 	rec.By, rec.Nonce = l.opts.Host, rand.Uint64()
 	data, err := rec.Encode()
 	if err != nil {
 		return
 	}
 	logAppends.Inc()
-	off, err := l.logc.AppendAt(ctx, logservice.StreamPlacement, data, l.placeNext)
+	off, err := l.logClient.AppendAt(ctx, logservice.StreamPlacement, data, l.nextPlacement)
 	switch {
 	case err == nil:
-		l.zl.Info("placement proposed", zap.Int("event", events.PlacementProposed), zap.String("kind", rec.Kind), zap.Int64("offset", off))
+		l.logger.Info("placement proposed", zap.Int("event", events.PlacementProposed), zap.String("kind", rec.Kind), zap.Int64("offset", off))
 	case isConflict(err):
-		l.zl.Info("placement proposal lost a race", zap.Int("event", events.PlacementConflict), zap.Error(err))
+		l.logger.Info("placement proposal lost a race", zap.Int("event", events.PlacementConflict), zap.Error(err))
 	default:
-		l.zl.Warn("placement proposal outcome unknown", zap.Int("event", events.PlacementUnknown), zap.Error(err))
+		l.logger.Warn("placement proposal outcome unknown", zap.Int("event", events.PlacementUnknown), zap.Error(err))
 	}
 }
 
-// snapshot restates the whole placement once SnapshotEvery records have
+// appendSnapshotIfDue restates the whole placement once SnapshotEvery records have
 // followed the last snapshot, or none was seen for SnapshotInterval, so
 // retention never drops the only record of a (service, data centre). Hosts
 // racing to write one lose to the compare-and-append; the winner's counts.
-func (l *Loop) snapshot(ctx context.Context, now time.Time) {
+func (l *Loop) appendSnapshotIfDue(ctx context.Context, now time.Time) {
 	if len(l.states) == 0 {
 		return
 	}
-	if l.lastSnap.IsZero() {
-		l.lastSnap = now
+	if l.lastSnapshot.IsZero() {
+		l.lastSnapshot = now
 	}
-	if l.sinceSnap < l.opts.SnapshotEvery && now.Sub(l.lastSnap) < l.opts.SnapshotInterval {
+	if l.recordsSinceSnapshot < l.opts.SnapshotEvery && now.Sub(l.lastSnapshot) < l.opts.SnapshotInterval {
 		return
 	}
 	rec := &placement.Record{Kind: placement.KindSnapshot}
@@ -230,8 +230,8 @@
 		rec.States = append(rec.States, st.state)
 	}
 	slices.SortFunc(rec.States, func(a, b placement.State) int { return strings.Compare(a.Key(), b.Key()) })
-	l.append(ctx, rec)
-	l.sinceSnap, l.lastSnap = 0, now
+	l.appendRecord(ctx, rec)
+	l.recordsSinceSnapshot, l.lastSnapshot = 0, now
 }
 
 func isConflict(err error) bool { return errors.Is(err, logservice.ErrConflict) }
--- a/internal/hostlist/client.go
+++ b/internal/hostlist/client.go
@@ -34,30 +34,30 @@
 
 // Client reads the host list from one base URL.
 type Client struct {
-	addr string
-	hc   *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 // New returns a client for the host list at base URL addr.
-func New(addr string, hc *http.Client) *Client { return &Client{addr: addr, hc: hc} }
+func New(addr string, hc *http.Client) *Client { return &Client{baseURL: addr, httpClient: hc} }
 
 // Leaving returns the set of addresses the list says are leaving.
 func (c *Client) Leaving(ctx context.Context) (map[string]bool, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.addr+"/hosts", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/hosts", nil)
 	if err != nil {
-		return nil, eris.Wrapf(err, "host list %s", c.addr)
+		return nil, eris.Wrapf(err, "host list %s", c.baseURL)
 	}
-	resp, err := c.hc.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return nil, eris.Wrapf(err, "host list %s: read", c.addr)
+		return nil, eris.Wrapf(err, "host list %s: read", c.baseURL)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("host list %s: status %d", c.addr, resp.StatusCode)
+		return nil, eris.Errorf("host list %s: status %d", c.baseURL, resp.StatusCode)
 	}
 	var l List
 	if err := json.NewDecoder(io.LimitReader(resp.Body, MaxListBytes)).Decode(&l); err != nil {
-		return nil, eris.Wrapf(err, "host list %s: decode", c.addr)
+		return nil, eris.Wrapf(err, "host list %s: decode", c.baseURL)
 	}
 	out := map[string]bool{}
 	for _, h := range l.Hosts {
--- a/internal/logservice/client.go
+++ b/internal/logservice/client.go
@@ -33,13 +33,13 @@
 
 // Client talks to one log service.
 type Client struct {
-	addr string
-	rpc  logsvcpb.Log
+	baseURL string
+	rpc     logsvcpb.Log
 }
 
 // New returns a client for the log service at base URL addr.
 func New(addr string, hc *http.Client) *Client {
-	return &Client{addr: addr, rpc: logsvcpb.NewLogProtobufClient(addr, hc)}
+	return &Client{baseURL: addr, rpc: logsvcpb.NewLogProtobufClient(addr, hc)}
 }
 
 // Append adds data to stream and returns its offset.
@@ -75,9 +75,9 @@
 func (c *Client) appendErr(err error, stream string) error {
 	var te twirp.Error
 	if errors.As(err, &te) && te.Code() == twirp.FailedPrecondition {
-		return eris.Wrapf(&conflict{cause: err}, "log %s: append %s", c.addr, stream)
+		return eris.Wrapf(&conflictError{cause: err}, "log %s: append %s", c.baseURL, stream)
 	}
-	return eris.Wrapf(&unknown{cause: err}, "log %s: append %s", c.addr, stream)
+	return eris.Wrapf(&unknownOutcomeError{cause: err}, "log %s: append %s", c.baseURL, stream)
 }
 
 // Batch is one read's result.
@@ -94,7 +94,7 @@
 func (c *Client) Read(ctx context.Context, stream string, from int64, max int) (*Batch, error) {
 	resp, err := c.rpc.Read(ctx, &logsvcpb.ReadRequest{Stream: stream, From: from, Max: int32(max)})
 	if err != nil {
-		return nil, eris.Wrapf(err, "log %s: read %s from %d", c.addr, stream, from)
+		return nil, eris.Wrapf(err, "log %s: read %s from %d", c.baseURL, stream, from)
 	}
 	return &Batch{Records: resp.Records, Next: resp.Next, First: resp.First}, nil
 }
@@ -141,14 +141,16 @@
 	return b.Records[0], b.Next, nil
 }
 
-type conflict struct{ cause error }
+type conflictError struct{ cause error }
 
-func (e *conflict) Error() string        { return ErrConflict.Error() + ": " + e.cause.Error() }
-func (e *conflict) Is(target error) bool { return target == ErrConflict }
-func (e *conflict) Unwrap() error        { return e.cause }
+func (e *conflictError) Error() string        { return ErrConflict.Error() + ": " + e.cause.Error() }
+func (e *conflictError) Is(target error) bool { return target == ErrConflict }
+func (e *conflictError) Unwrap() error        { return e.cause }
 
-type unknown struct{ cause error }
+type unknownOutcomeError struct{ cause error }
 
-func (e *unknown) Error() string        { return ErrUnknownOutcome.Error() + ": " + e.cause.Error() }
-func (e *unknown) Is(target error) bool { return target == ErrUnknownOutcome }
-func (e *unknown) Unwrap() error        { return e.cause }
+func (e *unknownOutcomeError) Error() string {
+	return ErrUnknownOutcome.Error() + ": " + e.cause.Error()
+}
+func (e *unknownOutcomeError) Is(target error) bool { return target == ErrUnknownOutcome }
+func (e *unknownOutcomeError) Unwrap() error        { return e.cause }
--- a/internal/logservice/client_test.go
+++ b/internal/logservice/client_test.go
@@ -15,7 +15,7 @@
 // Two operators publish from the same base at once. The caller of the
 // second append sees ErrConflict naming the offset that won, and the
 // stream holds exactly one record at that offset: the first one's.
-func TestRacingAppendsOneWins(t *testing.T) {
+func TestConcurrentAppendsAtOneOffsetWriteOneRecord(t *testing.T) {
 	srv := httptest.NewServer(logsvc.NewServer(0).Handler())
 	defer srv.Close()
 	c := logservice.New(srv.URL, srv.Client())
@@ -38,7 +38,7 @@
 
 // The log's answer is lost after the write took effect: the caller gets
 // ErrUnknownOutcome (never "not written"), and reading back finds it.
-func TestLostAnswerIsUnknownNotFailed(t *testing.T) {
+func TestLostAppendResponseIsUnknownOutcome(t *testing.T) {
 	ls := logsvc.NewServer(0)
 	ls.SetFaults(logsvc.Faults{LoseAckRate: 1})
 	srv := httptest.NewServer(ls.Handler())
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -25,18 +25,18 @@
 	// Lease is how long, in the log's milliseconds, a host stays alive
 	// after its last heartbeat.
 	HeartbeatTimeoutMs int64
-	last               map[string]seen
-	newest             int64
+	heartbeats         map[string]lastHeartbeat
+	newestMs           int64
 }
 
-type seen struct {
-	dc string
-	ms int64
+type lastHeartbeat struct {
+	dataCentre string
+	unixMs     int64
 }
 
 // NewView returns an empty view with the given host lease.
 func NewView(leaseMs int64) *View {
-	return &View{HeartbeatTimeoutMs: leaseMs, last: map[string]seen{}}
+	return &View{HeartbeatTimeoutMs: leaseMs, heartbeats: map[string]lastHeartbeat{}}
 }
 
 // Observe records a heartbeat stamped unixMs by the log service. Malformed
@@ -46,8 +46,8 @@
 	if err := json.Unmarshal(data, &h); err != nil || h.Host == "" || h.DataCentre == "" {
 		return eris.Errorf("membership: malformed heartbeat %q", data)
 	}
-	v.last[h.Host] = seen{dc: h.DataCentre, ms: unixMs}
-	v.newest = max(v.newest, unixMs)
+	v.heartbeats[h.Host] = lastHeartbeat{dataCentre: h.DataCentre, unixMs: unixMs}
+	v.newestMs = max(v.newestMs, unixMs)
 	return nil
 }
 
@@ -55,8 +55,8 @@
 // the lease of the newest one seen, sorted, always including self.
 func (v *View) Alive(dc, self string) []string {
 	out := []string{self}
-	for h, s := range v.last {
-		if h != self && s.dc == dc && s.ms >= v.newest-v.HeartbeatTimeoutMs {
+	for h, s := range v.heartbeats {
+		if h != self && s.dataCentre == dc && s.unixMs >= v.newestMs-v.HeartbeatTimeoutMs {
 			out = append(out, h)
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -28,8 +28,8 @@
 	Epoch int64
 	// Members are the upstreams that own shards, sorted by name.
 	Members []manifest.Upstream
-	// owner maps a shard to an index into Members.
-	owner []uint16
+	// ownerIndex maps a shard to an index into Members.
+	ownerIndex []uint16
 }
 
 // Assign computes the owner of each shard among the named members of svc.
@@ -43,20 +43,20 @@
 // home; other shards are unowned. A nil homes means every shard.
 func AssignHomed(svc *manifest.Service, members []string, epoch int64, homes []uint8, home uint8) *Assignment {
 	a := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
-	a.owner = make([]uint16, svc.ShardCount())
+	a.ownerIndex = make([]uint16, svc.ShardCount())
 	if len(a.Members) == 0 {
 		return a
 	}
 	if len(a.Members) >= unowned {
 		panic("placement: too many members")
 	}
-	seeds, weights := scoring(a.Members)
-	for shard := range a.owner {
+	seeds, weights := seedsAndWeights(a.Members)
+	for shard := range a.ownerIndex {
 		if homes != nil && homes[shard] != home {
-			a.owner[shard] = unowned
+			a.ownerIndex[shard] = unowned
 			continue
 		}
-		a.owner[shard] = uint16(highestWeight(uint64(shard), seeds, weights))
+		a.ownerIndex[shard] = uint16(highestScore(uint64(shard), seeds, weights))
 	}
 	return a
 }
@@ -81,8 +81,8 @@
 	return out
 }
 
-// scoring returns each member's hash seed and weight.
-func scoring(members []manifest.Upstream) ([]uint64, []float64) {
+// seedsAndWeights returns each member's hash seed and weight.
+func seedsAndWeights(members []manifest.Upstream) ([]uint64, []float64) {
 	seeds := make([]uint64, len(members))
 	weights := make([]float64, len(members))
 	for i, u := range members {
@@ -103,9 +103,9 @@
 	return weight / -math.Log(u)
 }
 
-// highestWeight returns the index of the member with the highest score for
+// highestScore returns the index of the member with the highest score for
 // the shard; ties go to the lower index.
-func highestWeight(shard uint64, seeds []uint64, weights []float64) int {
+func highestScore(shard uint64, seeds []uint64, weights []float64) int {
 	best, bestScore := 0, math.Inf(-1)
 	for i, seed := range seeds {
 		if sc := score(shard, seed, weights[i]); sc > bestScore {
@@ -116,21 +116,21 @@
 }
 
 // Shards returns the shard count.
-func (a *Assignment) Shards() int { return len(a.owner) }
+func (a *Assignment) Shards() int { return len(a.ownerIndex) }
 
 // Owner returns the upstream owning shard, or nil if the service has no
 // members.
 func (a *Assignment) Owner(shard int) *manifest.Upstream {
-	if len(a.Members) == 0 || a.owner[shard] == unowned {
+	if len(a.Members) == 0 || a.ownerIndex[shard] == unowned {
 		return nil
 	}
-	return &a.Members[a.owner[shard]]
+	return &a.Members[a.ownerIndex[shard]]
 }
 
 // ShardsOf returns the shards the named upstream owns, ascending.
 func (a *Assignment) ShardsOf(name string) []int {
 	var out []int
-	for shard := range a.owner {
+	for shard := range a.ownerIndex {
 		if o := a.Owner(shard); o != nil && o.Name == name {
 			out = append(out, shard)
 		}
@@ -145,7 +145,7 @@
 		return nil
 	}
 	var out []int
-	for shard := range next.owner {
+	for shard := range next.ownerIndex {
 		o, n := old.Owner(shard), next.Owner(shard)
 		if (o == nil) != (n == nil) || (o != nil && o.Name != n.Name) {
 			out = append(out, shard)
@@ -163,7 +163,7 @@
 	}
 	counts := make([]int, len(a.Members))
 	placed := 0
-	for _, i := range a.owner {
+	for _, i := range a.ownerIndex {
 		if i != unowned {
 			counts[i]++
 			placed++
@@ -199,7 +199,7 @@
 	}
 	homes := make([]uint8, svc.ShardCount())
 	for shard := range homes {
-		homes[shard] = uint8(highestWeight(uint64(shard), seeds, weights))
+		homes[shard] = uint8(highestScore(uint64(shard), seeds, weights))
 	}
 	return homes
 }
@@ -213,30 +213,30 @@
 // different shard count, falls back to the full computation.
 func Update(old *Assignment, svc *manifest.Service, members []string, epoch int64, homes []uint8, home uint8) *Assignment {
 	next := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
-	remap, joiners, ok := diff(old, next.Members, svc.ShardCount())
+	remap, joiners, ok := diffMembers(old, next.Members, svc.ShardCount())
 	if !ok || len(next.Members) == 0 {
 		return AssignHomed(svc, members, epoch, homes, home)
 	}
-	seeds, weights := scoring(next.Members)
-	next.owner = make([]uint16, len(old.owner))
-	for shard, o := range old.owner {
+	seeds, weights := seedsAndWeights(next.Members)
+	next.ownerIndex = make([]uint16, len(old.ownerIndex))
+	for shard, o := range old.ownerIndex {
 		switch {
 		case homes != nil && homes[shard] != home:
-			next.owner[shard] = unowned
+			next.ownerIndex[shard] = unowned
 		case o == unowned || remap[o] < 0:
-			next.owner[shard] = uint16(highestWeight(uint64(shard), seeds, weights))
+			next.ownerIndex[shard] = uint16(highestScore(uint64(shard), seeds, weights))
 		default:
-			next.owner[shard] = uint16(keepOrJoin(uint64(shard), remap[o], joiners, seeds, weights))
+			next.ownerIndex[shard] = uint16(ownerAfterJoins(uint64(shard), remap[o], joiners, seeds, weights))
 		}
 	}
 	return next
 }
 
-// diff maps old member indexes to indexes in next (-1 for a member that
+// diffMembers maps old member indexes to indexes in next (-1 for a member that
 // left) and lists the indexes in next of members that joined. ok is false
 // when an incremental update is not possible.
-func diff(old *Assignment, next []manifest.Upstream, shards int) (remap []int, joiners []int, ok bool) {
-	if old == nil || len(old.owner) != shards || len(old.Members) == 0 {
+func diffMembers(old *Assignment, next []manifest.Upstream, shards int) (remap []int, joiners []int, ok bool) {
+	if old == nil || len(old.ownerIndex) != shards || len(old.Members) == 0 {
 		return nil, nil, false
 	}
 	idx := map[string]int{}
@@ -265,8 +265,8 @@
 	return remap, joiners, true
 }
 
-// keepOrJoin returns owner unless a joiner outscores it for the shard.
-func keepOrJoin(shard uint64, owner int, joiners []int, seeds []uint64, weights []float64) int {
+// ownerAfterJoins returns owner unless a joiner outscores it for the shard.
+func ownerAfterJoins(shard uint64, owner int, joiners []int, seeds []uint64, weights []float64) int {
 	if len(joiners) == 0 {
 		return owner
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -44,12 +44,12 @@
 	return out
 }
 
-type change struct {
+type memberChange struct {
 	name string
 	join bool
 }
 
-func (c change) Run(sut commands.SystemUnderTest) commands.Result {
+func (c memberChange) Run(sut commands.SystemUnderTest) commands.Result {
 	s := sut.(*placementSystem)
 	var members []string
 	for _, m := range s.assign.Members {
@@ -66,7 +66,7 @@
 	return [3]*Assignment{old, s.assign, Assign(s.svc, members, s.epoch)}
 }
 
-func (c change) NextState(state commands.State) commands.State {
+func (c memberChange) NextState(state commands.State) commands.State {
 	o := state.(oracleState)
 	next := map[string]bool{}
 	for n := range o.members {
@@ -80,14 +80,14 @@
 	return oracleState{next}
 }
 
-func (c change) PreCondition(commands.State) bool { return true }
+func (c memberChange) PreCondition(commands.State) bool { return true }
 
 // PostCondition checks what must hold after every change: each shard has
 // exactly one owner and it is a member; the incrementally updated owner is
 // the one a fresh computation gives (hosts with different histories agree);
 // only shards of a leaving member move on a leave, and only shards to the
 // joining member on a join.
-func (c change) PostCondition(state commands.State, result commands.Result) *gopter.PropResult {
+func (c memberChange) PostCondition(state commands.State, result commands.Result) *gopter.PropResult {
 	o := state.(oracleState)
 	r := result.([3]*Assignment)
 	old, next, fresh := r[0], r[1], r[2]
@@ -116,7 +116,7 @@
 	return &gopter.PropResult{Status: gopter.PropTrue}
 }
 
-func (c change) String() string { return fmt.Sprintf("change(%s, join=%v)", c.name, c.join) }
+func (c memberChange) String() string { return fmt.Sprintf("change(%s, join=%v)", c.name, c.join) }
 
 func names(us []manifest.Upstream) []string {
 	out := make([]string, len(us))
@@ -146,7 +146,7 @@
 		}),
 		GenCommandFunc: func(commands.State) gopter.Gen {
 			return gopter.CombineGens(gen.IntRange(0, testUpstreams-1), gen.Bool()).Map(func(v []any) commands.Command {
-				return change{name: all[v[0].(int)], join: v[1].(bool)}
+				return memberChange{name: all[v[0].(int)], join: v[1].(bool)}
 			})
 		},
 	}
--- a/internal/router/rest_test.go
+++ b/internal/router/backoff_test.go
@@ -18,7 +18,7 @@
 
 // A target that turns requests away and asks for a rest must not get every request
 // for its keys all the same; callers are refused at once and told of the rest.
-func TestTargetThatAsksForRestGetsIt(t *testing.T) {
+func TestTargetBackoffIsHonoured(t *testing.T) {
 	const rest = 2 * time.Second
 	var arrived atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -15,16 +15,16 @@
 // reportHeaders name what targets report; they name no rate limit.
 var reportHeaders = protocol.Headers{NotRun: target.HeaderNotRun}
 
-// noteReport takes in what a target's answer says of the target.
-func (rt *Router) noteReport(resp *target.Response, err error, route routing.Route, sent, now time.Time) {
+// recordReport takes in what a target's answer says of the target.
+func (rt *Router) recordReport(resp *target.Response, err error, route routing.Route, sent, now time.Time) {
 	if err != nil {
 		return
 	}
 	rt.reports.Record(route.Upstream.Name, feedback.Decode(reportHeaders, resp.Status, resp.Header), sent, now)
 }
 
-// reported logs a rest that a target asks for, and forgets those that are over.
-func (rt *Router) reported(c feedback.Change) {
+// onReportChange logs a rest that a target asks for, and forgets those that are over.
+func (rt *Router) onReportChange(c feedback.Change) {
 	rt.log.Info("target asked for a rest", zap.Int("event", events.TargetReported), zap.String("peer", c.Upstream), zap.Duration("rest", c.Backoff))
 	rt.reports.Prune(func(string) bool { return true }, time.Now())
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,10 +23,10 @@
 
 // Steps named in refusals.
 const (
-	StepParse   = "parse"
-	StepView    = "view"
-	StepForward = "forward"
-	StepAnswer  = "answer"
+	StepParse    = "parse"
+	StepView     = "view"
+	StepForward  = "forward"
+	StepResponse = "answer"
 )
 
 // HeaderTimeout lets a caller shorten its deadline, in milliseconds.
@@ -73,8 +73,8 @@
 func New(opts Options, table func() *routing.Table, targets *target.Client, log *zap.Logger) *Router {
 	rt := &Router{started: time.Now(), opts: opts, table: table, targets: targets, log: log, OnFenced: func(string) {},
 		reports: feedback.NewTracker(), Burns: burn.NewRecorder(opts.LatencyObjective)}
-	rt.reports.OnChange = rt.reported
-	rt.crashes = crashes.NewTracker(rt.refusing)
+	rt.reports.OnChange = rt.onReportChange
+	rt.crashes = crashes.NewTracker(rt.logRefusedFingerprint)
 	rt.crashes.AllowTrialsIf(func() bool { return true }) // no other host shares what it sees
 	return rt
 }
@@ -96,7 +96,7 @@
 		code = string(ref.Code)
 		ref.Write(w)
 	} else {
-		writeAnswer(w, resp)
+		writeResponse(w, resp)
 	}
 	// Callers choose the path, so a name not in the manifest must not
 	// become a label: random names would grow the metrics and burn rings
@@ -109,7 +109,7 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`papayatide_request_duration_seconds{service=%q}`, service)).UpdateDuration(start)
 }
 
-func writeAnswer(w http.ResponseWriter, resp *target.Response) {
+func writeResponse(w http.ResponseWriter, resp *target.Response) {
 	if ct := resp.Header.Get("Content-Type"); ct != "" {
 		w.Header().Set("Content-Type", ct)
 	}
@@ -122,7 +122,7 @@
 }
 
 func (rt *Router) serve(r *http.Request, service, key string, now time.Time) (*target.Response, *refusal.Refusal) {
-	req, ref := rt.parse(r, service, key, now)
+	req, ref := rt.parseRequest(r, service, key, now)
 	if ref != nil {
 		return nil, ref
 	}
@@ -142,19 +142,19 @@
 	if rest := rt.reports.Backoff(route.Upstream.Name, now); rest > 0 {
 		return nil, refusal.New(refusal.Shed, StepForward, route.Upstream.Name, refusal.NotRun, rest, "the target asked for a rest")
 	}
-	if left := rt.fatal(req, now); left > 0 {
+	if left := rt.refusedFor(req, now); left > 0 {
 		return nil, refusal.New(refusal.CrashesTargets, StepForward, "", refusal.NotRun, left, "targets ended while they ran this request")
 	}
 	resp, err := rt.targets.Forward(r.Context(), route.Upstream, req)
-	rt.noteEnd(resp, err, req, route, time.Now())
-	rt.noteReport(resp, err, route, now, time.Now())
+	rt.recordOutcome(resp, err, req, route, time.Now())
+	rt.recordReport(resp, err, route, now, time.Now())
 	if err != nil {
 		return nil, rt.forwardRefusal(err, req, route)
 	}
-	return rt.check(resp, req, route)
+	return rt.checkResponse(resp, req, route)
 }
 
-func (rt *Router) parse(r *http.Request, service, key string, now time.Time) (*target.Request, *refusal.Refusal) {
+func (rt *Router) parseRequest(r *http.Request, service, key string, now time.Time) (*target.Request, *refusal.Refusal) {
 	if service == "" || key == "" {
 		return nil, refusal.New(refusal.BadRequest, StepParse, "", refusal.NotRun, 0, "path must be /{service}/{key}")
 	}
@@ -196,10 +196,10 @@
 	return refusal.New(refusal.OutcomeUnknown, StepForward, peer, refusal.Unknown, rt.opts.RetryAfter, err.Error())
 }
 
-// check vets a target's answer: refusals the target marked as not run are
+// checkResponse vets a target's answer: refusals the target marked as not run are
 // passed on as such, and an answer echoing another request's id is never
 // given to this caller.
-func (rt *Router) check(resp *target.Response, req *target.Request, route routing.Route) (*target.Response, *refusal.Refusal) {
+func (rt *Router) checkResponse(resp *target.Response, req *target.Request, route routing.Route) (*target.Response, *refusal.Refusal) {
 	peer := route.Upstream.Name
 	if resp.Header.Get(target.HeaderNotRun) == "1" {
 		switch resp.Status {
@@ -214,7 +214,7 @@
 	if resp.Status < 300 && resp.Header.Get(target.HeaderRequestID) != req.RequestID {
 		rt.log.Warn("crossed answer", zap.Int("event", events.MismatchedResponse), zap.String("peer", peer),
 			zap.String("want", req.RequestID), zap.String("got", resp.Header.Get(target.HeaderRequestID)))
-		return nil, refusal.New(refusal.MismatchedResponse, StepAnswer, peer, refusal.Unknown, rt.opts.RetryAfter, "answer belongs to another request")
+		return nil, refusal.New(refusal.MismatchedResponse, StepResponse, peer, refusal.Unknown, rt.opts.RetryAfter, "answer belongs to another request")
 	}
 	return resp, nil
 }
