--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -12,7 +12,9 @@
 	"github.com/papayatide/papayatide/internal/target"
 )
 
+// health is the result of the probes of one upstream.
 type health struct {
+	// failures counts consecutive failed probes.
 	failures int
 	probed   bool
 	down     bool
@@ -29,6 +31,8 @@
 	return out
 }
 
+// recordProbe updates the health of the named upstream with a probe's result
+// and logs a change between up and down.
 func (l *Loop) recordProbe(name string, err error) {
 	h := l.health[name]
 	if h == nil {
@@ -50,58 +54,59 @@
 	}
 }
 
-// upstreamCall is one message of a grant round: a grant (or renewal) to a
-// member, or a plain probe of a local upstream that is not a member.
+// upstreamCall is one call of a grant round: a grant or renewal to a member,
+// or a health probe (grant is nil) of a local upstream that is not a member.
 type upstreamCall struct {
 	upstream manifest.Upstream
 	grant    *target.Grant
 	err      error
 }
 
-// sendGrants sends every member upstream in this data centre its fenced grant
-// at the epoch in force (the full shard list once per epoch, a renewal
-// after) and probes local non-members, concurrently; the answers are
-// applied as health on the loop goroutine. A target refuses a grant older
-// than the one it holds, so a host with a stale view cannot roll it back.
+// sendGrants concurrently sends each local member its grant at the epoch in
+// force and probes local upstreams that are not members. A member gets the full
+// shard list once per epoch and renewals after that; its reply counts as its
+// health probe. A target rejects a grant with an older epoch than the one it
+// holds, so a host with a stale view cannot revert it.
 func (l *Loop) sendGrants(ctx context.Context) {
 	if l.manifest == nil {
 		return
 	}
-	jobs := l.upstreamCalls()
+	calls := l.upstreamCalls()
 	ctx, cancel := context.WithTimeout(ctx, l.opts.ProbeInterval)
 	defer cancel()
 	var wg sync.WaitGroup
-	for i := range jobs {
+	for i := range calls {
 		wg.Go(func() {
-			j := &jobs[i]
-			if j.grant == nil {
+			call := &calls[i]
+			if call.grant == nil {
 				probes.Inc()
-				j.err = l.targets.Probe(ctx, &j.upstream)
+				call.err = l.targets.Probe(ctx, &call.upstream)
 				return
 			}
 			grants.Inc()
-			n, err := l.targets.SendGrant(ctx, &j.upstream, j.grant)
-			grantBytes.Add(n)
-			j.err = err
+			sentBytes, err := l.targets.SendGrant(ctx, &call.upstream, call.grant)
+			grantBytes.Add(sentBytes)
+			call.err = err
 		})
 	}
 	wg.Wait()
-	for _, j := range jobs {
-		l.recordProbe(j.upstream.Name, j.err)
+	for _, call := range calls {
+		l.recordProbe(call.upstream.Name, call.err)
 		switch {
-		case j.grant == nil:
-		case j.err != nil:
-			delete(l.grantedEpoch, j.upstream.Name)
-			l.logger.Debug("grant failed", zap.Int("event", events.GrantFailed), zap.String("peer", j.upstream.Name), zap.Error(j.err))
-		case !j.grant.Renew:
-			l.grantedEpoch[j.upstream.Name] = j.grant.Epoch
+		case call.grant == nil:
+		case call.err != nil:
+			delete(l.grantedEpoch, call.upstream.Name)
+			l.logger.Debug("grant failed", zap.Int("event", events.GrantFailed), zap.String("peer", call.upstream.Name), zap.Error(call.err))
+		case !call.grant.Renew:
+			l.grantedEpoch[call.upstream.Name] = call.grant.Epoch
 		}
 	}
 }
 
-// upstreamCalls lists this round's messages, one per local upstream.
+// upstreamCalls returns the calls of one grant round: one for each local
+// upstream that this host renews.
 func (l *Loop) upstreamCalls() []upstreamCall {
-	var jobs []upstreamCall
+	var calls []upstreamCall
 	for i := range l.manifest.Services {
 		svc := &l.manifest.Services[i]
 		st := l.states[svc.Name+"/"+l.opts.DataCentre]
@@ -110,7 +115,7 @@
 				continue
 			}
 			if st == nil || st.assignment == nil || !slices.ContainsFunc(st.assignment.Members, func(m manifest.Upstream) bool { return m.Name == u.Name }) {
-				jobs = append(jobs, upstreamCall{upstream: u})
+				calls = append(calls, upstreamCall{upstream: u})
 				continue
 			}
 			g := &target.Grant{Service: svc.Name, Epoch: st.state.Epoch, Since: st.sinceEpoch[u.Name],
@@ -120,8 +125,8 @@
 			} else {
 				g.Shards = st.assignment.ShardsOf(u.Name)
 			}
-			jobs = append(jobs, upstreamCall{upstream: u, grant: g})
+			calls = append(calls, upstreamCall{upstream: u, grant: g})
 		}
 	}
-	return jobs
+	return calls
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -19,25 +19,25 @@
 	"github.com/papayatide/papayatide/rpc/logsvcpb"
 )
 
-// Options shape the control loop.
+// Options configure the control loop.
 type Options struct {
-	// Host and DataCentre name this entry host.
+	// Host is this entry host's name, DataCentre its data centre's.
 	Host       string
 	DataCentre string
 	// PollInterval is how often the log is read.
 	PollInterval time.Duration
 	// ProbeInterval is how often local upstreams are probed.
 	ProbeInterval time.Duration
-	// ProbeFailures is how many failed probes in a row mark an upstream down.
+	// ProbeFailures is how many consecutive failed probes mark an upstream down.
 	ProbeFailures int
-	// GrantTTL is how long a grant holds at the target unless renewed.
+	// GrantTTL is how long a grant is valid at the target unless renewed.
 	GrantTTL time.Duration
 	// SnapshotEvery is how many placement records may follow the last
 	// snapshot before this host writes a new one.
 	SnapshotEvery int
-	// SnapshotInterval is the longest time without a snapshot in the
-	// stream; it must be well under the log's retention, so that a quiet
-	// placement is restated before its records age out.
+	// SnapshotInterval is the longest time without a snapshot in the stream.
+	// It must be well below the log's retention: a placement that does not
+	// change must be restated before its records expire.
 	SnapshotInterval time.Duration
 	// HeartbeatInterval is how often this host appends a heartbeat.
 	HeartbeatInterval time.Duration
@@ -46,21 +46,25 @@
 	// RenewersPerUpstream is how many of a data centre's live entry hosts grant and
 	// probe each upstream; 0 means all of them.
 	RenewersPerUpstream int
-	// HostList, when set, is read every HostListInterval; an upstream it
-	// lists as leaving is taken out of placement like a failed one.
+	// HostList, if set, is read every HostListInterval. An upstream that it
+	// lists as leaving is removed from placement like one that is down.
 	HostList         *hostlist.Client
 	HostListInterval time.Duration
 }
 
 // dcState is the placement in force for one (service, data centre).
 type dcState struct {
-	state         placement.State
-	assignment    *placement.Assignment
-	sinceEpoch    map[string]int64
+	state      placement.State
+	assignment *placement.Assignment
+	// sinceEpoch maps a member to the oldest epoch whose placement gives it the
+	// same shards; it is sent as Grant.Since.
+	sinceEpoch map[string]int64
+	// handoverUntil maps a shard that changed owner to the time until which the
+	// previous owner's grant may be valid.
 	handoverUntil map[int]time.Time
 }
 
-// Control-traffic counters, read by scripts/capacity.sh for docs/CAPACITY.md.
+// Counters of control traffic. scripts/capacity.sh reads them for docs/CAPACITY.md.
 var (
 	logReads   = metrics.NewCounter(`papayatide_control_messages_total{kind="log_read"}`)
 	logAppends = metrics.NewCounter(`papayatide_control_messages_total{kind="log_append"}`)
@@ -78,47 +82,50 @@
 	table     atomic.Pointer[routing.Table]
 	wake      chan struct{}
 
-	// Everything below is owned by the Run goroutine.
+	// The fields below are accessed only by the goroutine that runs Run.
 	manifest             *manifest.Manifest
 	manifestOffset       int64
-	nextManifest         int64
-	nextPlacement        int64
+	nextManifestOffset   int64
+	nextPlacementOffset  int64
 	recordsSinceSnapshot int
 	lastSnapshot         time.Time
-	states               map[string]*dcState
-	homes                map[string][]uint8
-	health               map[string]*health
-	viewAt               time.Time
-	logDown              bool
-	lastProbe            time.Time
-	lastProposal         map[string]time.Time
-	// grantedEpoch maps an upstream to the epoch of the last full grant it
-	// accepted; later rounds at that epoch send only a renewal.
+	// states and lastProposal are keyed by placement.State.Key.
+	states map[string]*dcState
+	// homes holds the result of placement.Homes by service.
+	homes map[string][]uint8
+	// health is keyed by upstream name.
+	health       map[string]*health
+	viewAt       time.Time
+	logDown      bool
+	lastProbe    time.Time
+	lastProposal map[string]time.Time
+	// grantedEpoch maps an upstream to the epoch of the last full grant that it
+	// accepted; later rounds at that epoch send only renewals.
 	grantedEpoch map[string]int64
-	// leaving are target addresses the platform's host list says are
-	// leaving.
+	// leaving is the set of target addresses that the platform's host list
+	// reports as leaving.
 	leaving      map[string]bool
 	lastHostList time.Time
-	// liveHosts is the view of live entry hosts, from heartbeats.
-	liveHosts     *membership.View
-	nextHeartbeat int64
-	lastHeartbeat time.Time
+	// liveHosts tracks the live entry hosts by their heartbeats.
+	liveHosts           *membership.View
+	nextHeartbeatOffset int64
+	lastHeartbeat       time.Time
 }
 
 // New returns a control loop.
-func New(opts Options, logc *logservice.Client, targets *target.Client, zl *zap.Logger) *Loop {
-	return &Loop{opts: opts, logClient: logc, targets: targets, logger: zl, wake: make(chan struct{}, 1),
+func New(opts Options, logClient *logservice.Client, targets *target.Client, logger *zap.Logger) *Loop {
+	return &Loop{opts: opts, logClient: logClient, targets: targets, logger: logger, wake: make(chan struct{}, 1),
 		manifestOffset: -1, states: map[string]*dcState{}, homes: map[string][]uint8{},
 		health: map[string]*health{}, lastProposal: map[string]time.Time{}, grantedEpoch: map[string]int64{},
 		liveHosts: membership.NewView(opts.HeartbeatTimeout.Milliseconds())}
 }
 
-// Table returns the routing table in force, or nil before the first
-// manifest is read. Safe from any goroutine.
+// Table returns the routing table in force, or nil before the first manifest
+// is read. It is safe for concurrent use.
 func (l *Loop) Table() *routing.Table { return l.table.Load() }
 
-// Wake asks the loop to read the log now, e.g. after a target refused a
-// stale fencing token. It never blocks.
+// Wake makes the loop read the log now, e.g. after a target rejected a stale
+// fencing token. It never blocks.
 func (l *Loop) Wake() {
 	select {
 	case l.wake <- struct{}{}:
@@ -141,21 +148,20 @@
 	}
 }
 
+// tick runs one round of the loop: it reads the log, sends grants and probes,
+// publishes the routing table and appends the records that are due.
 func (l *Loop) tick(ctx context.Context, now time.Time) {
 	changed, err := l.readLog(ctx)
 	l.updateLogStatus(err, now)
-	// Grants go out before the table that routes by them, so a target
-	// holds the new epoch's grant before this host sends it that token.
-	// They are renewed through a log outage too: no one can change the
-	// placement while the log is down, and a data centre cut off from it
+	// Send grants before publishing the table: a target must hold the new epoch's
+	// grant before requests carry that token. Renew them during a log outage too:
+	// no host can change the placement then, and a data centre cut off from the log
 	// must keep serving (docs/DESIGN.md, "Grants during a log outage").
-	// A member's answer to its grant is its health probe; upstreams that
-	// are not members get a plain probe at the same pace.
 	if changed || now.Sub(l.lastProbe) >= l.opts.ProbeInterval {
 		l.lastProbe = now
 		l.sendGrants(ctx)
 	}
-	// A successful read refreshes the view's age even when nothing changed.
+	// A successful read renews the view's age even if nothing changed.
 	if changed || err == nil {
 		l.publish()
 	}
@@ -174,18 +180,17 @@
 	}
 }
 
-// due reports whether every has passed since *last, and if so sets *last
-// to now.
-func due(last *time.Time, every time.Duration, now time.Time) bool {
-	if now.Sub(*last) < every {
+// due reports whether interval has passed since *last, and if so sets *last to now.
+func due(last *time.Time, interval time.Duration, now time.Time) bool {
+	if now.Sub(*last) < interval {
 		return false
 	}
 	*last = now
 	return true
 }
 
-// updateLogStatus records whether the last read of the log succeeded, logging
-// only the changes between reachable and unreachable.
+// updateLogStatus records whether the last read of the log succeeded, and logs
+// only changes between reachable and unreachable.
 func (l *Loop) updateLogStatus(err error, now time.Time) {
 	switch {
 	case err != nil && !l.logDown:
@@ -199,44 +204,46 @@
 	}
 }
 
+// readLog reads all streams to their ends and reports whether the manifest or
+// the placement changed, also with an error.
 func (l *Loop) readLog(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.opts.PollInterval*5)
 	defer cancel()
-	m, err := l.readManifests(ctx)
+	manifestChanged, err := l.readManifests(ctx)
 	if err != nil {
-		return m, err
+		return manifestChanged, err
 	}
-	p, err := l.readPlacement(ctx)
+	placementChanged, err := l.readPlacement(ctx)
 	if err != nil {
-		return m || p, err
+		return manifestChanged || placementChanged, err
 	}
-	return m || p, l.readHeartbeats(ctx)
+	return manifestChanged || placementChanged, l.readHeartbeats(ctx)
 }
 
-// tail reads stream from *next to its end, a page at a time, passes each
-// record to apply and advances *next past it. It reports whether apply
-// returned true for any record. Records lost to retention before they were
-// read are logged, since a host that far behind may have missed state.
+// tail reads stream from *next to its end, passes each record to apply and
+// advances *next past it. It reports whether apply returned true for any record.
+// Records that expired before they were read are logged, because this host may
+// have missed state.
 func (l *Loop) tail(ctx context.Context, stream string, next *int64, apply func(*logsvcpb.Record) bool) (bool, error) {
 	changed := false
 	logReads.Inc()
-	gap := func(first int64) {
+	onGap := func(first int64) {
 		if *next == 0 {
-			return // a host that starts late expects to find the beginning gone
+			return // a host that starts expects the oldest records to have expired
 		}
-		l.logger.Warn("records passed retention unread", zap.Int("event", events.RecordsGap),
+		l.logger.Warn("records expired before they were read", zap.Int("event", events.RecordsGap),
 			zap.String("stream", stream), zap.Int64("from", *next), zap.Int64("first", first))
 	}
 	var err error
-	*next, err = l.logClient.Scan(ctx, stream, *next, gap, func(rec *logsvcpb.Record) { changed = apply(rec) || changed })
+	*next, err = l.logClient.Scan(ctx, stream, *next, onGap, func(rec *logsvcpb.Record) { changed = apply(rec) || changed })
 	return changed, err
 }
 
 func (l *Loop) readManifests(ctx context.Context) (bool, error) {
-	return l.tail(ctx, logservice.StreamManifests, &l.nextManifest, func(rec *logsvcpb.Record) bool {
+	return l.tail(ctx, logservice.StreamManifests, &l.nextManifestOffset, func(rec *logsvcpb.Record) bool {
 		m, err := manifest.Parse(rec.Data)
 		if err != nil {
-			l.logger.Warn("manifest refused", zap.Int("event", events.ManifestRejected), zap.Int64("offset", rec.Offset), zap.Error(err))
+			l.logger.Warn("manifest rejected", zap.Int("event", events.ManifestRejected), zap.Int64("offset", rec.Offset), zap.Error(err))
 			return false
 		}
 		l.adoptManifest(m, rec.Offset)
@@ -244,10 +251,11 @@
 	})
 }
 
+// adoptManifest puts m into force and recomputes all assignments.
 func (l *Loop) adoptManifest(m *manifest.Manifest, offset int64) {
 	l.manifest, l.manifestOffset = m, offset
-	// A manifest can change shard lists without a new epoch (new weights),
-	// so every upstream gets a full grant again.
+	// New weights in a manifest change shard lists without a new epoch, so every
+	// upstream needs a full grant again.
 	clear(l.grantedEpoch)
 	l.homes = map[string][]uint8{}
 	for i := range m.Services {
--- a/internal/control/members.go
+++ b/internal/control/members.go
@@ -13,14 +13,15 @@
 	"github.com/papayatide/papayatide/rpc/logsvcpb"
 )
 
-// readHostList refreshes the leaving set. The list lags and may be down:
-// on error the last set stays, since it only ever speeds up a drain.
+// readHostList refreshes the set of leaving addresses. If the list cannot be
+// read, the last set stays in force: it only makes this host stop using an
+// upstream earlier.
 func (l *Loop) readHostList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, l.opts.ProbeInterval)
 	defer cancel()
 	leaving, err := l.opts.HostList.Leaving(ctx)
 	if err != nil {
-		l.logger.Debug("host list unreadable", zap.Int("event", events.HostListFailed), zap.Error(err))
+		l.logger.Debug("reading the host list failed", zap.Int("event", events.HostListFailed), zap.Error(err))
 		return
 	}
 	l.leaving = leaving
@@ -33,23 +34,22 @@
 	}
 	logAppends.Inc()
 	if _, err := l.logClient.Append(ctx, logservice.StreamEntryHosts, data); err != nil {
-		l.logger.Debug("heartbeat not written", zap.Int("event", events.HeartbeatFailed), zap.Error(err))
+		l.logger.Debug("heartbeat append failed", zap.Int("event", events.HeartbeatFailed), zap.Error(err))
 	}
 }
 
 func (l *Loop) readHeartbeats(ctx context.Context) error {
-	_, err := l.tail(ctx, logservice.StreamEntryHosts, &l.nextHeartbeat, func(rec *logsvcpb.Record) bool {
+	_, err := l.tail(ctx, logservice.StreamEntryHosts, &l.nextHeartbeatOffset, func(rec *logsvcpb.Record) bool {
 		_ = l.liveHosts.Observe(rec.Data, rec.UnixMs)
 		return false
 	})
 	return err
 }
 
-// isRenewer says whether this host grants and probes the named upstream: the
-// Renewers live hosts of its data centre with the highest rendezvous score
-// for it do. Sharing the work keeps each host's control cost from growing
-// with all of its data centre's upstreams; with fewer live hosts known
-// (at start, before any heartbeat is read) this host does all of it.
+// isRenewer reports whether this host grants and probes the named upstream: whether
+// it is among the RenewersPerUpstream live hosts of its data centre with the highest
+// rendezvous score. Sharing this work limits the growth of each host's control
+// traffic. While fewer live hosts are known, e.g. at start, this host renews all.
 func (l *Loop) isRenewer(upstream string) bool {
 	if l.opts.RenewersPerUpstream <= 0 {
 		return true
--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -19,10 +19,10 @@
 )
 
 func (l *Loop) readPlacement(ctx context.Context) (bool, error) {
-	return l.tail(ctx, logservice.StreamPlacement, &l.nextPlacement, func(rec *logsvcpb.Record) bool {
+	return l.tail(ctx, logservice.StreamPlacement, &l.nextPlacementOffset, func(rec *logsvcpb.Record) bool {
 		r, err := placement.DecodeRecord(rec.Data)
 		if err != nil {
-			l.logger.Warn("placement record refused", zap.Int("event", events.PlacementRejected), zap.Int64("offset", rec.Offset), zap.Error(err))
+			l.logger.Warn("placement record rejected", zap.Int("event", events.PlacementRejected), zap.Int64("offset", rec.Offset), zap.Error(err))
 			return false
 		}
 		l.applyRecord(r, rec.Offset)
@@ -30,6 +30,7 @@
 	})
 }
 
+// applyRecord applies a placement record; a members record's offset is its epoch.
 func (l *Loop) applyRecord(r *placement.Record, offset int64) {
 	switch r.Kind {
 	case placement.KindMembers:
@@ -47,6 +48,7 @@
 	}
 }
 
+// setState puts state s into force.
 func (l *Loop) setState(s placement.State) {
 	st := l.states[s.Key()]
 	if st == nil {
@@ -58,9 +60,9 @@
 		zap.String("data_centre", s.DataCentre), zap.Int64("epoch", s.Epoch), zap.Strings("members", s.Members))
 }
 
-// reassign recomputes st's assignment for state s under the manifest in
-// force. Shards that change owner enter handover for one grant lease: the
-// old owner may hold a live grant for them until it lapses.
+// reassign recomputes st's assignment for state s under the manifest in force.
+// Shards that change owner are in handover for one grant TTL, because the
+// previous owner may hold a valid grant for them until then.
 func (l *Loop) reassign(st *dcState, s placement.State) {
 	old := st.assignment
 	st.state = s
@@ -104,7 +106,7 @@
 	}
 }
 
-// publish builds and stores a new routing table from the state in force.
+// publish stores a new routing table built from the state in force.
 func (l *Loop) publish() {
 	if l.manifest == nil {
 		return
@@ -112,26 +114,27 @@
 	t := &routing.Table{Manifest: l.manifest, ManifestOffset: l.manifestOffset, Services: map[string]*routing.Service{}, ViewAt: l.viewAt}
 	for i := range l.manifest.Services {
 		svc := &l.manifest.Services[i]
-		rs := &routing.Service{Spec: svc, Homes: l.homes[svc.Name], ByDC: make([]*placement.Assignment, len(l.manifest.DataCentres)),
+		service := &routing.Service{Spec: svc, Homes: l.homes[svc.Name], ByDC: make([]*placement.Assignment, len(l.manifest.DataCentres)),
 			HandoverUntil: map[int]time.Time{}}
 		for d, dc := range l.manifest.DataCentres {
 			st := l.states[svc.Name+"/"+dc]
 			if st == nil || st.assignment == nil {
 				continue
 			}
-			rs.ByDC[d] = st.assignment
+			service.ByDC[d] = st.assignment
 			for shard, until := range st.handoverUntil {
-				rs.HandoverUntil[shard] = until
+				service.HandoverUntil[shard] = until
 			}
 		}
-		t.Services[svc.Name] = rs
+		t.Services[svc.Name] = service
 	}
 	l.table.Store(t)
 }
 
-// propose appends a members record for each local (service, data centre)
-// whose wanted members differ from those in force. At most one proposal per
-// key per poll interval, so a host that keeps losing races backs off.
+// propose appends a members record for each service whose wanted members in
+// this data centre differ from those in force. It makes at most one proposal per
+// service and poll interval, so that a host that loses to concurrent proposals
+// backs off.
 func (l *Loop) propose(ctx context.Context, now time.Time) {
 	for i := range l.manifest.Services {
 		svc := &l.manifest.Services[i]
@@ -157,11 +160,10 @@
 	}
 }
 
-// wantedMembers returns the sorted members a (service, data centre) should have:
-// every local upstream that is healthy, not drained and not leaving. Upstreams this host
-// does not renew keep the membership they have (their renewers judge
-// them; with no placement yet they count as members). It is not ready
-// until each upstream it renews has been probed at least once.
+// wantedMembers returns the sorted members that a service should have in this
+// data centre: the local upstreams that are up, not drained and not leaving. An
+// upstream that other hosts renew keeps its membership; without a placement it is
+// a member. The result is false until each upstream this host renews was probed.
 func (l *Loop) wantedMembers(local []manifest.Upstream, cur *dcState) ([]string, bool) {
 	var drained, members []string
 	if cur != nil {
@@ -190,9 +192,9 @@
 	return want, true
 }
 
-// appendRecord writes rec at the stream's next offset. Losing the race is normal
-// and left to the next read; a lost answer is also left to the next read,
-// which finds the record (by nonce) if it landed.
+// appendRecord appends rec at the next offset of the placement stream. A conflict
+// with a concurrent append is normal: the next read returns the other record. If
+// the log's response is lost, the next read returns the record if it was written.
 func (l *Loop) appendRecord(ctx context.Context, rec *placement.Record) {
 	rec.By, rec.Nonce = l.opts.Host, rand.Uint64()
 	data, err := rec.Encode()
@@ -200,21 +202,21 @@
 		return
 	}
 	logAppends.Inc()
-	off, err := l.logClient.AppendAt(ctx, logservice.StreamPlacement, data, l.nextPlacement)
+	offset, err := l.logClient.AppendAt(ctx, logservice.StreamPlacement, data, l.nextPlacementOffset)
 	switch {
 	case err == nil:
-		l.logger.Info("placement proposed", zap.Int("event", events.PlacementProposed), zap.String("kind", rec.Kind), zap.Int64("offset", off))
+		l.logger.Info("placement proposed", zap.Int("event", events.PlacementProposed), zap.String("kind", rec.Kind), zap.Int64("offset", offset))
 	case isConflict(err):
-		l.logger.Info("placement proposal lost a race", zap.Int("event", events.PlacementConflict), zap.Error(err))
+		l.logger.Info("placement proposal lost to a concurrent append", zap.Int("event", events.PlacementConflict), zap.Error(err))
 	default:
 		l.logger.Warn("placement proposal outcome unknown", zap.Int("event", events.PlacementUnknown), zap.Error(err))
 	}
 }
 
-// appendSnapshotIfDue restates the whole placement once SnapshotEvery records have
-// followed the last snapshot, or none was seen for SnapshotInterval, so
-// retention never drops the only record of a (service, data centre). Hosts
-// racing to write one lose to the compare-and-append; the winner's counts.
+// appendSnapshotIfDue appends a snapshot of the whole placement if SnapshotEvery
+// records have followed the last one or SnapshotInterval has passed, so that the
+// only record of a (service, data centre) never expires. Of concurrent snapshots
+// only one is appended, the others conflict.
 func (l *Loop) appendSnapshotIfDue(ctx context.Context, now time.Time) {
 	if len(l.states) == 0 {
 		return
