--- a/internal/router/backoff_test.go
+++ b/internal/router/backoff_test.go
@@ -16,13 +16,13 @@
 	"github.com/papayatide/papayatide/internal/target"
 )
 
-// A target that turns requests away and asks for a rest must not get every request
-// for its keys all the same; callers are refused at once and told of the rest.
+// A target that responds 503 "not run" with Retry-After must get no requests for that
+// time. Callers are refused at once, with the backoff of the backoff as Retry-After.
 func TestTargetBackoffIsHonoured(t *testing.T) {
-	const rest = 2 * time.Second
-	var arrived atomic.Int64
+	const backoff = 2 * time.Second
+	var received atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		arrived.Add(1)
+		received.Add(1)
 		w.Header().Set(target.HeaderNotRun, "1")
 		w.Header().Set("Retry-After", "2")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -37,21 +37,21 @@
 		func() *routing.Table { return table }, target.NewClient(), zap.NewNop())
 	mux := http.NewServeMux()
 	mux.Handle("/{service}/{key...}", rt)
-	ask := func() *httptest.ResponseRecorder {
+	send := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/sheets/k", nil))
 		return w
 	}
 	for range 20 {
-		if w := ask(); w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "2" {
+		if w := send(); w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "2" {
 			t.Fatalf("got %d, Retry-After %q: %s", w.Code, w.Header().Get("Retry-After"), w.Body)
 		}
 	}
-	if n := arrived.Load(); n != 1 {
-		t.Errorf("%d requests reached the target within its rest of %v, want 1", n, rest)
+	if n := received.Load(); n != 1 {
+		t.Errorf("%d requests reached the target during its backoff of %v, want 1", n, backoff)
 	}
-	time.Sleep(rest)
-	if ask(); arrived.Load() != 2 {
-		t.Errorf("%d requests reached the target after its rest, want 2", arrived.Load())
+	time.Sleep(backoff)
+	if send(); received.Load() != 2 {
+		t.Errorf("%d requests reached the target after its backoff, want 2", received.Load())
 	}
 }
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,5 +1,6 @@
-// Package router is the entry host's traffic side: an http.Handler that
-// takes a caller's keyed request, looks up the owner in the routing table in
-// force, forwards it with the fencing token, idempotency key and deadline,
-// and returns the target's whole answer or a truthful refusal at once.
+// Package router serves callers of keyed services on an entry host. It is an
+// http.Handler that looks up the key's owner in the routing table, forwards the
+// request with fencing token, idempotency key and deadline, and returns the
+// target's whole response, or at once a refusal that states whether the work
+// may have run.
 package router
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -12,10 +12,11 @@
 	"github.com/papayatide/papayatide/internal/target"
 )
 
-// reportHeaders name what targets report; they name no rate limit.
+// reportHeaders are the response headers in which targets report about
+// themselves. Targets report no rate limit.
 var reportHeaders = protocol.Headers{NotRun: target.HeaderNotRun}
 
-// recordReport takes in what a target's answer says of the target.
+// recordReport records what a target's response states about the target itself.
 func (rt *Router) recordReport(resp *target.Response, err error, route routing.Route, sent, now time.Time) {
 	if err != nil {
 		return
@@ -23,8 +24,8 @@
 	rt.reports.Record(route.Upstream.Name, feedback.Decode(reportHeaders, resp.Status, resp.Header), sent, now)
 }
 
-// onReportChange logs a rest that a target asks for, and forgets those that are over.
+// onReportChange logs a backoff that a target requests, and removes expired ones.
 func (rt *Router) onReportChange(c feedback.Change) {
-	rt.log.Info("target asked for a rest", zap.Int("event", events.TargetReported), zap.String("peer", c.Upstream), zap.Duration("rest", c.Backoff))
+	rt.log.Info("target requested a backoff", zap.Int("event", events.TargetReported), zap.String("peer", c.Upstream), zap.Duration("rest", c.Backoff))
 	rt.reports.Prune(func(string) bool { return true }, time.Now())
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,7 +21,7 @@
 	"github.com/papayatide/papayatide/internal/target"
 )
 
-// Steps named in refusals.
+// Steps at which a request is refused, named in the refusal.
 const (
 	StepParse    = "parse"
 	StepView     = "view"
@@ -29,82 +29,83 @@
 	StepResponse = "answer"
 )
 
-// HeaderTimeout lets a caller shorten its deadline, in milliseconds.
+// HeaderTimeout is the request header with which a caller shortens its deadline,
+// in milliseconds.
 const HeaderTimeout = "X-Papayatide-Timeout-Ms"
 
-// MaxBodyBytes bounds a caller's request body.
+// MaxBodyBytes limits a caller's request body.
 const MaxBodyBytes = 1 << 20
 
-// Options shape the router.
+// Options configure the router.
 type Options struct {
-	// Host names this entry host in request ids.
+	// Host is this entry host's name, the prefix of request IDs.
 	Host string
-	// Timeout is the default and largest deadline given to a request.
+	// Timeout is the default and the longest time allowed for a request.
 	Timeout time.Duration
-	// MaxViewAge is how old the routing view may be for non-idempotent
-	// work; past it such work is refused as not run.
+	// MaxViewAge is the highest age of the routing table at which non-idempotent
+	// work is forwarded; above it, such work is refused as not run.
 	MaxViewAge time.Duration
-	// RetryAfter is told to callers refused for a passing cause.
+	// RetryAfter is the retry delay in refusals with a temporary cause.
 	RetryAfter time.Duration
-	// LatencyObjective is the latency past which a request counts as
-	// slow in the burn report.
+	// LatencyObjective is the latency above which a request counts as slow in the
+	// burn report.
 	LatencyObjective time.Duration
 }
 
-// Router serves callers.
+// Router forwards callers' requests to the owners of their keys.
 type Router struct {
 	opts    Options
 	table   func() *routing.Table
 	targets *target.Client
 	log     *zap.Logger
-	// OnFenced is told about each fencing refusal so the control loop can
-	// catch up; it must not block.
+	// OnFenced is called when a target rejects a fencing token, so that the
+	// control loop reads the log; it must not block.
 	OnFenced func(upstream string)
 	// Burns counts requests for the service-level burn report.
 	Burns *burn.Recorder
-	// crashes are the targets that ended under requests, as this host saw.
+	// crashes tracks the targets that crashed while they ran this host's requests.
 	crashes *crashes.Tracker
-	// reports are what targets report of themselves in their answers.
+	// reports tracks what targets report about themselves in response headers.
 	reports *feedback.Tracker
 	started time.Time
 }
 
-// New returns a router reading tables from table.
+// New returns a router that reads the routing table in force from table.
 func New(opts Options, table func() *routing.Table, targets *target.Client, log *zap.Logger) *Router {
 	rt := &Router{started: time.Now(), opts: opts, table: table, targets: targets, log: log, OnFenced: func(string) {},
 		reports: feedback.NewTracker(), Burns: burn.NewRecorder(opts.LatencyObjective)}
 	rt.reports.OnChange = rt.onReportChange
 	rt.crashes = crashes.NewTracker(rt.logRefusedFingerprint)
-	rt.crashes.AllowTrialsIf(func() bool { return true }) // no other host shares what it sees
+	rt.crashes.AllowTrialsIf(func() bool { return true }) // crashes are not shared, so no other host sends the trial request
 	return rt
 }
 
-// Crashes returns the targets' ends that this host has seen.
+// Crashes returns the tracker of target crashes that this host observed.
 func (rt *Router) Crashes() *crashes.Tracker { return rt.crashes }
 
-// unknownLabel stands for every service name not in the manifest in
-// metrics and burn counts.
+// unknownLabel replaces service names that are not in the manifest in metrics
+// and burn counts.
 const unknownLabel = "_unknown"
 
 // ServeHTTP implements http.Handler for paths /{service}/{key...}.
 func (rt *Router) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	service := r.PathValue("service")
-	resp, ref := rt.serve(r, service, r.PathValue("key"), start)
+	resp, refused := rt.serve(r, service, r.PathValue("key"), start)
 	code := "OK"
-	if ref != nil {
-		code = string(ref.Code)
-		ref.Write(w)
+	if refused != nil {
+		code = string(refused.Code)
+		refused.Write(w)
 	} else {
 		writeResponse(w, resp)
 	}
-	// Callers choose the path, so a name not in the manifest must not
-	// become a label: random names would grow the metrics and burn rings
-	// without bound until the host ran out of memory.
+	// Callers choose the path, so a name that is not in the manifest must not become
+	// a label: random names would grow the metrics and burn counts until the host
+	// ran out of memory.
 	if t := rt.table(); t == nil || t.Services[service] == nil {
 		service = unknownLabel
 	}
-	rt.Burns.Record(service, ref != nil && ref.Code != refusal.BadRequest && ref.Code != refusal.UnknownService, time.Since(start), time.Now())
+	rt.Burns.Record(service, refused != nil && refused.Code != refusal.BadRequest && refused.Code != refusal.UnknownService, time.Since(start), time.Now())
 	metrics.GetOrCreateCounter(fmt.Sprintf(`papayatide_requests_total{service=%q,code=%q}`, service, code)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`papayatide_request_duration_seconds{service=%q}`, service)).UpdateDuration(start)
 }
@@ -121,10 +122,12 @@
 	return method == http.MethodGet || method == http.MethodHead
 }
 
+// serve forwards a request to the owner of its key and returns the response, or a
+// refusal.
 func (rt *Router) serve(r *http.Request, service, key string, now time.Time) (*target.Response, *refusal.Refusal) {
-	req, ref := rt.parseRequest(r, service, key, now)
-	if ref != nil {
-		return nil, ref
+	req, refused := rt.parseRequest(r, service, key, now)
+	if refused != nil {
+		return nil, refused
 	}
 	t := rt.table()
 	if t == nil {
@@ -134,13 +137,13 @@
 		return nil, refusal.New(refusal.StaleView, StepView, "", refusal.NotRun, rt.opts.RetryAfter,
 			"placement view too old for non-idempotent work")
 	}
-	route, ref := t.Lookup(service, key, now)
-	if ref != nil {
-		return nil, ref
+	route, refused := t.Lookup(service, key, now)
+	if refused != nil {
+		return nil, refused
 	}
 	req.Shard, req.FencingToken = route.Shard, route.FencingToken
-	if rest := rt.reports.Backoff(route.Upstream.Name, now); rest > 0 {
-		return nil, refusal.New(refusal.Shed, StepForward, route.Upstream.Name, refusal.NotRun, rest, "the target asked for a rest")
+	if backoff := rt.reports.Backoff(route.Upstream.Name, now); backoff > 0 {
+		return nil, refusal.New(refusal.Shed, StepForward, route.Upstream.Name, refusal.NotRun, backoff, "the target asked for a rest")
 	}
 	if left := rt.refusedFor(req, now); left > 0 {
 		return nil, refusal.New(refusal.CrashesTargets, StepForward, "", refusal.NotRun, left, "targets ended while they ran this request")
@@ -182,8 +185,8 @@
 	return req, nil
 }
 
-// forwardRefusal turns a forwarding error into the truthful refusal: work
-// that never left is not run; work sent without an answer is unknown.
+// forwardRefusal returns the refusal for a forwarding error. The outcome is "not
+// run" if the request was not sent, and unknown if it was sent without a response.
 func (rt *Router) forwardRefusal(err error, req *target.Request, route routing.Route) *refusal.Refusal {
 	peer := route.Upstream.Name
 	rt.log.Info("forward failed", zap.Int("event", events.ForwardFailed), zap.String("peer", peer), zap.Error(err))
@@ -196,9 +199,9 @@
 	return refusal.New(refusal.OutcomeUnknown, StepForward, peer, refusal.Unknown, rt.opts.RetryAfter, err.Error())
 }
 
-// checkResponse vets a target's answer: refusals the target marked as not run are
-// passed on as such, and an answer echoing another request's id is never
-// given to this caller.
+// checkResponse returns a target's response, or a refusal if the target marked the
+// request as not run, or if the response carries another request's ID and so must
+// not reach this caller.
 func (rt *Router) checkResponse(resp *target.Response, req *target.Request, route routing.Route) (*target.Response, *refusal.Refusal) {
 	peer := route.Upstream.Name
 	if resp.Header.Get(target.HeaderNotRun) == "1" {
@@ -207,12 +210,12 @@
 			rt.OnFenced(peer)
 			return nil, refusal.New(refusal.Fenced, StepForward, peer, refusal.NotRun, rt.opts.RetryAfter, string(resp.Body))
 		default:
-			back := max(rt.opts.RetryAfter, rt.reports.Backoff(peer, time.Now()))
-			return nil, refusal.New(refusal.Shed, StepForward, peer, refusal.NotRun, back, string(resp.Body))
+			backoff := max(rt.opts.RetryAfter, rt.reports.Backoff(peer, time.Now()))
+			return nil, refusal.New(refusal.Shed, StepForward, peer, refusal.NotRun, backoff, string(resp.Body))
 		}
 	}
 	if resp.Status < 300 && resp.Header.Get(target.HeaderRequestID) != req.RequestID {
-		rt.log.Warn("crossed answer", zap.Int("event", events.MismatchedResponse), zap.String("peer", peer),
+		rt.log.Warn("response belongs to another request", zap.Int("event", events.MismatchedResponse), zap.String("peer", peer),
 			zap.String("want", req.RequestID), zap.String("got", resp.Header.Get(target.HeaderRequestID)))
 		return nil, refusal.New(refusal.MismatchedResponse, StepResponse, peer, refusal.Unknown, rt.opts.RetryAfter, "answer belongs to another request")
 	}
--- a/internal/routing/table_bench_test.go
+++ b/internal/routing/table_bench_test.go
@@ -16,15 +16,15 @@
 	m := manifest.Generate("b", dcs, []manifest.ServiceSize{{Name: "svc", Upstreams: 20}}, 3, 10, 1)
 	svc := &m.Services[0]
 	homes := placement.Homes(svc, dcs)
-	rs := &routing.Service{Spec: svc, Homes: homes, ByDC: make([]*placement.Assignment, 3), HandoverUntil: map[int]time.Time{}}
+	service := &routing.Service{Spec: svc, Homes: homes, ByDC: make([]*placement.Assignment, 3), HandoverUntil: map[int]time.Time{}}
 	for i := range dcs {
-		rs.ByDC[i] = placement.AssignHomed(svc, svc.UpstreamNames(), 1, homes, uint8(i))
+		service.ByDC[i] = placement.AssignHomed(svc, svc.UpstreamNames(), 1, homes, uint8(i))
 	}
-	t := &routing.Table{Manifest: m, Services: map[string]*routing.Service{"svc": rs}}
+	t := &routing.Table{Manifest: m, Services: map[string]*routing.Service{"svc": service}}
 	now := time.Now()
 	for b.Loop() {
-		if _, ref := t.Lookup("svc", "job-sheet-000123456", now); ref != nil {
-			b.Fatal(ref)
+		if _, refused := t.Lookup("svc", "job-sheet-000123456", now); refused != nil {
+			b.Fatal(refused)
 		}
 	}
 }
