--- a/internal/hostlist/client.go
+++ b/internal/hostlist/client.go
@@ -12,24 +12,24 @@
 // State is a host's state in the list.
 type State string
 
-// States the platform reports.
+// States in the platform's list.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Host is one entry of the list, keyed by the address targets listen on.
+// Host is one entry of the list. Addr is the address that a target listens on.
 type Host struct {
 	Addr  string `json:"addr"`
 	State State  `json:"state"`
 }
 
-// List is the platform's answer to GET /hosts.
+// List is the body of the platform's response to GET /hosts.
 type List struct {
 	Hosts []Host `json:"hosts"`
 }
 
-// MaxListBytes bounds the list read.
+// MaxListBytes limits the size of the list that is read.
 const MaxListBytes = 8 << 20
 
 // Client reads the host list from one base URL.
@@ -38,10 +38,12 @@
 	httpClient *http.Client
 }
 
-// New returns a client for the host list at base URL addr.
-func New(addr string, hc *http.Client) *Client { return &Client{baseURL: addr, httpClient: hc} }
+// New returns a client for the host list at baseURL.
+func New(baseURL string, httpClient *http.Client) *Client {
+	return &Client{baseURL: baseURL, httpClient: httpClient}
+}
 
-// Leaving returns the set of addresses the list says are leaving.
+// Leaving returns the set of addresses whose state is leaving.
 func (c *Client) Leaving(ctx context.Context) (map[string]bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/hosts", nil)
 	if err != nil {
@@ -55,12 +57,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, eris.Errorf("host list %s: status %d", c.baseURL, resp.StatusCode)
 	}
-	var l List
-	if err := json.NewDecoder(io.LimitReader(resp.Body, MaxListBytes)).Decode(&l); err != nil {
+	var list List
+	if err := json.NewDecoder(io.LimitReader(resp.Body, MaxListBytes)).Decode(&list); err != nil {
 		return nil, eris.Wrapf(err, "host list %s: decode", c.baseURL)
 	}
 	out := map[string]bool{}
-	for _, h := range l.Hosts {
+	for _, h := range list.Hosts {
 		if h.State == Leaving {
 			out[h.Addr] = true
 		}
--- a/internal/hostlist/doc.go
+++ b/internal/hostlist/doc.go
@@ -1,5 +1,4 @@
-// Package hostlist is papayatide's client of the platform's list of live
-// and leaving hosts. The list lags, so papayatide uses it only to stop
-// sending work to a target sooner (a leaving host), never to decide that a
-// target is alive.
+// Package hostlist is a client of the platform's list of live and leaving hosts.
+// The list lags, so papayatide uses it only to stop sending requests to a leaving
+// target earlier, never to decide that a target is alive.
 package hostlist
--- a/internal/logservice/client.go
+++ b/internal/logservice/client.go
@@ -14,35 +14,35 @@
 
 // Stream names used by papayatide.
 const (
-	// StreamManifests carries published manifests, one JSON manifest a record.
+	// StreamManifests carries published manifests, one per record as JSON.
 	StreamManifests = "manifests"
-	// StreamPlacement carries placement records; a record's offset is the
-	// epoch of the placement it states.
+	// StreamPlacement carries placement records; a record's offset is the epoch of
+	// its placement.
 	StreamPlacement = "placement"
 	// StreamEntryHosts carries entry hosts' heartbeats.
 	StreamEntryHosts = "entryhosts"
 )
 
-// ErrConflict is returned by AppendAt when the stream's next offset was not
-// the expected one: someone else appended first and nothing was written.
-var ErrConflict = errors.New("log: stream moved on")
+// ErrConflict is returned by AppendAt when the stream's next offset is not the
+// expected one: another writer appended first, and nothing was written.
+var ErrConflict = errors.New("log: another record was appended first")
 
-// ErrUnknownOutcome is returned when the log did not answer an append: the
-// record may or may not have been written.
+// ErrUnknownOutcome is returned when an append failed for any other reason, e.g. a
+// lost response: the record may have been written.
 var ErrUnknownOutcome = errors.New("log: append outcome unknown")
 
-// Client talks to one log service.
+// Client is a client of one log service.
 type Client struct {
 	baseURL string
 	rpc     logsvcpb.Log
 }
 
-// New returns a client for the log service at base URL addr.
-func New(addr string, hc *http.Client) *Client {
-	return &Client{baseURL: addr, rpc: logsvcpb.NewLogProtobufClient(addr, hc)}
+// New returns a client for the log service at baseURL.
+func New(baseURL string, httpClient *http.Client) *Client {
+	return &Client{baseURL: baseURL, rpc: logsvcpb.NewLogProtobufClient(baseURL, httpClient)}
 }
 
-// Append adds data to stream and returns its offset.
+// Append appends data to stream and returns the record's offset.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	resp, err := c.rpc.Append(ctx, &logsvcpb.AppendRequest{Stream: stream, Data: data})
 	if err != nil {
@@ -51,9 +51,9 @@
 	return resp.Offset, nil
 }
 
-// AppendAt adds data to stream only if it gets offset next. It returns
-// ErrConflict (with the stream's real next offset) when another record got
-// there first, and ErrUnknownOutcome when the log's answer was lost.
+// AppendAt appends data to stream only if the record's offset is next. It returns
+// ErrConflict if the stream's next offset is another (see ConflictNext), and
+// ErrUnknownOutcome if the append failed in any other way.
 func (c *Client) AppendAt(ctx context.Context, stream string, data []byte, next int64) (int64, error) {
 	resp, err := c.rpc.Append(ctx, &logsvcpb.AppendRequest{Stream: stream, Data: data, ExpectedNext: next, Conditional: true})
 	if err != nil {
@@ -62,35 +62,37 @@
 	return resp.Offset, nil
 }
 
-// ConflictNext returns the stream's next offset carried by an ErrConflict.
+// ConflictNext returns the stream's next offset from an ErrConflict, and whether
+// err carries one.
 func ConflictNext(err error) (int64, bool) {
-	var te twirp.Error
-	if !errors.As(err, &te) || te.Code() != twirp.FailedPrecondition {
+	var twirpErr twirp.Error
+	if !errors.As(err, &twirpErr) || twirpErr.Code() != twirp.FailedPrecondition {
 		return 0, false
 	}
-	n, perr := strconv.ParseInt(te.Meta("next"), 10, 64)
-	return n, perr == nil
+	next, parseErr := strconv.ParseInt(twirpErr.Meta("next"), 10, 64)
+	return next, parseErr == nil
 }
 
+// appendErr wraps the error of an append as ErrConflict or ErrUnknownOutcome.
 func (c *Client) appendErr(err error, stream string) error {
-	var te twirp.Error
-	if errors.As(err, &te) && te.Code() == twirp.FailedPrecondition {
+	var twirpErr twirp.Error
+	if errors.As(err, &twirpErr) && twirpErr.Code() == twirp.FailedPrecondition {
 		return eris.Wrapf(&conflictError{cause: err}, "log %s: append %s", c.baseURL, stream)
 	}
 	return eris.Wrapf(&unknownOutcomeError{cause: err}, "log %s: append %s", c.baseURL, stream)
 }
 
-// Batch is one read's result.
+// Batch is the result of one read.
 type Batch struct {
 	// Records are in offset order.
 	Records []*logsvcpb.Record
-	// Next is the offset the stream's next record will get.
+	// Next is the offset of the stream's next record, not yet written.
 	Next int64
-	// First is the oldest retained offset; records before it are gone.
+	// First is the offset of the oldest retained record.
 	First int64
 }
 
-// Read returns up to max records of stream from offset from.
+// Read returns up to max records of stream, starting at offset from.
 func (c *Client) Read(ctx context.Context, stream string, from int64, max int) (*Batch, error) {
 	resp, err := c.rpc.Read(ctx, &logsvcpb.ReadRequest{Stream: stream, From: from, Max: int32(max)})
 	if err != nil {
@@ -99,18 +101,17 @@
 	return &Batch{Records: resp.Records, Next: resp.Next, First: resp.First}, nil
 }
 
-// Scan reads stream from offset from to its end, a page at a time, and hands
-// each record to visit. If records before the first kept one were still to be
-// read, gap is told the first kept offset. It returns the offset to go on
-// from, also with an error.
-func (c *Client) Scan(ctx context.Context, stream string, from int64, gap func(first int64), visit func(*logsvcpb.Record)) (int64, error) {
+// Scan reads stream from offset from to its end, page by page, and calls visit for
+// each record. If the record at from has expired, it calls onGap with the oldest
+// retained offset. It returns the offset at which to continue, also with an error.
+func (c *Client) Scan(ctx context.Context, stream string, from int64, onGap func(first int64), visit func(*logsvcpb.Record)) (int64, error) {
 	for {
 		b, err := c.Read(ctx, stream, from, 0)
 		if err != nil {
 			return from, err
 		}
 		if b.First > from {
-			gap(b.First)
+			onGap(b.First)
 		}
 		for _, rec := range b.Records {
 			from = rec.Offset + 1
@@ -122,7 +123,8 @@
 	}
 }
 
-// Last returns the newest record of stream, or nil if it has none.
+// Last returns the newest record of stream, nil if it has none, and the stream's
+// next offset.
 func (c *Client) Last(ctx context.Context, stream string) (*logsvcpb.Record, int64, error) {
 	head, err := c.Read(ctx, stream, 1<<62, 1)
 	if err != nil {
--- a/internal/logservice/client_test.go
+++ b/internal/logservice/client_test.go
@@ -12,9 +12,9 @@
 	"github.com/papayatide/papayatide/rpc/logsvcpb"
 )
 
-// Two operators publish from the same base at once. The caller of the
-// second append sees ErrConflict naming the offset that won, and the
-// stream holds exactly one record at that offset: the first one's.
+// Two operators publish at the same expected offset. The second append must return
+// ErrConflict with the stream's next offset, and the stream must hold only the first
+// record, or one operator would overwrite the other's change unnoticed.
 func TestConcurrentAppendsAtOneOffsetWriteOneRecord(t *testing.T) {
 	srv := httptest.NewServer(logsvc.NewServer(0).Handler())
 	defer srv.Close()
@@ -36,8 +36,8 @@
 	}
 }
 
-// The log's answer is lost after the write took effect: the caller gets
-// ErrUnknownOutcome (never "not written"), and reading back finds it.
+// The log's response is lost after the record was written. The append must return
+// ErrUnknownOutcome, not an error that means "not written", and a read finds the record.
 func TestLostAppendResponseIsUnknownOutcome(t *testing.T) {
 	ls := logsvc.NewServer(0)
 	ls.SetFaults(logsvc.Faults{LoseAckRate: 1})
@@ -54,7 +54,7 @@
 	}
 }
 
-// A stream longer than a page is read whole, once, in order.
+// Scan must return all records of a stream longer than one page, once and in order.
 func TestScanReadsAllPages(t *testing.T) {
 	srv := logsvc.NewServer(0)
 	hs := httptest.NewServer(srv.Handler())
@@ -68,7 +68,7 @@
 		}
 	}
 	var got []string
-	next, err := c.Scan(ctx, "s", 3, func(int64) { t.Error("a gap where none is") },
+	next, err := c.Scan(ctx, "s", 3, func(int64) { t.Error("gap reported, but no record has expired") },
 		func(r *logsvcpb.Record) { got = append(got, string(r.Data)) })
 	if err != nil || next != records || len(got) != records-3 || got[0] != "3" || got[len(got)-1] != fmt.Sprint(records-1) {
 		t.Errorf("%d records to %d, error %v", len(got), next, err)
--- a/internal/logservice/doc.go
+++ b/internal/logservice/doc.go
@@ -1,5 +1,4 @@
-// Package logservice is papayatide's client of the platform's append-only
-// log service: it appends records (optionally compare-and-append at an
-// expected offset) and reads streams from an offset. Every error it returns
-// names the step and the log service's address.
+// Package logservice is a client of the platform's append-only log service. It
+// appends records, optionally only at an expected offset, and reads streams from
+// an offset. Its errors name the failed call and the log service's address.
 package logservice
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,5 +1,5 @@
-// Package membership tracks which entry hosts are alive, from heartbeats
-// they append to the log service's entryhosts stream. Liveness is judged by
-// the log's own record timestamps, compared with the newest record seen, so
-// entry hosts' clocks never enter into it.
+// Package membership tracks which entry hosts are alive, from the heartbeats
+// that they append to the log service's entryhosts stream. A host is alive if
+// its last heartbeat is recent compared with the newest one read. Both times are
+// the log service's record timestamps, so entry hosts' clocks do not matter.
 package membership
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -19,11 +19,11 @@
 	return b, eris.Wrap(err, "membership: encode heartbeat")
 }
 
-// View is what one host knows of the others. It is not safe for
-// concurrent use; the control loop owns it.
+// View holds the last heartbeat of each entry host. It is not safe for concurrent
+// use.
 type View struct {
-	// Lease is how long, in the log's milliseconds, a host stays alive
-	// after its last heartbeat.
+	// HeartbeatTimeoutMs is how long a host counts as alive after its last
+	// heartbeat, by the log service's clock.
 	HeartbeatTimeoutMs int64
 	heartbeats         map[string]lastHeartbeat
 	newestMs           int64
@@ -34,13 +34,13 @@
 	unixMs     int64
 }
 
-// NewView returns an empty view with the given host lease.
-func NewView(leaseMs int64) *View {
-	return &View{HeartbeatTimeoutMs: leaseMs, heartbeats: map[string]lastHeartbeat{}}
+// NewView returns an empty view with the given heartbeat timeout.
+func NewView(heartbeatTimeoutMs int64) *View {
+	return &View{HeartbeatTimeoutMs: heartbeatTimeoutMs, heartbeats: map[string]lastHeartbeat{}}
 }
 
-// Observe records a heartbeat stamped unixMs by the log service. Malformed
-// records are refused.
+// Observe records a heartbeat with the log service's timestamp unixMs. It returns
+// an error for a malformed one.
 func (v *View) Observe(data []byte, unixMs int64) error {
 	var h Heartbeat
 	if err := json.Unmarshal(data, &h); err != nil || h.Host == "" || h.DataCentre == "" {
@@ -51,13 +51,14 @@
 	return nil
 }
 
-// Alive returns the hosts of data centre dc whose last heartbeat is within
-// the lease of the newest one seen, sorted, always including self.
-func (v *View) Alive(dc, self string) []string {
+// Alive returns the sorted names of the live hosts of a data centre, always
+// including self. A host is alive if its last heartbeat is no older than the
+// timeout, measured from the newest heartbeat of any host.
+func (v *View) Alive(dataCentre, self string) []string {
 	out := []string{self}
-	for h, s := range v.heartbeats {
-		if h != self && s.dataCentre == dc && s.unixMs >= v.newestMs-v.HeartbeatTimeoutMs {
-			out = append(out, h)
+	for host, last := range v.heartbeats {
+		if host != self && last.dataCentre == dataCentre && last.unixMs >= v.newestMs-v.HeartbeatTimeoutMs {
+			out = append(out, host)
 		}
 	}
 	slices.Sort(out)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -10,37 +10,37 @@
 	"github.com/papayatide/papayatide/internal/manifest"
 )
 
-// ShardOf returns the shard, in [0, shards), that a service's key hashes to.
+// ShardOf returns the shard of a service's key, in [0, shards).
 func ShardOf(service, key string, shards int) int {
-	d := xxhash.New()
-	_, _ = d.WriteString(service)
-	_, _ = d.Write([]byte{0})
-	_, _ = d.WriteString(key)
-	return int(d.Sum64() % uint64(shards))
+	digest := xxhash.New()
+	_, _ = digest.WriteString(service)
+	_, _ = digest.Write([]byte{0})
+	_, _ = digest.WriteString(key)
+	return int(digest.Sum64() % uint64(shards))
 }
 
-// Assignment is the owner of every shard of one service at one epoch.
+// Assignment holds the owner of each shard of one service at one epoch.
 type Assignment struct {
 	// Service is the service's name.
 	Service string
-	// Epoch is the log offset of the placement record this was built from;
-	// it is the fencing token sent with grants and requests.
+	// Epoch is the log offset of the placement record that the assignment is
+	// computed from. It is the fencing token of grants and requests.
 	Epoch int64
-	// Members are the upstreams that own shards, sorted by name.
+	// Members are the upstreams that may own shards, sorted by name.
 	Members []manifest.Upstream
-	// ownerIndex maps a shard to an index into Members.
+	// ownerIndex maps a shard to an index into Members, or unowned.
 	ownerIndex []uint16
 }
 
-// Assign computes the owner of each shard among the named members of svc.
-// Names not in the service are ignored; with no members every shard is
-// unowned and Owner returns nil. Use AssignHomed for one data centre.
+// Assign assigns all shards of svc to the named members. Names that are not in
+// the service are ignored. Without members no shard has an owner. Use AssignHomed
+// for one data centre.
 func Assign(svc *manifest.Service, members []string, epoch int64) *Assignment {
 	return AssignHomed(svc, members, epoch, nil, 0)
 }
 
-// AssignHomed is Assign restricted to the shards whose entry in homes is
-// home; other shards are unowned. A nil homes means every shard.
+// AssignHomed assigns only the shards whose entry in homes is home; other shards
+// have no owner. With nil homes it assigns all shards.
 func AssignHomed(svc *manifest.Service, members []string, epoch int64, homes []uint8, home uint8) *Assignment {
 	a := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
 	a.ownerIndex = make([]uint16, svc.ShardCount())
@@ -61,11 +61,10 @@
 	return a
 }
 
-// unowned marks a shard that this assignment does not place.
+// unowned marks a shard without an owner in Assignment.ownerIndex.
 const unowned = 1<<16 - 1
 
-// selectMembers returns the upstreams of svc named in members, sorted by
-// name.
+// selectMembers returns the upstreams of svc named in members, sorted by name.
 func selectMembers(svc *manifest.Service, members []string) []manifest.Upstream {
 	wanted := map[string]bool{}
 	for _, n := range members {
@@ -81,7 +80,7 @@
 	return out
 }
 
-// seedsAndWeights returns each member's hash seed and weight.
+// seedsAndWeights returns each member's hash seed and its weight, its slots.
 func seedsAndWeights(members []manifest.Upstream) ([]uint64, []float64) {
 	seeds := make([]uint64, len(members))
 	weights := make([]float64, len(members))
@@ -92,8 +91,8 @@
 	return seeds, weights
 }
 
-// score is the weighted rendezvous score of a member for a shard:
-// weight / -ln(u), with u uniform in (0,1) from the hash of both.
+// score returns a member's weighted rendezvous score for a shard:
+// weight / -ln(u), with u uniform in (0,1) from the hash of member and shard.
 func score(shard, seed uint64, weight float64) float64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], seed)
@@ -103,8 +102,8 @@
 	return weight / -math.Log(u)
 }
 
-// highestScore returns the index of the member with the highest score for
-// the shard; ties go to the lower index.
+// highestScore returns the index of the member with the highest score for the
+// shard; of equal scores, the lowest index.
 func highestScore(shard uint64, seeds []uint64, weights []float64) int {
 	best, bestScore := 0, math.Inf(-1)
 	for i, seed := range seeds {
@@ -115,11 +114,10 @@
 	return best
 }
 
-// Shards returns the shard count.
+// Shards returns the number of shards.
 func (a *Assignment) Shards() int { return len(a.ownerIndex) }
 
-// Owner returns the upstream owning shard, or nil if the service has no
-// members.
+// Owner returns the upstream that owns shard, or nil if the shard has no owner.
 func (a *Assignment) Owner(shard int) *manifest.Upstream {
 	if len(a.Members) == 0 || a.ownerIndex[shard] == unowned {
 		return nil
@@ -127,7 +125,7 @@
 	return &a.Members[a.ownerIndex[shard]]
 }
 
-// ShardsOf returns the shards the named upstream owns, ascending.
+// ShardsOf returns the shards that the named upstream owns, ascending.
 func (a *Assignment) ShardsOf(name string) []int {
 	var out []int
 	for shard := range a.ownerIndex {
@@ -138,8 +136,8 @@
 	return out
 }
 
-// Moved returns the shards whose owner differs between old and next; with
-// a nil old, no shard counts as moved. Both must have the same shard count.
+// Moved returns the shards whose owner differs between old and next, which must
+// have the same number of shards. It returns nil if old is nil.
 func Moved(old, next *Assignment) []int {
 	if old == nil {
 		return nil
@@ -154,9 +152,8 @@
 	return out
 }
 
-// Imbalance returns the most-loaded member's shard share divided by its
-// fair share by weight; 1.0 is perfect balance. It returns 0 with no
-// members.
+// Imbalance returns the highest ratio, over all members, of a member's shards to
+// its share by weight; 1.0 is perfect balance. It returns 0 without members.
 func (a *Assignment) Imbalance() float64 {
 	if len(a.Members) == 0 {
 		return 0
@@ -181,11 +178,10 @@
 	return worst
 }
 
-// Homes returns, for each shard of svc, the index into dcs of the data
-// centre that owns it. Shards are homed by weighted rendezvous hashing over
-// the data centres, weighted by the slots the service has in each, so only
-// that data centre's entry hosts ever move the shard between upstreams.
-// A data centre with no upstreams of svc homes no shards.
+// Homes returns the home data centre of each shard of svc, as an index into dcs.
+// Homes are assigned by rendezvous hashing, weighted by the slots of svc in each
+// data centre; one without upstreams of svc is home to no shards. Only the entry
+// hosts of its home data centre move a shard between upstreams.
 func Homes(svc *manifest.Service, dcs []string) []uint8 {
 	weights := make([]float64, len(dcs))
 	seeds := make([]uint64, len(dcs))
@@ -204,13 +200,10 @@
 	return homes
 }
 
-// Update returns the assignment for members at epoch, given the one in
-// force before it; the result equals AssignHomed's, so hosts with different
-// histories agree. It is what the control loop calls on every placement
-// record. Rendezvous hashing lets it skip most work: a shard whose owner
-// stays can only move to a joining member, and only shards of leaving
-// members need scoring against all members. Any change of weights, or a
-// different shard count, falls back to the full computation.
+// Update returns the same assignment as AssignHomed, so that hosts with different
+// histories agree, but computes it from the previous one: a shard whose owner stays
+// can only move to a joining member, and only shards of leaving members are scored
+// against all members. If weights or the number of shards changed, it calls AssignHomed.
 func Update(old *Assignment, svc *manifest.Service, members []string, epoch int64, homes []uint8, home uint8) *Assignment {
 	next := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
 	remap, joiners, ok := diffMembers(old, next.Members, svc.ShardCount())
@@ -232,21 +225,22 @@
 	return next
 }
 
-// diffMembers maps old member indexes to indexes in next (-1 for a member that
-// left) and lists the indexes in next of members that joined. ok is false
-// when an incremental update is not possible.
+// diffMembers compares old's members with next. remap maps an index of an old
+// member to its index in next, -1 for a member that left; joiners are the indexes
+// in next of members that joined. ok is false if an incremental update is not
+// possible.
 func diffMembers(old *Assignment, next []manifest.Upstream, shards int) (remap []int, joiners []int, ok bool) {
 	if old == nil || len(old.ownerIndex) != shards || len(old.Members) == 0 {
 		return nil, nil, false
 	}
-	idx := map[string]int{}
+	indexByName := map[string]int{}
 	for i, u := range next {
-		idx[u.Name] = i
+		indexByName[u.Name] = i
 	}
 	remap = make([]int, len(old.Members))
 	stayed := map[int]bool{}
 	for i, u := range old.Members {
-		j, found := idx[u.Name]
+		j, found := indexByName[u.Name]
 		if !found {
 			remap[i] = -1
 			continue
@@ -265,7 +259,8 @@
 	return remap, joiners, true
 }
 
-// ownerAfterJoins returns owner unless a joiner outscores it for the shard.
+// ownerAfterJoins returns the one of owner and joiners with the highest score for
+// the shard; of equal scores, the lowest index. All are member indexes.
 func ownerAfterJoins(shard uint64, owner int, joiners []int, seeds []uint64, weights []float64) int {
 	if len(joiners) == 0 {
 		return owner
@@ -279,19 +274,18 @@
 	return best
 }
 
-// Pick returns the n candidates with the highest rendezvous score for key
-// (all of them if there are n or fewer), best first. Entry hosts use it to
-// share out work, such as renewing an upstream's grant, among themselves
-// so that all agree on who does what from the same candidate list.
+// Pick returns the n candidates with the highest rendezvous score for key, highest
+// first, or all if there are no more than n. Entry hosts use it to divide work such
+// as renewing grants: hosts with the same list of candidates pick the same ones.
 func Pick(key string, candidates []string, n int) []string {
 	type scored struct {
 		name  string
 		score float64
 	}
-	k := xxhash.Sum64String(key)
+	keyHash := xxhash.Sum64String(key)
 	all := make([]scored, len(candidates))
 	for i, c := range candidates {
-		all[i] = scored{c, score(k, xxhash.Sum64String(c), 1)}
+		all[i] = scored{c, score(keyHash, xxhash.Sum64String(c), 1)}
 	}
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].score != all[j].score {
--- a/internal/placement/placement_bench_test.go
+++ b/internal/placement/placement_bench_test.go
@@ -13,8 +13,8 @@
 	return &m.Services[0]
 }
 
-// BenchmarkAssign measures recomputing a service's placement, the work an
-// entry host does per membership change, as upstreams and shards grow.
+// BenchmarkAssign measures the computation of a service's whole assignment for
+// growing numbers of upstreams and shards.
 func BenchmarkAssign(b *testing.B) {
 	for _, ups := range []int{20, 80, 320} {
 		for _, shards := range []int{4096, 16384, 65536} {
@@ -29,36 +29,36 @@
 	}
 }
 
-// BenchmarkShardOf measures hashing one key to its shard (per request).
+// BenchmarkShardOf measures hashing one key to its shard, the cost per request.
 func BenchmarkShardOf(b *testing.B) {
 	for b.Loop() {
 		ShardOf("routeboard", "job-sheet-000123456", manifest.DefaultShards)
 	}
 }
 
-// BenchmarkChurn reports the share of shards that move when one upstream
-// joins or leaves, and the imbalance after, for growing fleets.
+// BenchmarkChurn reports the share of shards that move when one upstream joins, and
+// the imbalance after that, for growing numbers of upstreams.
 func BenchmarkChurn(b *testing.B) {
 	for _, ups := range []int{20, 80, 320} {
 		svc := benchService(ups+1, 65536)
 		all := svc.UpstreamNames()
 		b.Run(fmt.Sprintf("upstreams=%d", ups), func(b *testing.B) {
-			var moved, imb float64
+			var moved, imbalance float64
 			for b.Loop() {
 				before := Assign(svc, all[:ups], 1)
 				after := Assign(svc, all, 2)
 				moved = float64(len(Moved(before, after))) / float64(after.Shards())
-				imb = after.Imbalance()
+				imbalance = after.Imbalance()
 			}
 			b.ReportMetric(moved*100, "%moved/join")
 			b.ReportMetric(100/float64(ups+1), "%ideal")
-			b.ReportMetric(imb, "imbalance")
+			b.ReportMetric(imbalance, "imbalance")
 		})
 	}
 }
 
-// BenchmarkMembershipChange measures the control loop's cost of one
-// placement record that removes one upstream and one that adds it back.
+// BenchmarkMembershipChange measures the control loop's cost of two placement
+// records: one removes an upstream, the other adds it back.
 func BenchmarkMembershipChange(b *testing.B) {
 	for _, ups := range []int{20, 80, 320} {
 		svc := benchService(ups, 65536)
@@ -66,8 +66,8 @@
 		full := Assign(svc, all, 1)
 		b.Run(fmt.Sprintf("upstreams=%d", ups), func(b *testing.B) {
 			for b.Loop() {
-				less := Update(full, svc, all[1:], 2, nil, 0)
-				Update(less, svc, all, 3, nil, 0)
+				reduced := Update(full, svc, all[1:], 2, nil, 0)
+				Update(reduced, svc, all, 3, nil, 0)
 			}
 		})
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,22 +17,22 @@
 func testService() *manifest.Service {
 	m := manifest.Generate("t", []string{"a"}, []manifest.ServiceSize{{Name: "svc", Upstreams: testUpstreams}}, 3, 10, 1)
 	m.Services[0].Shards = 512
-	// Uneven weights, so weighting is exercised.
+	// Uneven weights, so that a wrong use of weights shows.
 	for i := range m.Services[0].Upstreams {
 		m.Services[0].Upstreams[i].Slots = 1 + i%3
 	}
 	return &m.Services[0]
 }
 
-// placementSystem is the system under test: the assignment in force,
-// replaced on every membership change the way the control loop replaces it.
+// placementSystem is the system under test: the assignment in force, which each
+// membership change replaces as the control loop does.
 type placementSystem struct {
 	svc    *manifest.Service
 	assign *Assignment
 	epoch  int64
 }
 
-// oracleState is the simple oracle: just the set of members.
+// oracleState is the reference model: the set of members.
 type oracleState struct{ members map[string]bool }
 
 func (o oracleState) sorted() []string {
@@ -44,6 +44,7 @@
 	return out
 }
 
+// memberChange is a test command in which one upstream joins or leaves.
 type memberChange struct {
 	name string
 	join bool
@@ -82,11 +83,10 @@
 
 func (c memberChange) PreCondition(commands.State) bool { return true }
 
-// PostCondition checks what must hold after every change: each shard has
-// exactly one owner and it is a member; the incrementally updated owner is
-// the one a fresh computation gives (hosts with different histories agree);
-// only shards of a leaving member move on a leave, and only shards to the
-// joining member on a join.
+// PostCondition checks that after a change each shard is owned by a member, that
+// the incremental update gives the same owners as a full computation (or hosts with
+// different histories would disagree), and that shards move only from the leaving
+// or to the joining member.
 func (c memberChange) PostCondition(state commands.State, result commands.Result) *gopter.PropResult {
 	o := state.(oracleState)
 	r := result.([3]*Assignment)
@@ -102,15 +102,15 @@
 		if f := fresh.Owner(shard); (f == nil) != (owner == nil) || (f != nil && f.Name != owner.Name) {
 			return &gopter.PropResult{Status: gopter.PropFalse, Error: fmt.Errorf("shard %d: updated owner %v, fresh %v", shard, owner, f)}
 		}
-		was := old.Owner(shard)
-		if was == nil || owner == nil || was.Name == owner.Name {
+		previous := old.Owner(shard)
+		if previous == nil || owner == nil || previous.Name == owner.Name {
 			continue
 		}
 		if c.join && owner.Name != c.name {
-			return &gopter.PropResult{Status: gopter.PropFalse, Error: fmt.Errorf("join of %s moved shard %d %s->%s", c.name, shard, was.Name, owner.Name)}
+			return &gopter.PropResult{Status: gopter.PropFalse, Error: fmt.Errorf("join of %s moved shard %d %s->%s", c.name, shard, previous.Name, owner.Name)}
 		}
-		if !c.join && was.Name != c.name {
-			return &gopter.PropResult{Status: gopter.PropFalse, Error: fmt.Errorf("leave of %s moved shard %d %s->%s", c.name, shard, was.Name, owner.Name)}
+		if !c.join && previous.Name != c.name {
+			return &gopter.PropResult{Status: gopter.PropFalse, Error: fmt.Errorf("leave of %s moved shard %d %s->%s", c.name, shard, previous.Name, owner.Name)}
 		}
 	}
 	return &gopter.PropResult{Status: gopter.PropTrue}
@@ -126,8 +126,8 @@
 	return out
 }
 
-// TestPlacementAgainstOracle drives random joins and leaves through the
-// assignment and checks it against a plain member set after each one.
+// TestPlacementAgainstOracle applies random joins and leaves to an assignment and
+// checks it against the set of members after each one.
 func TestPlacementAgainstOracle(t *testing.T) {
 	svc := testService()
 	all := svc.UpstreamNames()
@@ -157,8 +157,8 @@
 	props.TestingRun(t)
 }
 
-// TestHomesStayInDataCentre checks that homing sends every shard to a data
-// centre that has upstreams of the service, in proportion to its slots.
+// TestHomesStayInDataCentre checks that every shard's home is a data centre that has
+// upstreams of the service, and that each of these is home to some shards.
 func TestHomesStayInDataCentre(t *testing.T) {
 	m := manifest.Generate("t", []string{"a", "b", "c"}, []manifest.ServiceSize{{Name: "svc", Upstreams: 2}}, 3, 10, 1)
 	homes := Homes(&m.Services[0], m.DataCentres)
--- a/internal/placement/record.go
+++ b/internal/placement/record.go
@@ -10,9 +10,9 @@
 const (
 	// KindMembers states the members of one service in one data centre.
 	KindMembers = "members"
-	// KindSnapshot restates every (service, data centre) state with the
-	// epoch it was set at, so a reader that starts after retention has
-	// dropped older records still learns the whole placement.
+	// KindSnapshot restates every (service, data centre) state with its epoch, so
+	// that a reader that starts after older records have expired still gets the
+	// whole placement.
 	KindSnapshot = "snapshot"
 )
 
@@ -23,10 +23,10 @@
 	State *State `json:"state,omitempty"`
 	// States is set for KindSnapshot.
 	States []State `json:"states,omitempty"`
-	// By names the entry host or operator that wrote the record.
+	// By is the entry host or operator that wrote the record.
 	By string `json:"by"`
-	// Nonce lets a writer whose append answer was lost recognise its
-	// own record when it reads the stream back.
+	// Nonce identifies the record, for a writer that lost the response to its
+	// append and reads the stream to find out whether it was written.
 	Nonce uint64 `json:"nonce"`
 }
 
@@ -34,17 +34,17 @@
 type State struct {
 	Service    string `json:"service"`
 	DataCentre string `json:"data_centre"`
-	// Members are the upstreams that own shards, sorted.
+	// Members are the upstreams that may own shards, sorted by name.
 	Members []string `json:"members"`
-	// Drained are upstreams an operator has stopped; they stay out of
-	// Members until the manifest drops them.
+	// Drained are the upstreams that an operator has drained; they stay out of
+	// Members until the manifest no longer lists them.
 	Drained []string `json:"drained,omitempty"`
-	// Epoch is the offset of the record that set this state. It is filled
-	// in by the reader for KindMembers and carried in snapshots.
+	// Epoch is the offset of the record that set this state. The reader fills it in
+	// for KindMembers; a snapshot carries it.
 	Epoch int64 `json:"epoch"`
 }
 
-// Key names the (service, data centre) a state is for.
+// Key returns the state's key, "service/data centre".
 func (s *State) Key() string { return s.Service + "/" + s.DataCentre }
 
 // Encode returns the record as JSON.
@@ -53,7 +53,8 @@
 	return b, eris.Wrap(err, "placement: encode record")
 }
 
-// DecodeRecord parses a placement record and checks its shape.
+// DecodeRecord parses a placement record. It returns an error if the kind is
+// unknown or a members record has no service or data centre.
 func DecodeRecord(data []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
