--- a/internal/router/backoff_test.go
+++ b/internal/router/backoff_test.go
@@ -17,7 +17,7 @@
 )
 
 // A target that responds 503 "not run" with Retry-After must get no requests for that
-// time. Callers are refused at once, with the backoff of the backoff as Retry-After.
+// time. Callers are refused at once, with the remaining backoff as Retry-After.
 func TestTargetBackoffIsHonoured(t *testing.T) {
 	const backoff = 2 * time.Second
 	var received atomic.Int64
