--- /dev/null
+++ b/internal/router/crashes.go
@@ -0,0 +1,70 @@
+package router
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/papayatide/papayatide/internal/crashes"
+	"github.com/papayatide/papayatide/internal/events"
+	"github.com/papayatide/papayatide/internal/routing"
+	"github.com/papayatide/papayatide/internal/target"
+)
+
+// requestFingerprint returns the fingerprint of req: requests that ask for the
+// same have the same one, whatever their ID.
+func requestFingerprint(req *target.Request) crashes.Fingerprint {
+	return crashes.Request{Method: req.Method, Host: req.Service, URI: req.Key, Key: -1, Body: req.Body}.Fingerprint()
+}
+
+// refusedFor returns how much longer requests with req's fingerprint are refused;
+// zero if they are not. Without refusals, a request that had crashed three targets
+// went on to crash the next owner of its shard or the next incarnation of the same
+// target: 18 crashes in 10 s with one caller.
+func (rt *Router) refusedFor(req *target.Request, now time.Time) time.Duration {
+	if !rt.crashes.HasCrashes() {
+		return 0
+	}
+	fingerprint := requestFingerprint(req)
+	if left := rt.crashes.RefusedFor(fingerprint, now); left > 0 && !rt.crashes.AllowTrial(fingerprint, now) {
+		return left
+	}
+	return 0
+}
+
+// crashWindow is the time within which broken sends to a target count as one
+// crash: several requests with one fingerprint may be in flight when it crashes.
+const crashWindow = 100 * time.Millisecond
+
+// recordOutcome records whether a target crashed or succeeded under a request. The
+// manifest names servers, not incarnations, so time distinguishes crashes.
+func (rt *Router) recordOutcome(resp *target.Response, err error, req *target.Request, route routing.Route, now time.Time) {
+	switch {
+	case errors.Is(err, target.ErrCrashed):
+		incarnation := fmt.Sprint(route.Upstream.Name, "@", int64(now.Sub(rt.started)/crashWindow))
+		rt.crashes.RecordCrash(crashes.Crash{Fingerprint: requestFingerprint(req), Server: incarnation, At: now})
+	case err == nil && completed(resp) && rt.crashes.HasCrashes():
+		rt.crashes.RecordSuccess(requestFingerprint(req))
+	default:
+		return
+	}
+	// Hosts do not share these crashes; mark them as written so that pending changes
+	// do not accumulate.
+	rt.crashes.MarkWritten(rt.crashes.Pending())
+	rt.crashes.Expire(now, false)
+}
+
+// completed reports whether the target ran the request and responded without a
+// server error.
+func completed(resp *target.Response) bool {
+	return resp.Header.Get(target.HeaderNotRun) == "" && resp.Status < http.StatusInternalServerError
+}
+
+// logRefusedFingerprint logs that requests with this fingerprint are refused from now on.
+func (rt *Router) logRefusedFingerprint(fingerprint crashes.Fingerprint) {
+	rt.log.Warn("refusing requests with this fingerprint: they crashed their targets", zap.Int("event", events.FingerprintCrashesTargets),
+		zap.String("content", string(fingerprint)), zap.Strings("peers", rt.crashes.CrashedServers(fingerprint)))
+}
