--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -9,17 +9,17 @@
 // them. It bounds what earlier planners may still send: a record was in the
 // log no later than it was seen here.
 type history struct {
-	// term is the newest term seen, and termAt when its first record was.
-	term   int64
-	termAt bootclock.Time
+	// newestTerm is the newest term seen, and termAt when its first record was.
+	newestTerm       int64
+	newestTermSeenAt bootclock.Time
 	// lostAt is when each lost owner was first seen marked.
 	lostAt map[string]bootclock.Time
 }
 
 // observe takes in the newest table.
 func (h *history) observe(t *ownership.Table, now bootclock.Time) {
-	if t.Term != h.term {
-		h.term, h.termAt = t.Term, now
+	if t.Term != h.newestTerm {
+		h.newestTerm, h.newestTermSeenAt = t.Term, now
 	}
 	for id := range h.lostAt {
 		if !t.IsLost(id) {
@@ -44,8 +44,8 @@
 // termSeenAt returns when base's term was first seen; now if it is new here. The
 // planners before it had lost the seat by then.
 func (h *history) termSeenAt(base *ownership.Table, now bootclock.Time) bootclock.Time {
-	if h != nil && h.term == base.Term {
-		return h.termAt
+	if h != nil && h.newestTerm == base.Term {
+		return h.newestTermSeenAt
 	}
 	return now
 }
@@ -56,11 +56,11 @@
 // viewAge after that at most.
 func (h *history) lostBounds(base *ownership.Table, opts *Options) map[string]bootclock.Time {
 	out := map[string]bootclock.Time{}
-	if h == nil || base == nil || base.Term != h.term {
+	if h == nil || base == nil || base.Term != h.newestTerm {
 		return out
 	}
 	for _, id := range base.Lost {
-		out[id] = max(h.lostAt[id], h.termAt.Add(opts.MaxViewAge))
+		out[id] = max(h.lostAt[id], h.newestTermSeenAt.Add(opts.MaxViewAge))
 	}
 	return out
 }
--- a/internal/planner/pace.go
+++ b/internal/planner/limiter.go
@@ -12,7 +12,7 @@
 // which are placed anew, without a handover, within the time in which such keys
 // are slow. Work on them takes some five times as long, so that this much keeps
 // half of the owners' time busy.
-const coldShare = 0.1
+const coldKeyLoadFraction = 0.1
 
 // placementLimiter holds the keys of lost owners back where too many are lost at once.
 //
@@ -25,17 +25,17 @@
 type placementLimiter struct {
 	// warmUp is how long such keys are slow; 0 if they are not.
 	warmUp time.Duration
-	// byKey is what the keys are asked for, capacity what the owners can do.
-	byKey    []float64
-	capacity float64
-	// placed is what was placed lately, as of at.
-	placed float64
-	at     bootclock.Time
+	// loadByKey is what the keys are asked for, capacity what the owners can do.
+	loadByKey []float64
+	capacity  float64
+	// placedLoad is what was placed lately, as of at.
+	placedLoad float64
+	updatedAt  bootclock.Time
 }
 
 // setLoad takes in what is known of the load.
 func (p *placementLimiter) setLoad(warmUp time.Duration, load ownership.Load) {
-	p.warmUp, p.byKey, p.capacity = warmUp, load.ByKey, 0
+	p.warmUp, p.loadByKey, p.capacity = warmUp, load.ByKey, 0
 	for _, c := range load.Capacity {
 		p.capacity += c
 	}
@@ -43,17 +43,17 @@
 
 // allow reports whether the keys may be placed now, and counts them if so.
 func (p *placementLimiter) allow(s span, now bootclock.Time) bool {
-	if p.warmUp == 0 || len(p.byKey) == 0 {
+	if p.warmUp == 0 || len(p.loadByKey) == 0 {
 		return true
 	}
-	p.placed *= math.Exp(-now.Sub(p.at).Seconds() / p.warmUp.Seconds())
-	p.at = now
-	budget := p.capacity * coldShare
-	if p.placed >= budget {
+	p.placedLoad *= math.Exp(-now.Sub(p.updatedAt).Seconds() / p.warmUp.Seconds())
+	p.updatedAt = now
+	budget := p.capacity * coldKeyLoadFraction
+	if p.placedLoad >= budget {
 		return false
 	}
 	for k := s.from; k <= s.to; k++ {
-		p.placed += min(p.byKey[k], budget)
+		p.placedLoad += min(p.loadByKey[k], budget)
 	}
 	return true
 }
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -17,16 +17,16 @@
 	old ownership.Range
 	// dest is the upstream that gets the keys.
 	dest string
-	// release is the one under way, released is set once one was answered.
-	release     *Release
-	released    bool
-	handover    string
-	nextRelease bootclock.Time
-	// failed is set once a release got no answer, silentUntil is until when
+	// releaseInFlight is the one under way, released is set once one was answered.
+	releaseInFlight *Release
+	released        bool
+	handover        string
+	nextRelease     bootclock.Time
+	// releaseFailed is set once a release got no answer, silentUntil is until when
 	// an owner that answers again may still be listed again.
-	failed      bool
-	relistUntil bootclock.Time
-	cause       string
+	releaseFailed bool
+	relistUntil   bootclock.Time
+	cause         string
 }
 
 // Causes of moves, as they stand in the log and in table records.
@@ -50,10 +50,10 @@
 const (
 	// rebalanceInterval is the pause between looks for load that is out of balance.
 	rebalanceInterval = 250 * time.Millisecond
-	// urgentEvery is that pause while keys need an owner. A look costs some
+	// ownerlessCheckInterval is that pause while keys need an owner. A look costs some
 	// milliseconds; with one in each tick a planner whose upstreams restarted
 	// in turn was too busy to prove its seat and lost it three times.
-	urgentEvery = 100 * time.Millisecond
+	ownerlessCheckInterval = 100 * time.Millisecond
 )
 
 // fewestSamples is how many requests must be known before keys move for
@@ -66,24 +66,24 @@
 
 // plan starts the moves that the present owners and load call for.
 func (t *term) plan(now bootclock.Time) {
-	if t.gathering(now) {
+	if t.awaitingRegistrations(now) {
 		return
 	}
-	if now.Before(t.nextOwnerlessCheck) || (now.Before(t.nextRebalance) && !t.needsOwner(now)) {
+	if now.Before(t.nextOwnerlessCheck) || (now.Before(t.nextRebalance) && !t.hasOwnerlessKeys(now)) {
 		return
 	}
-	t.nextRebalance, t.nextOwnerlessCheck = now.Add(rebalanceInterval), now.Add(urgentEvery)
-	t.keepReturned(now)
-	t.settleLosses(now)
+	t.nextRebalance, t.nextOwnerlessCheck = now.Add(rebalanceInterval), now.Add(ownerlessCheckInterval)
+	t.cancelMovesOfReturnedOwners(now)
+	t.startExclusions(now)
 	owners := t.eligibleOwners(now)
 	if len(owners) == 0 {
 		return
 	}
-	if t.moveToSuccessors(now) {
+	if t.moveToNewIncarnations(now) {
 		t.syncGrants(now)
 		return // recorded first; load is looked at after that
 	}
-	load, lim := t.loadOf(owners, now)
+	load, lim := t.loadAndLimits(owners, now)
 	t.limiter.setLoad(t.warmUp, load)
 	planned := t.table.Apply(t.pendingMoves())
 	for _, m := range ownership.Rebalance(planned, load, lim) {
@@ -92,12 +92,12 @@
 	t.syncGrants(now)
 }
 
-// loadOf returns what is known of the load on the owners, and how far keys may
+// loadAndLimits returns what is known of the load on the owners, and how far keys may
 // be moved for it now.
-func (t *term) loadOf(owners []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
+func (t *term) loadAndLimits(owners []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
 	load, samples := t.p.Load(t.name, owners)
-	load.SlowToMove = t.unanswering(owners, now)
-	if t.undivided() {
+	load.SlowToMove = t.ownersWithUnansweredGrants(owners, now)
+	if t.neverAssigned() {
 		// Requests that were refused for want of an owner say little: after
 		// ten of them the ten keys would be dealt out and the rest left in
 		// one piece.
@@ -105,7 +105,7 @@
 	}
 	lim := t.p.Limits
 	most := max(lim.MaxMoves, min(len(owners)/ownersPerMove, maxLoadMoves))
-	lim.MaxMoves = max(most-t.movingForLoad(), 0)
+	lim.MaxMoves = max(most-t.loadMoveCount(), 0)
 	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > maxLeaseAge {
 		// Keys taken back while the log cannot be written to would stay
 		// without an owner until it can.
@@ -114,27 +114,27 @@
 	return load, lim
 }
 
-// unanswering returns the owners that have lately left a grant unanswered. It
+// ownersWithUnansweredGrants returns the owners that have lately left a grant unanswered. It
 // may be carried out yet, so that keys taken from them would have no owner
 // until it has run out: 3 s instead of the time of the work under way. Where
 // upstreams lost six answers of a hundred, nine tenths of all moves for load
 // waited so.
-func (t *term) unanswering(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
+func (t *term) ownersWithUnansweredGrants(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range owners {
 		h := t.server(u.ID)
-		if h.unanswered && now.Sub(h.unansweredAt) <= t.p.opts.maxGrantTTL() {
+		if h.hasUnanswered && now.Sub(h.unansweredAt) <= t.p.opts.maxGrantTTL() {
 			out[u.ID] = true
 		}
 	}
 	return out
 }
 
-// movingForLoad returns how many keys' runs are on the move for load. Those of
+// loadMoveCount returns how many keys' runs are on the move for load. Those of
 // owners that are lost or leave do not count: their keys are not stopped for
 // the sake of balance, and while 200 of them waited for leases to run out no
 // other owner was relieved.
-func (t *term) movingForLoad() int {
+func (t *term) loadMoveCount() int {
 	n := 0
 	for _, m := range t.moves {
 		if m.cause == causeLoad {
@@ -144,15 +144,15 @@
 	return n
 }
 
-// moveToSuccessors gives the keys of lives that have ended to the next life of
+// moveToNewIncarnations gives the keys of lives that have ended to the next life of
 // their server, where one is listed. It alone may have been given them by a
 // late grant to its predecessor, so that they are free for it at once; another
 // upstream would have to wait until the last of those has run out. It reports
 // whether there are such keys.
-func (t *term) moveToSuccessors(now bootclock.Time) bool {
+func (t *term) moveToNewIncarnations(now bootclock.Time) bool {
 	found := false
 	for _, r := range t.table.Ranges {
-		if u := t.successor(r.Owner); u != nil && !t.ineligible(u) && !t.excluded(u.ID, now) {
+		if u := t.newerIncarnation(r.Owner); u != nil && !t.ineligible(u) && !t.excluded(u.ID, now) {
 			t.startMove(ownership.Move{From: r.From, To: r.To, NewOwner: u.ID}, now)
 			found = true
 		}
@@ -160,28 +160,28 @@
 	return found
 }
 
-// gathering reports whether the service's upstreams are still registering
+// awaitingRegistrations reports whether the service's upstreams are still registering
 // before the first division: those that came first would get all keys.
-func (t *term) gathering(now bootclock.Time) bool {
-	if !t.undivided() {
+func (t *term) awaitingRegistrations(now bootclock.Time) bool {
+	if !t.neverAssigned() {
 		return false
 	}
 	a := t.p.registrations[t.name]
-	if a.known == 0 {
+	if a.maxListed == 0 {
 		return true
 	}
-	since := now.Sub(a.first)
-	return since < minRegistrationWait || (now.Sub(a.last) < registrationQuiet && since < maxRegistrationWait)
+	since := now.Sub(a.firstAt)
+	return since < minRegistrationWait || (now.Sub(a.lastAt) < registrationQuiet && since < maxRegistrationWait)
 }
 
-// undivided reports whether no key has had an owner yet.
-func (t *term) undivided() bool {
+// neverAssigned reports whether no key has had an owner yet.
+func (t *term) neverAssigned() bool {
 	return !slices.ContainsFunc(t.table.Ranges, func(r ownership.Range) bool { return r.Owner != "" })
 }
 
-// needsOwner reports whether a range that is not on the move is owned by
+// hasOwnerlessKeys reports whether a range that is not on the move is owned by
 // nobody who could keep it.
-func (t *term) needsOwner(now bootclock.Time) bool {
+func (t *term) hasOwnerlessKeys(now bootclock.Time) bool {
 	for _, r := range t.table.Ranges {
 		u := t.ups[r.Owner]
 		if u != nil && !t.ineligible(u) && !t.excluded(r.Owner, now) {
@@ -209,14 +209,14 @@
 	for _, part := range t.withoutMoves(s) {
 		old := t.table.Find(part.from)
 		old.From, old.To = part.from, part.to
-		if !t.mayStart(old, now) {
+		if !t.mayStartMove(old, now) {
 			continue
 		}
 		mv := &move{span: part, old: old, dest: m.NewOwner, nextRelease: now, cause: t.moveCause(old.Owner, now)}
 		mv.released = old.Owner == ""
 		t.insertMove(mv)
 	}
-	if t.appending != nil {
+	if t.pendingAppend != nil {
 		return // what is being recorded can no longer be changed
 	}
 	for _, mv := range t.moves {
@@ -226,13 +226,13 @@
 	}
 }
 
-// mayStart reports whether a move of the range would not have to wait for the
+// mayStartMove reports whether a move of the range would not have to wait for the
 // grants of earlier planners though its owner lives. A range that was taken
 // back before its owner had acknowledged this term's token stayed without an
 // owner until those had run out, 9.2 s: on a day with six changes of planner 40
 // to 70 requests a second were refused for that from the first change on. The
 // owner acknowledges it with its first grant, or is taken for lost.
-func (t *term) mayStart(old ownership.Range, now bootclock.Time) bool {
+func (t *term) mayStartMove(old ownership.Range, now bootclock.Time) bool {
 	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantTTL() {
 		return true
 	}
@@ -263,7 +263,7 @@
 	switch {
 	case owner == "":
 		return causeNoOwner
-	case t.successor(owner) != nil:
+	case t.newerIncarnation(owner) != nil:
 		return causeRestarted
 	case u == nil:
 		return causeGone
@@ -279,30 +279,30 @@
 	return causeLoad
 }
 
-// releases returns the releases to send. A release waits for the grants
+// dueReleases returns the releases to send. A release waits for the grants
 // under way to its owner: one that arrived after it would give the keys
 // back.
-func (t *term) releases(now bootclock.Time) []Action {
+func (t *term) dueReleases(now bootclock.Time) []Action {
 	var out []Action
 	for _, m := range t.moves {
 		u := t.ups[m.old.Owner]
-		if m.released || m.release != nil || u == nil || now.Before(m.nextRelease) || t.server(m.old.Owner).inFlight > 0 || !t.mayRelease(m, now) {
+		if m.released || m.releaseInFlight != nil || u == nil || now.Before(m.nextRelease) || t.server(m.old.Owner).grantsInFlight > 0 || !t.mayRelease(m, now) {
 			continue
 		}
-		m.release = &Release{Service: t.name, Addr: u.Addr, Range: m.old}
-		out = append(out, m.release)
+		m.releaseInFlight = &Release{Service: t.name, Addr: u.Addr, Range: m.old}
+		out = append(out, m.releaseInFlight)
 	}
 	return out
 }
 
 func (t *term) releaseDone(r *Release, handover string, err error, now bootclock.Time) {
 	m := t.findMove(span{r.Range.From, r.Range.To})
-	if m == nil || m.release != r {
+	if m == nil || m.releaseInFlight != r {
 		// It was sent for a move that was given up: the keys may have been
 		// granted to their owner again since it was carried out.
 		return
 	}
-	m.release = nil
+	m.releaseInFlight = nil
 	if errors.Is(err, ownership.ErrRejected) {
 		// An upstream refuses no release, so something else answers at its
 		// address: the old owner has ended and its grants with it.
@@ -310,33 +310,33 @@
 		return
 	}
 	if err != nil {
-		m.failed = true
+		m.releaseFailed = true
 		m.nextRelease = now.Add(releaseRetryDelay)
 		t.emitFailure(ReleaseFailed, r.Range.Owner, err, now)
 		return
 	}
-	if t.comeBack(r.Range.Owner, now) {
+	if t.restoreOwner(r.Range.Owner, now) {
 		return
 	}
 	m.released, m.handover = true, handover
-	if m.failed {
+	if m.releaseFailed {
 		m.relistUntil = now.Add(relistGrace)
 	}
 }
 
-// keepReturned gives up the moves of owners that were taken for gone or lost
+// cancelMovesOfReturnedOwners gives up the moves of owners that were taken for gone or lost
 // and are back: listed again, with nobody else granted their keys. After a
 // data centre's cut heals its upstreams answer before they are listed, all
 // within a heartbeat; moving a third of the keys off them, cold, left the
 // others overloaded for seconds.
-func (t *term) keepReturned(now bootclock.Time) {
-	if t.appending != nil {
+func (t *term) cancelMovesOfReturnedOwners(now bootclock.Time) {
+	if t.pendingAppend != nil {
 		return
 	}
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool {
 		u := t.ups[m.old.Owner]
 		wasUnlisted := m.cause == causeLeaving || m.cause == causeGone
-		if !m.failed || m.release != nil || u == nil || t.ineligible(u) || (!m.released && !wasUnlisted) {
+		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.ineligible(u) || (!m.released && !wasUnlisted) {
 			return false
 		}
 		h := t.server(u.ID)
@@ -346,37 +346,37 @@
 	t.syncGrants(now)
 }
 
-// comeBack gives an upstream that was taken for lost, but answers again, its
+// restoreOwner gives an upstream that was taken for lost, but answers again, its
 // keys back instead of moving them: nobody else has been granted them, and
 // it may be that only the answers to its grants were lost. Moves whose
 // release is still under way go on. It reports whether it did.
-func (t *term) comeBack(id string, now bootclock.Time) bool {
+func (t *term) restoreOwner(id string, now bootclock.Time) bool {
 	h, u := t.server(id), t.ups[id]
-	if !h.lost || u == nil || t.ineligible(u) || t.appending != nil {
+	if !h.lost || u == nil || t.ineligible(u) || t.pendingAppend != nil {
 		return false
 	}
 	h.lost = false
 	h.answeredAt = now
-	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return m.old.Owner == id && m.release == nil })
+	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return m.old.Owner == id && m.releaseInFlight == nil })
 	t.syncGrants(now)
 	return true
 }
 
-// settleLosses lets lost upstreams that own nothing any more come back after
+// startExclusions lets lost upstreams that own nothing any more come back after
 // a pause, which doubles with each loss: one that answers now and then would
 // otherwise be given keys only to lose them again.
-func (t *term) settleLosses(now bootclock.Time) {
+func (t *term) startExclusions(now bootclock.Time) {
 	owns := map[string]bool{}
 	for _, r := range t.table.Ranges {
 		owns[catalogue.ServerID(r.Owner)] = true
 	}
 	for server, h := range t.servers {
-		if !h.lost || owns[server] || h.inFlight > 0 {
+		if !h.lost || owns[server] || h.grantsInFlight > 0 {
 			continue
 		}
 		h.lost = false
 		h.excludedUntil = now.Add(min(minExclusion<<min(h.losses, 4), maxExclusion))
 		h.losses++
-		h.sentAny = false
+		h.grantSent = false
 	}
 }
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -36,7 +36,7 @@
 	watch := func(d time.Duration, answer func(Action) error) {
 		for end := first.now.Add(d); first.now.Before(end); {
 			first.simulate(simStep, answer)
-			second.watch(first.now, first.v.Load())
+			second.observeView(first.now, first.v.Load())
 		}
 	}
 	watch(12*time.Second, succeedAll)
@@ -173,7 +173,7 @@
 		}
 	}
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		return ownership.Load{ByKey: byKey, Capacity: slotsOf(owners)}, 1000
+		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
 	step(500 * time.Millisecond)
 	h.p.ReleaseDone(second, "token", nil, h.now)
@@ -202,7 +202,7 @@
 		}
 	}
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		return ownership.Load{ByKey: byKey, Capacity: slotsOf(owners)}, 1000
+		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
 	for _, a := range h.simulate(3*time.Second, cut) {
 		if r, ok := a.(*Release); ok {
@@ -283,7 +283,7 @@
 		}
 	}
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		return ownership.Load{ByKey: byKey, Capacity: slotsOf(owners)}, 1000
+		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
 	h.publish()
 	var late []*Grant
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	// skew covers an upstream's clock that runs 2% slow.
-	skew = 0.02
+	// maxClockDrift covers an upstream's clock that runs 2% slow.
+	maxClockDrift = 0.02
 	// maxGrantDelay covers the way of a grant to its upstream.
 	maxGrantDelay = 100 * time.Millisecond
 	// renewalsPerTTL is how often a grant is renewed within its time, so that
@@ -32,9 +32,9 @@
 	renewalsPerTTL = 3
 	// grantRetryDelay is the pause after a grant that failed.
 	grantRetryDelay = 100 * time.Millisecond
-	// lostAfter is the part of a grant's time after which an upstream that
+	// lostAfterFraction is the part of a grant's time after which an upstream that
 	// has answered none is taken for lost.
-	lostAfter = 0.5
+	lostAfterFraction = 0.5
 	// releaseRetryDelay is the pause before a release that failed is sent again.
 	releaseRetryDelay = 800 * time.Millisecond
 	// minExclusion is how long an upstream that was lost gets no keys, if it
@@ -82,10 +82,10 @@
 	// relative to its time to live, of its holder and of the others.
 	renewFraction   = 0.35
 	acquireFraction = 0.7
-	// stepDownAfter is how many times to live of the seat a weak planner plans
+	// stepDownAfterTTLs is how many times to live of the seat a weak planner plans
 	// before it gives way; a member that does not hold the seat lapses after
 	// two.
-	stepDownAfter = 2.5
+	stepDownAfterTTLs = 2.5
 	// minAcquireInterval is the least pause between proofs while the planner does
 	// not answer.
 	minAcquireInterval = 200 * time.Millisecond
@@ -94,5 +94,5 @@
 // maxGrantTTL is the longest that an upstream may keep keys after a grant was
 // sent to it.
 func (o *Options) maxGrantTTL() time.Duration {
-	return time.Duration(float64(o.GrantTTL)*(1+skew)) + maxGrantDelay
+	return time.Duration(float64(o.GrantTTL)*(1+maxClockDrift)) + maxGrantDelay
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -32,10 +32,10 @@
 	// pastTerms is each service's last term of this process.
 	pastTerms map[string]*term
 	histories map[string]*history
-	// end is where the ownership stream ends, as far as is known; endDoubted
+	// streamEnd is where the ownership stream ends, as far as is known; endDoubted
 	// is set while an append or an order has shown that it may end further on.
-	end          int64
-	endUncertain bool
+	streamEnd          int64
+	streamEndUncertain bool
 	// plannerSeenAt is when another host was last seen to plan.
 	plannerSeenAt bootclock.Time
 	// registrations is when each service's upstreams registered.
@@ -44,10 +44,10 @@
 
 // registrations is when a service's upstreams were seen to register.
 type registrations struct {
-	// known is the most that were listed at once; first and last are when the
+	// maxListed is the most that were listed at once; first and last are when the
 	// first of them was seen and when the last.
-	known       int
-	first, last bootclock.Time
+	maxListed       int
+	firstAt, lastAt bootclock.Time
 }
 
 // Event is a change of belief, for the log.
@@ -80,15 +80,15 @@
 )
 
 type plannerLease struct {
-	held    bool
-	takenAt bootclock.Time
+	held       bool
+	acquiredAt bootclock.Time
 	// member is set from the first proof sent to the end of the membership.
-	member    bool
-	renewedAt bootclock.Time
-	joining   bool
-	// joinedAt is when the last proof was answered, nextJoin when the next
+	member          bool
+	renewedAt       bootclock.Time
+	requestInFlight bool
+	// lastAnswerAt is when the last proof was answered, nextJoin when the next
 	// is due.
-	joinedAt, nextRenewal bootclock.Time
+	lastAnswerAt, nextRequestAt bootclock.Time
 }
 
 // New returns a planner that holds no seat.
@@ -96,12 +96,12 @@
 	return &Planner{opts: opts, services: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
 		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: maxMoves},
 		Load: func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-			return ownership.Load{Capacity: slotsOf(owners)}, 0
+			return ownership.Load{Capacity: slotsByID(owners)}, 0
 		},
 		OnEvent: func(Event) {}, Cold: func(*catalogue.Upstream) bool { return false }}
 }
 
-func slotsOf(ups []*catalogue.Upstream) map[string]float64 {
+func slotsByID(ups []*catalogue.Upstream) map[string]float64 {
 	out := map[string]float64{}
 	for _, u := range ups {
 		out[u.ID] = float64(u.Slots)
@@ -111,8 +111,8 @@
 
 // AdvanceStreamEnd tells the planner how far the ownership stream was read.
 func (p *Planner) AdvanceStreamEnd(end int64) {
-	if end > p.end {
-		p.end, p.endUncertain = end, false
+	if end > p.streamEnd {
+		p.streamEnd, p.streamEndUncertain = end, false
 	}
 }
 
@@ -127,17 +127,17 @@
 // lost answer only reading tells where the stream ends; without it each
 // further append would be refused.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
-	return p.HoldsLease(now) && !p.resigned && !p.endUncertain && now.Sub(p.lease.renewedAt) <= maxLeaseAge
+	return p.HoldsLease(now) && !p.resigned && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= maxLeaseAge
 }
 
 // Tick returns the calls to make now.
 func (p *Planner) Tick(now bootclock.Time, v *view.View) []Action {
-	p.watch(now, v)
+	p.observeView(now, v)
 	var out []Action
-	if j := p.join(now, v); j != nil {
+	if j := p.dueLeaseCall(now, v); j != nil {
 		out = append(out, j)
 	}
-	if p.shouldLeave(now) {
+	if p.shouldReleaseLease(now) {
 		p.lease.member = false
 		out = append(out, &ReleaseLease{})
 	}
@@ -154,9 +154,9 @@
 	return out
 }
 
-// watch keeps the histories, whether this host plans or not.
-func (p *Planner) watch(now bootclock.Time, v *view.View) {
-	p.watchServices(now, v)
+// observeView keeps the histories, whether this host plans or not.
+func (p *Planner) observeView(now bootclock.Time, v *view.View) {
+	p.observeRegistrations(now, v)
 	for name, t := range v.Tables {
 		h := p.histories[name]
 		if h == nil {
@@ -167,37 +167,37 @@
 	}
 }
 
-// watchServices notes when each keyed service's upstreams register.
-func (p *Planner) watchServices(now bootclock.Time, v *view.View) {
+// observeRegistrations notes when each keyed service's upstreams register.
+func (p *Planner) observeRegistrations(now bootclock.Time, v *view.View) {
 	if v.Desired == nil {
 		return
 	}
 	for _, name := range v.Desired.KeyedServices() {
 		a := p.registrations[name]
 		n := len(v.Upstreams.ForService(name))
-		if n <= a.known {
+		if n <= a.maxListed {
 			continue
 		}
-		if a.known == 0 {
-			a.first = now
+		if a.maxListed == 0 {
+			a.firstAt = now
 		}
-		a.known, a.last = n, now
+		a.maxListed, a.lastAt = n, now
 		p.registrations[name] = a
 	}
 }
 
-// join returns the next proof of the seat if it is due.
-func (p *Planner) join(now bootclock.Time, v *view.View) Action {
-	if p.resigned || p.lease.joining || now.Before(p.lease.nextRenewal) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
+// dueLeaseCall returns the next proof of the seat if it is due.
+func (p *Planner) dueLeaseCall(now bootclock.Time, v *view.View) Action {
+	if p.resigned || p.lease.requestInFlight || now.Before(p.lease.nextRequestAt) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
 		return nil
 	}
-	if p.plannerSeenAt == 0 || !p.tableDue(now, v) {
+	if p.plannerSeenAt == 0 || !p.plannerExpected(now, v) {
 		p.plannerSeenAt = now // a planner may be about to show itself
 	}
 	if !p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout {
 		return nil
 	}
-	p.lease.joining, p.lease.member = true, true
+	p.lease.requestInFlight, p.lease.member = true, true
 	ttl := p.opts.LeaseTTL
 	if !p.lease.held {
 		ttl *= 2
@@ -205,26 +205,26 @@
 	return &AcquireLease{TTL: ttl, SentAt: now}
 }
 
-// shouldLeave reports whether this host is a member of the group and has no
+// shouldReleaseLease reports whether this host is a member of the group and has no
 // more use for the seat: it resigned, or is weak and sees another host plan.
 // A member that merely stops its proofs may be dealt the seat until it lapses,
 // and nobody plans meanwhile: 2.6 s were seen.
-func (p *Planner) shouldLeave(now bootclock.Time) bool {
-	if !p.lease.member || p.lease.joining {
+func (p *Planner) shouldReleaseLease(now bootclock.Time) bool {
+	if !p.lease.member || p.lease.requestInFlight {
 		return false
 	}
 	return p.resigned || (!p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout)
 }
 
-// tableDue reports whether a planner would have shown itself by now, if there
+// plannerExpected reports whether a planner would have shown itself by now, if there
 // were one. Where 85 weak hosts sought the seat because there was no table
 // yet, one of them got it at the start of every fleet.
-func (p *Planner) tableDue(now bootclock.Time, v *view.View) bool {
+func (p *Planner) plannerExpected(now bootclock.Time, v *view.View) bool {
 	if len(v.Tables) > 0 {
 		return true
 	}
 	for _, a := range p.registrations {
-		if now.Sub(a.first) > minRegistrationWait {
+		if now.Sub(a.firstAt) > minRegistrationWait {
 			return true
 		}
 	}
@@ -236,8 +236,8 @@
 // live: by then the other weak hosts have seen a planner, their memberships
 // have lapsed, and the seat goes to a strong one.
 func (p *Planner) ShouldStepDown(now bootclock.Time) bool {
-	long := now.Sub(p.lease.takenAt) > time.Duration(stepDownAfter*float64(p.opts.LeaseTTL))
-	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.joining && long
+	long := now.Sub(p.lease.acquiredAt) > time.Duration(stepDownAfterTTLs*float64(p.opts.LeaseTTL))
+	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.requestInFlight && long
 }
 
 // StepDown ends this host's planning in favour of a stronger one. What it
@@ -252,21 +252,21 @@
 
 // AcquireLeaseDone takes a Join's answer: whether this host holds the seat.
 func (p *Planner) AcquireLeaseDone(j *AcquireLease, held bool, err error, now bootclock.Time) {
-	p.lease.joining = false
-	p.lease.joinedAt = now
+	p.lease.requestInFlight = false
+	p.lease.lastAnswerAt = now
 	pause := acquireFraction
 	if p.lease.held {
 		pause = renewFraction
 	}
-	p.lease.nextRenewal = now.Add(time.Duration(pause * float64(p.opts.LeaseTTL)))
+	p.lease.nextRequestAt = now.Add(time.Duration(pause * float64(p.opts.LeaseTTL)))
 	if err != nil {
 		return
 	}
 	switch {
 	case held && !p.lease.held:
 		p.OnEvent(Event{Kind: LeaseAcquired})
-		p.lease.takenAt = now
-		p.lease.nextRenewal = now.Add(time.Duration(renewFraction * float64(p.opts.LeaseTTL)))
+		p.lease.acquiredAt = now
+		p.lease.nextRequestAt = now.Add(time.Duration(renewFraction * float64(p.opts.LeaseTTL)))
 	case !held && p.lease.held:
 		p.OnEvent(Event{Kind: LeaseLost, Age: now.Sub(p.lease.renewedAt)})
 		p.dropTerms()
@@ -311,14 +311,14 @@
 	if !t.started {
 		return t.takeOver(now)
 	}
-	t.observe(v, now)
-	out := t.retire(now)
+	t.updateUpstreams(v, now)
+	out := t.dueRetires(now)
 	if !p.resigned {
 		t.plan(now)
-		out = append(out, t.releases(now)...)
+		out = append(out, t.dueReleases(now)...)
 	}
-	out = append(out, t.grants(now)...)
-	if a := t.record(now); a != nil {
+	out = append(out, t.dueGrants(now)...)
+	if a := t.dueAppend(now); a != nil {
 		out = append(out, a)
 	}
 	return out
@@ -328,25 +328,25 @@
 // may already use it.
 func (p *Planner) AppendDone(a *Append, end int64, err error, now bootclock.Time) *ownership.Table {
 	t := p.services[a.Table.Service]
-	if t == nil || t.appending != a {
+	if t == nil || t.pendingAppend != a {
 		return nil
 	}
 	switch {
 	case err == nil:
 		p.AdvanceStreamEnd(end)
-		t.appending = nil
+		t.pendingAppend = nil
 		p.OnEvent(Event{Kind: TableRecorded, Service: t.name, Table: a.Table, Cause: a.Cause})
 		return a.Table
 	case errors.Is(err, metastore.ErrConflict):
-		p.endUncertain = true
-		t.appending = nil
-		t.nextAppend = now.Add(appendRetryDelay)
+		p.streamEndUncertain = true
+		t.pendingAppend = nil
+		t.nextAppendAt = now.Add(appendRetryDelay)
 		p.OnEvent(Event{Kind: RecordConflict, Service: t.name, Err: err})
 	default:
 		// The record may be written yet, so the same one is sent again
 		// until the log says which.
-		p.endUncertain = true
-		t.nextAppend = now.Add(appendRetryDelay)
+		p.streamEndUncertain = true
+		t.nextAppendAt = now.Add(appendRetryDelay)
 		t.appendRetryDue = true
 	}
 	return nil
@@ -387,8 +387,8 @@
 // seat may be this host's already, which only its next proof tells it: the
 // group deals seats anew whenever a member joins or leaves.
 func (p *Planner) PlannerLost() {
-	if soon := p.lease.joinedAt.Add(minAcquireInterval); !p.lease.held && soon.Before(p.lease.nextRenewal) {
-		p.lease.nextRenewal = soon
+	if soon := p.lease.lastAnswerAt.Add(minAcquireInterval); !p.lease.held && soon.Before(p.lease.nextRequestAt) {
+		p.lease.nextRequestAt = soon
 	}
 }
 
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -9,32 +9,32 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// free reports whether the move's old owner can no longer hold its keys; see
+// safeToReassign reports whether the move's old owner can no longer hold its keys; see
 // the package comment for why.
-func (t *term) free(m *move, now bootclock.Time) bool {
+func (t *term) safeToReassign(m *move, now bootclock.Time) bool {
 	if m.old.Owner == "" {
 		return true
 	}
-	if m.release == nil && catalogue.IsLaterIncarnation(m.dest, m.old.Owner) {
+	if m.releaseInFlight == nil && catalogue.IsLaterIncarnation(m.dest, m.old.Owner) {
 		return true
 	}
 	bound := t.p.opts.maxGrantTTL()
 	h := t.server(m.old.Owner)
-	if h.inFlight > 0 || m.release != nil || now.Before(m.relistUntil) {
+	if h.grantsInFlight > 0 || m.releaseInFlight != nil || now.Before(m.relistUntil) {
 		return false
 	}
-	if m.old.FencingToken <= t.firstFencingToken && !t.foreignOver(m, now) {
+	if m.old.FencingToken <= t.firstFencingToken && !t.previousGrantsExpired(m, now) {
 		return false
 	}
-	if h.unanswered && now.Sub(h.unansweredAt) <= bound {
+	if h.hasUnanswered && now.Sub(h.unansweredAt) <= bound {
 		return false
 	}
-	return m.released || !h.sentAny || now.Sub(h.maybeGrantedAt) > bound
+	return m.released || !h.grantSent || now.Sub(h.maybeGrantedAt) > bound
 }
 
-// foreignOver reports whether no grant of an earlier planner can keep the
+// previousGrantsExpired reports whether no grant of an earlier planner can keep the
 // move's keys at their old owner.
-func (t *term) foreignOver(m *move, now bootclock.Time) bool {
+func (t *term) previousGrantsExpired(m *move, now bootclock.Time) bool {
 	bound := t.p.opts.maxGrantTTL()
 	if now.Sub(t.previousGrants.grantsUntilFor(m.old.Owner)) > bound {
 		return true
@@ -53,21 +53,21 @@
 	return m.old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
 }
 
-// record returns the append of the moves that are ready, if any.
-func (t *term) record(now bootclock.Time) Action {
-	if t.appending != nil {
-		if again := t.retryAppend(now); len(again) > 0 {
+// dueAppend returns the append of the moves that are ready, if any.
+func (t *term) dueAppend(now bootclock.Time) Action {
+	if t.pendingAppend != nil {
+		if again := t.dueAppendRetry(now); len(again) > 0 {
 			return again[0]
 		}
 		return nil
 	}
-	if now.Before(t.nextAppend) {
+	if now.Before(t.nextAppendAt) {
 		return nil
 	}
 	var ready []ownership.Move
 	cause, urgent := "", false
 	for _, m := range t.moves {
-		if !t.free(m, now) || (m.lacksHandover() && !t.limiter.allow(m.span, now)) {
+		if !t.safeToReassign(m, now) || (m.lacksHandover() && !t.limiter.allow(m.span, now)) {
 			continue
 		}
 		if u := t.ups[m.dest]; u == nil || t.ineligible(u) || t.excluded(m.dest, now) {
@@ -77,7 +77,7 @@
 		cause = m.cause
 		urgent = urgent || m.cause != causeLoad
 	}
-	if len(ready) > 0 && !urgent && now.Sub(t.recordedAt) < loadRecordInterval {
+	if len(ready) > 0 && !urgent && now.Sub(t.lastRecordAt) < loadRecordInterval {
 		return nil
 	}
 	next := t.table
@@ -93,9 +93,9 @@
 	}
 	next.Cause = cause
 	next.PreviousPlanners = t.activePreviousPlanners(now)
-	t.appending = &Append{Table: next, ExpectedOffset: t.p.end, Cause: cause}
-	t.recordedAt = now
-	return t.appending
+	t.pendingAppend = &Append{Table: next, ExpectedOffset: t.p.streamEnd, Cause: cause}
+	t.lastRecordAt = now
+	return t.pendingAppend
 }
 
 // lostOwners returns the owners in the table that get no grants: those that
@@ -106,7 +106,7 @@
 	for _, r := range table.Ranges {
 		h := t.server(r.Owner)
 		silent := t.ups[r.Owner] == nil || h.lost
-		if r.Owner != "" && silent && h.inFlight == 0 {
+		if r.Owner != "" && silent && h.grantsInFlight == 0 {
 			out = append(out, r.Owner)
 		}
 	}
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -9,7 +9,7 @@
 
 // retryRetire is the pause before a planner that has not retired is asked
 // again; its grants under way end within 0.3 s.
-const retryRetire = 300 * time.Millisecond
+const retireRetryDelay = 300 * time.Millisecond
 
 // previousPlanner is a planner of an earlier term.
 //
@@ -26,8 +26,8 @@
 	// open a connection for one.
 	grantsUntil, dialsUntil bootclock.Time
 	retired                 bool
-	asking                  bool
-	nextAsk                 bootclock.Time
+	retireInFlight          bool
+	nextRetireAt            bootclock.Time
 }
 
 // previousPlanners returns the planners that may still send grants as the term
@@ -38,34 +38,34 @@
 	for _, p := range t.table.PreviousPlanners {
 		lost := now
 		if t.base != nil && p.Host != t.base.Planner {
-			lost = t.baseSeenAt
+			lost = t.baseTermSeenAt
 		}
 		b := &previousPlanner{PlannerHost: p, grantsUntil: lost.Add(t.p.opts.MaxViewAge), dialsUntil: lost.Add(maxLeaseAge)}
 		if p.Host == t.p.opts.Host {
 			// It is this process, whose earlier terms are over, or one before
 			// it that has ended.
-			b.stopped(now)
+			b.markStopped(now)
 		}
 		out = append(out, b)
 	}
 	return out
 }
 
-// stopped takes in that it sends nothing any more.
-func (b *previousPlanner) stopped(now bootclock.Time) {
+// markStopped takes in that it sends nothing any more.
+func (b *previousPlanner) markStopped(now bootclock.Time) {
 	b.retired = true
 	b.grantsUntil = min(b.grantsUntil, now)
 	b.dialsUntil = min(b.dialsUntil, now)
 }
 
-// retire returns the questions to predecessors that are due.
-func (t *term) retire(now bootclock.Time) []Action {
+// dueRetires returns the questions to predecessors that are due.
+func (t *term) dueRetires(now bootclock.Time) []Action {
 	var out []Action
 	for _, b := range t.previousGrants.planners {
-		if b.retired || b.asking || now.Before(b.nextAsk) || b.grantsUntil.Before(now) {
+		if b.retired || b.retireInFlight || now.Before(b.nextRetireAt) || b.grantsUntil.Before(now) {
 			continue
 		}
-		b.asking = true
+		b.retireInFlight = true
 		out = append(out, &Retire{Service: t.name, Host: b.Host, Addr: b.Addr, Term: t.number})
 	}
 	return out
@@ -90,10 +90,10 @@
 		if b.Host != r.Host {
 			continue
 		}
-		b.asking = false
-		b.nextAsk = now.Add(retryRetire)
+		b.retireInFlight = false
+		b.nextRetireAt = now.Add(retireRetryDelay)
 		if retired && host == r.Host {
-			b.stopped(now)
+			b.markStopped(now)
 		}
 	}
 }
@@ -110,13 +110,13 @@
 		p.dropTerms()
 	}
 	t := p.pastTerms[service]
-	return t == nil || t.grantsUnderWay() == 0
+	return t == nil || t.grantsInFlight() == 0
 }
 
-func (t *term) grantsUnderWay() int {
+func (t *term) grantsInFlight() int {
 	n := 0
 	for _, h := range t.servers {
-		n += h.inFlight
+		n += h.grantsInFlight
 	}
 	return n
 }
--- a/internal/planner/holder.go
+++ b/internal/planner/server.go
@@ -13,19 +13,19 @@
 type serverState struct {
 	// incarnation is the newest life a grant was meant for or that was listed. What
 	// earlier ones acknowledged does not count for it.
-	incarnation string
-	inFlight    int
+	incarnation    string
+	grantsInFlight int
 	// maybeGrantedAt is when the last grant was sent that may have reached it.
 	maybeGrantedAt bootclock.Time
-	sentAny        bool
+	grantSent      bool
 	// unansweredAt is when the last grant was sent that got no answer; it
 	// may be carried out late, even after a release.
-	unansweredAt bootclock.Time
-	unanswered   bool
+	unansweredAt  bootclock.Time
+	hasUnanswered bool
 	// answeredAt is when it last answered, or was first sent a grant.
 	answeredAt bootclock.Time
-	// confirmed are the spans on which it has seen this term's token.
-	confirmed []span
+	// ackedSpans are the spans on which it has seen this term's token.
+	ackedSpans []span
 	// throttles is what was last told of orders that failed.
 	throttles     map[EventKind]eventThrottle
 	losses        int
@@ -35,7 +35,7 @@
 
 // eventThrottle is when a kind of failure was last told, and how many were not since.
 type eventThrottle struct {
-	at         bootclock.Time
+	emittedAt  bootclock.Time
 	suppressed int
 }
 
@@ -43,22 +43,22 @@
 // holder for which it was, also after the term has ended: a later term may go on with
 // the account.
 func (h *serverState) recordResult(g *Grant, err error, now bootclock.Time) {
-	h.inFlight--
+	h.grantsInFlight--
 	if !errors.Is(err, ownership.ErrNotSent) {
 		h.maybeGrantedAt = now
 	}
 	switch {
 	case errors.Is(err, ownership.ErrNoAnswer):
-		h.unanswered = true
+		h.hasUnanswered = true
 		h.unansweredAt = now
 	case errors.Is(err, ownership.ErrFenced):
 		h.answeredAt = now
 	case err == nil && !h.forPastIncarnation(g):
 		h.answeredAt = now
 		h.losses = 0
-		h.confirmed = append(h.confirmed, span{g.Range.From, g.Range.To})
-		if len(h.confirmed) > maxConfirmed {
-			h.confirmed = h.confirmed[len(h.confirmed)-maxConfirmed:]
+		h.ackedSpans = append(h.ackedSpans, span{g.Range.From, g.Range.To})
+		if len(h.ackedSpans) > maxAckedSpans {
+			h.ackedSpans = h.ackedSpans[len(h.ackedSpans)-maxAckedSpans:]
 		}
 	}
 }
@@ -73,14 +73,14 @@
 // one acknowledged, and none of the older one's failures are its own.
 func (h *serverState) startIncarnation(life string, now bootclock.Time) {
 	h.incarnation = life
-	h.confirmed = nil
+	h.ackedSpans = nil
 	h.lost, h.losses, h.excludedUntil = false, 0, 0
 	h.answeredAt = now
 }
 
 // maxConfirmed bounds the spans remembered per upstream; more than an
 // upstream has ranges is never needed.
-const maxConfirmed = 256
+const maxAckedSpans = 256
 
 // acknowledgedTerm reports whether the upstream has acknowledged this term's
 // token on every key of s, so that it refuses its predecessor's grants.
@@ -88,7 +88,7 @@
 	from := s.from
 	for again := true; again && from <= s.to; {
 		again = false
-		for _, c := range h.confirmed {
+		for _, c := range h.ackedSpans {
 			if c.from <= from && from <= c.to {
 				from, again = c.to+1, true
 			}
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -109,7 +109,7 @@
 	opts.Host, opts.PeerAddr = h.name, h.name+":1"
 	h.p = New(opts)
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		return ownership.Load{ByKey: s.byKey, Capacity: slotsOf(owners)}, 1000
+		return ownership.Load{ByKey: s.byKey, Capacity: slotsByID(owners)}, 1000
 	}
 	h.v.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true}}, desired.Limits{})
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -29,16 +29,16 @@
 	// bounds what earlier planners may still send.
 	base           *ownership.Table
 	previousGrants previousGrants
-	// baseSeenAt is when the term of base was first seen.
-	baseSeenAt bootclock.Time
-	// foreignAt is when a table of another planner's was last adopted.
-	foreignAt bootclock.Time
+	// baseTermSeenAt is when the term of base was first seen.
+	baseTermSeenAt bootclock.Time
+	// otherPlannerSeenAt is when a table of another planner's was last adopted.
+	otherPlannerSeenAt bootclock.Time
 
-	appending      *Append
+	pendingAppend  *Append
 	appendRetryDue bool
-	nextAppend     bootclock.Time
-	// recordedAt is when the last record was begun.
-	recordedAt bootclock.Time
+	nextAppendAt   bootclock.Time
+	// lastRecordAt is when the last record was begun.
+	lastRecordAt bootclock.Time
 
 	// supersededAt is when an upstream showed that it has seen a later
 	// planner's token. Until the seat is proved anew this host sends no
@@ -51,8 +51,8 @@
 	byServer map[string]*catalogue.Upstream
 	// warmUp is how long keys are slow that come without a handover.
 	warmUp time.Duration
-	// sparing is set while those in their slow start get no keys.
-	sparing bool
+	// excludeCold is set while those in their slow start get no keys.
+	excludeCold bool
 	// servers are by server.
 	servers      map[string]*serverState
 	activeGrants map[span]*activeGrant
@@ -66,9 +66,9 @@
 
 // activeGrant is one grant that is kept up.
 type activeGrant struct {
-	r        ownership.Range
-	next     bootclock.Time
-	inFlight bool
+	r          ownership.Range
+	nextSendAt bootclock.Time
+	inFlight   bool
 }
 
 func newTerm(p *Planner, name string) *term {
@@ -87,9 +87,9 @@
 	return h
 }
 
-// successor returns the newer life of the owner's server, if one is listed:
+// newerIncarnation returns the newer life of the owner's server, if one is listed:
 // the owner has ended then.
-func (t *term) successor(owner string) *catalogue.Upstream {
+func (t *term) newerIncarnation(owner string) *catalogue.Upstream {
 	u := t.byServer[catalogue.ServerID(owner)]
 	if u != nil && catalogue.IsLaterIncarnation(u.ID, owner) {
 		return u
@@ -112,10 +112,10 @@
 	}
 	t.table = latest
 	if latest.Planner != t.p.opts.Host {
-		t.foreignAt = now
+		t.otherPlannerSeenAt = now
 	}
-	if a := t.appending; a != nil && a.Table.MaxFencingToken <= latest.MaxFencingToken {
-		t.appending = nil
+	if a := t.pendingAppend; a != nil && a.Table.MaxFencingToken <= latest.MaxFencingToken {
+		t.pendingAppend = nil
 		t.appendRetryDue = false
 	}
 	if !t.started && latest.Planner == t.p.opts.Host && t.number != 0 && latest.Term == t.number {
@@ -140,17 +140,17 @@
 
 // takeOver returns the record that starts this host's term.
 func (t *term) takeOver(now bootclock.Time) []Action {
-	if t.appending != nil {
-		return t.retryAppend(now)
+	if t.pendingAppend != nil {
+		return t.dueAppendRetry(now)
 	}
-	if now.Before(t.nextAppend) {
+	if now.Before(t.nextAppendAt) {
 		return nil
 	}
-	if t.p.lease.renewedAt.Before(t.foreignAt) {
+	if t.p.lease.renewedAt.Before(t.otherPlannerSeenAt) {
 		// Another host has planned since the seat was proved. A host that
 		// comes back from a cut may hold such a proof; a term started on it
 		// would supersede the planner's, and be superseded in turn.
-		t.p.lease.nextRenewal = min(t.p.lease.nextRenewal, now)
+		t.p.lease.nextRequestAt = min(t.p.lease.nextRequestAt, now)
 		return nil
 	}
 	base := t.table
@@ -163,25 +163,25 @@
 	t.number = next.Term
 	t.base = t.table
 	if t.base != nil {
-		t.baseSeenAt = t.p.histories[t.name].termSeenAt(t.base, now)
+		t.baseTermSeenAt = t.p.histories[t.name].termSeenAt(t.base, now)
 	}
 	t.previousGrants.lostBounds = t.p.histories[t.name].lostBounds(t.base, &t.p.opts)
 	next.Cause = "new planner"
-	t.appending = &Append{Table: next, ExpectedOffset: t.p.end, Cause: next.Cause}
-	return []Action{t.appending}
+	t.pendingAppend = &Append{Table: next, ExpectedOffset: t.p.streamEnd, Cause: next.Cause}
+	return []Action{t.pendingAppend}
 }
 
-// retryAppend repeats an append whose outcome is not known.
-func (t *term) retryAppend(now bootclock.Time) []Action {
-	if !t.appendRetryDue || now.Before(t.nextAppend) {
+// dueAppendRetry repeats an append whose outcome is not known.
+func (t *term) dueAppendRetry(now bootclock.Time) []Action {
+	if !t.appendRetryDue || now.Before(t.nextAppendAt) {
 		return nil
 	}
 	t.appendRetryDue = false
-	return []Action{t.appending}
+	return []Action{t.pendingAppend}
 }
 
-// observe takes in the upstreams that are listed.
-func (t *term) observe(v *view.View, now bootclock.Time) {
+// updateUpstreams takes in the upstreams that are listed.
+func (t *term) updateUpstreams(v *view.View, now bootclock.Time) {
 	clear(t.ups)
 	clear(t.byServer)
 	for _, u := range v.Upstreams.ForService(t.name) {
@@ -191,7 +191,7 @@
 			h.startIncarnation(u.ID, now)
 		}
 	}
-	t.sparing = t.enoughWarm()
+	t.excludeCold = t.enoughWarm()
 	t.warmUp = v.Desired.Services[t.name].WarmUp
 }
 
@@ -217,7 +217,7 @@
 // ineligible reports whether an upstream that is listed may own no keys now, however
 // well it answers.
 func (t *term) ineligible(u *catalogue.Upstream) bool {
-	return u.Draining() || (t.sparing && t.p.Cold(u))
+	return u.Draining() || (t.excludeCold && t.p.Cold(u))
 }
 
 // eligibleOwners returns the upstreams that may own keys.
@@ -260,7 +260,7 @@
 	}
 	for s, r := range wanted {
 		if t.activeGrants[s] == nil {
-			t.activeGrants[s] = &activeGrant{r: r, next: now}
+			t.activeGrants[s] = &activeGrant{r: r, nextSendAt: now}
 		}
 	}
 }
@@ -285,21 +285,21 @@
 	return out
 }
 
-// grants returns the grants and renewals that are due.
-func (t *term) grants(now bootclock.Time) []Action {
+// dueGrants returns the grants and renewals that are due.
+func (t *term) dueGrants(now bootclock.Time) []Action {
 	var out []Action
 	for _, s := range sortedKeys(t.activeGrants) {
 		l := t.activeGrants[s]
 		u := t.ups[l.r.Owner]
-		if l.inFlight || now.Before(l.next) || u == nil || t.server(l.r.Owner).lost || t.table.IsLost(l.r.Owner) {
+		if l.inFlight || now.Before(l.nextSendAt) || u == nil || t.server(l.r.Owner).lost || t.table.IsLost(l.r.Owner) {
 			continue
 		}
 		h := t.server(u.ID)
-		if h.inFlight == 0 && !h.sentAny {
+		if h.grantsInFlight == 0 && !h.grantSent {
 			h.answeredAt = now
 		}
-		h.inFlight++
-		h.sentAny = true
+		h.grantsInFlight++
+		h.grantSent = true
 		l.inFlight = true
 		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: l.r, TTL: t.p.opts.GrantTTL, SentAt: now,
 			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > maxLeaseAge, server: h})
@@ -315,20 +315,20 @@
 	l := t.activeGrants[s]
 	if l != nil && l.r.FencingToken == g.Range.FencingToken {
 		l.inFlight = false
-		l.next = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
+		l.nextSendAt = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
 	}
 	switch {
 	case err == nil:
 		return
 	case errors.Is(err, ownership.ErrFenced):
-		t.fenced(g.Range, now, err)
+		t.markSuperseded(g.Range, now, err)
 	case errors.Is(err, ownership.ErrRejected):
 		t.emitFailure(GrantRejected, g.Range.Owner, err, now)
 	}
 	if l != nil {
-		l.next = now.Add(grantRetryDelay)
+		l.nextSendAt = now.Add(grantRetryDelay)
 	}
-	if !h.lost && !h.forPastIncarnation(g) && now.Sub(h.answeredAt) > time.Duration(lostAfter*float64(t.p.opts.GrantTTL)) {
+	if !h.lost && !h.forPastIncarnation(g) && now.Sub(h.answeredAt) > time.Duration(lostAfterFraction*float64(t.p.opts.GrantTTL)) {
 		h.lost = true
 		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(h.answeredAt), Err: err})
 	}
@@ -340,7 +340,7 @@
 func (t *term) emitFailure(k EventKind, upstream string, err error, now bootclock.Time) {
 	h := t.server(upstream)
 	n := h.throttles[k]
-	if n.at != 0 && now.Sub(n.at) < failureEventInterval {
+	if n.emittedAt != 0 && now.Sub(n.emittedAt) < failureEventInterval {
 		n.suppressed++
 		h.throttles[k] = n
 		return
@@ -349,13 +349,13 @@
 	if h.throttles == nil {
 		h.throttles = map[EventKind]eventThrottle{}
 	}
-	h.throttles[k] = eventThrottle{at: now}
+	h.throttles[k] = eventThrottle{emittedAt: now}
 }
 
-// fenced takes note that an upstream has seen a higher token than that of a
+// markSuperseded takes note that an upstream has seen a higher token than that of a
 // grant in force: another planner is at work, whose record has not reached
 // this host. It must read the ownership stream again to learn of it.
-func (t *term) fenced(r ownership.Range, now bootclock.Time, err error) {
+func (t *term) markSuperseded(r ownership.Range, now bootclock.Time, err error) {
 	if t.table.Find(r.From).FencingToken != r.FencingToken {
 		return // a grant from before a move of this host's own
 	}
@@ -363,7 +363,7 @@
 		t.emitFailure(GrantRejected, r.Owner, err, now)
 	}
 	t.superseded, t.supersededAt = true, now
-	t.p.endUncertain = true
+	t.p.streamEndUncertain = true
 }
 
 // isSuperseded reports whether the term is superseded and the seat has not
