--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -67,28 +67,28 @@
 
 // grantsUntil returns when the last grant of the planners before this one may be
 // sent, to any owner.
-func (f *previousGrants) grantsUntil() bootclock.Time {
-	return f.latest(func(b *previousPlanner) bootclock.Time { return b.grantsUntil })
+func (g *previousGrants) grantsUntil() bootclock.Time {
+	return g.latest(func(p *previousPlanner) bootclock.Time { return p.grantsUntil })
 }
 
 // dialsUntil returns when they may last open a connection for one.
-func (f *previousGrants) dialsUntil() bootclock.Time {
-	return f.latest(func(b *previousPlanner) bootclock.Time { return b.dialsUntil })
+func (g *previousGrants) dialsUntil() bootclock.Time {
+	return g.latest(func(p *previousPlanner) bootclock.Time { return p.dialsUntil })
 }
 
-func (f *previousGrants) latest(bound func(*previousPlanner) bootclock.Time) bootclock.Time {
+func (g *previousGrants) latest(bound func(*previousPlanner) bootclock.Time) bootclock.Time {
 	last := bootclock.Time(0)
-	for _, b := range f.planners {
-		last = max(last, bound(b))
+	for _, p := range g.planners {
+		last = max(last, bound(p))
 	}
 	return last
 }
 
 // grantsUntilFor returns when the last grant of an earlier planner may be sent to the
 // owner.
-func (f *previousGrants) grantsUntilFor(owner string) bootclock.Time {
-	if at, ok := f.lostBounds[owner]; ok {
-		return min(at, f.grantsUntil())
+func (g *previousGrants) grantsUntilFor(owner string) bootclock.Time {
+	if at, ok := g.lostBounds[owner]; ok {
+		return min(at, g.grantsUntil())
 	}
-	return f.grantsUntil()
+	return g.grantsUntil()
 }
--- a/internal/planner/limiter.go
+++ b/internal/planner/limiter.go
@@ -34,26 +34,26 @@
 }
 
 // setLoad takes in what is known of the load.
-func (p *placementLimiter) setLoad(warmUp time.Duration, load ownership.Load) {
-	p.warmUp, p.loadByKey, p.capacity = warmUp, load.ByKey, 0
+func (l *placementLimiter) setLoad(warmUp time.Duration, load ownership.Load) {
+	l.warmUp, l.loadByKey, l.capacity = warmUp, load.ByKey, 0
 	for _, c := range load.Capacity {
-		p.capacity += c
+		l.capacity += c
 	}
 }
 
 // allow reports whether the keys may be placed now, and counts them if so.
-func (p *placementLimiter) allow(s span, now bootclock.Time) bool {
-	if p.warmUp == 0 || len(p.loadByKey) == 0 {
+func (l *placementLimiter) allow(s span, now bootclock.Time) bool {
+	if l.warmUp == 0 || len(l.loadByKey) == 0 {
 		return true
 	}
-	p.placedLoad *= math.Exp(-now.Sub(p.updatedAt).Seconds() / p.warmUp.Seconds())
-	p.updatedAt = now
-	budget := p.capacity * coldKeyLoadFraction
-	if p.placedLoad >= budget {
+	l.placedLoad *= math.Exp(-now.Sub(l.updatedAt).Seconds() / l.warmUp.Seconds())
+	l.updatedAt = now
+	budget := l.capacity * coldKeyLoadFraction
+	if l.placedLoad >= budget {
 		return false
 	}
 	for k := s.from; k <= s.to; k++ {
-		p.placedLoad += min(p.loadByKey[k], budget)
+		l.placedLoad += min(l.loadByKey[k], budget)
 	}
 	return true
 }
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -104,8 +104,8 @@
 		load.ByKey = nil
 	}
 	lim := t.p.Limits
-	most := max(lim.MaxMoves, min(len(owners)/ownersPerMove, maxLoadMoves))
-	lim.MaxMoves = max(most-t.loadMoveCount(), 0)
+	moveBudget := max(lim.MaxMoves, min(len(owners)/ownersPerMove, maxLoadMoves))
+	lim.MaxMoves = max(moveBudget-t.loadMoveCount(), 0)
 	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > maxLeaseAge {
 		// Keys taken back while the log cannot be written to would stay
 		// without an owner until it can.
@@ -122,8 +122,8 @@
 func (t *term) ownersWithUnansweredGrants(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range owners {
-		h := t.server(u.ID)
-		if h.hasUnanswered && now.Sub(h.unansweredAt) <= t.p.opts.maxGrantTTL() {
+		srv := t.server(u.ID)
+		if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= t.p.opts.maxGrantTTL() {
 			out[u.ID] = true
 		}
 	}
@@ -166,12 +166,12 @@
 	if !t.neverAssigned() {
 		return false
 	}
-	a := t.p.registrations[t.name]
-	if a.maxListed == 0 {
+	reg := t.p.registrations[t.name]
+	if reg.maxListed == 0 {
 		return true
 	}
-	since := now.Sub(a.firstAt)
-	return since < minRegistrationWait || (now.Sub(a.lastAt) < registrationQuiet && since < maxRegistrationWait)
+	elapsed := now.Sub(reg.firstAt)
+	return elapsed < minRegistrationWait || (now.Sub(reg.lastAt) < registrationQuiet && elapsed < maxRegistrationWait)
 }
 
 // neverAssigned reports whether no key has had an owner yet.
@@ -236,11 +236,11 @@
 	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantTTL() {
 		return true
 	}
-	h := t.server(old.Owner)
-	if t.ups[old.Owner] == nil || h.lost {
+	srv := t.server(old.Owner)
+	if t.ups[old.Owner] == nil || srv.lost {
 		return true
 	}
-	return h.incarnation == old.Owner && h.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
+	return srv.incarnation == old.Owner && srv.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
 }
 
 // insertMove keeps the moves in the order of their keys.
@@ -339,8 +339,8 @@
 		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.ineligible(u) || (!m.released && !wasUnlisted) {
 			return false
 		}
-		h := t.server(u.ID)
-		h.lost, h.answeredAt = false, now
+		srv := t.server(u.ID)
+		srv.lost, srv.answeredAt = false, now
 		return true
 	})
 	t.syncGrants(now)
@@ -351,12 +351,12 @@
 // it may be that only the answers to its grants were lost. Moves whose
 // release is still under way go on. It reports whether it did.
 func (t *term) restoreOwner(id string, now bootclock.Time) bool {
-	h, u := t.server(id), t.ups[id]
-	if !h.lost || u == nil || t.ineligible(u) || t.pendingAppend != nil {
+	srv, u := t.server(id), t.ups[id]
+	if !srv.lost || u == nil || t.ineligible(u) || t.pendingAppend != nil {
 		return false
 	}
-	h.lost = false
-	h.answeredAt = now
+	srv.lost = false
+	srv.answeredAt = now
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return m.old.Owner == id && m.releaseInFlight == nil })
 	t.syncGrants(now)
 	return true
@@ -370,13 +370,13 @@
 	for _, r := range t.table.Ranges {
 		owns[catalogue.ServerID(r.Owner)] = true
 	}
-	for server, h := range t.servers {
-		if !h.lost || owns[server] || h.grantsInFlight > 0 {
+	for server, srv := range t.servers {
+		if !srv.lost || owns[server] || srv.grantsInFlight > 0 {
 			continue
 		}
-		h.lost = false
-		h.excludedUntil = now.Add(min(minExclusion<<min(h.losses, 4), maxExclusion))
-		h.losses++
-		h.grantSent = false
+		srv.lost = false
+		srv.excludedUntil = now.Add(min(minExclusion<<min(srv.losses, 4), maxExclusion))
+		srv.losses++
+		srv.grantSent = false
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -134,8 +134,8 @@
 func (p *Planner) Tick(now bootclock.Time, v *view.View) []Action {
 	p.observeView(now, v)
 	var out []Action
-	if j := p.dueLeaseCall(now, v); j != nil {
-		out = append(out, j)
+	if a := p.dueLeaseCall(now, v); a != nil {
+		out = append(out, a)
 	}
 	if p.shouldReleaseLease(now) {
 		p.lease.member = false
@@ -158,12 +158,12 @@
 func (p *Planner) observeView(now bootclock.Time, v *view.View) {
 	p.observeRegistrations(now, v)
 	for name, t := range v.Tables {
-		h := p.histories[name]
-		if h == nil {
-			h = &history{lostAt: map[string]bootclock.Time{}}
-			p.histories[name] = h
+		hist := p.histories[name]
+		if hist == nil {
+			hist = &history{lostAt: map[string]bootclock.Time{}}
+			p.histories[name] = hist
 		}
-		h.observe(t, now)
+		hist.observe(t, now)
 	}
 }
 
@@ -173,16 +173,16 @@
 		return
 	}
 	for _, name := range v.Desired.KeyedServices() {
-		a := p.registrations[name]
-		n := len(v.Upstreams.ForService(name))
-		if n <= a.maxListed {
+		reg := p.registrations[name]
+		listed := len(v.Upstreams.ForService(name))
+		if listed <= reg.maxListed {
 			continue
 		}
-		if a.maxListed == 0 {
-			a.firstAt = now
+		if reg.maxListed == 0 {
+			reg.firstAt = now
 		}
-		a.maxListed, a.lastAt = n, now
-		p.registrations[name] = a
+		reg.maxListed, reg.lastAt = listed, now
+		p.registrations[name] = reg
 	}
 }
 
@@ -223,8 +223,8 @@
 	if len(v.Tables) > 0 {
 		return true
 	}
-	for _, a := range p.registrations {
-		if now.Sub(a.firstAt) > minRegistrationWait {
+	for _, reg := range p.registrations {
+		if now.Sub(reg.firstAt) > minRegistrationWait {
 			return true
 		}
 	}
@@ -236,8 +236,8 @@
 // live: by then the other weak hosts have seen a planner, their memberships
 // have lapsed, and the seat goes to a strong one.
 func (p *Planner) ShouldStepDown(now bootclock.Time) bool {
-	long := now.Sub(p.lease.acquiredAt) > time.Duration(stepDownAfterTTLs*float64(p.opts.LeaseTTL))
-	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.requestInFlight && long
+	heldLongEnough := now.Sub(p.lease.acquiredAt) > time.Duration(stepDownAfterTTLs*float64(p.opts.LeaseTTL))
+	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.requestInFlight && heldLongEnough
 }
 
 // StepDown ends this host's planning in favour of a stronger one. What it
@@ -251,14 +251,14 @@
 }
 
 // AcquireLeaseDone takes a Join's answer: whether this host holds the seat.
-func (p *Planner) AcquireLeaseDone(j *AcquireLease, held bool, err error, now bootclock.Time) {
+func (p *Planner) AcquireLeaseDone(a *AcquireLease, held bool, err error, now bootclock.Time) {
 	p.lease.requestInFlight = false
 	p.lease.lastAnswerAt = now
-	pause := acquireFraction
+	fraction := acquireFraction
 	if p.lease.held {
-		pause = renewFraction
+		fraction = renewFraction
 	}
-	p.lease.nextRequestAt = now.Add(time.Duration(pause * float64(p.opts.LeaseTTL)))
+	p.lease.nextRequestAt = now.Add(time.Duration(fraction * float64(p.opts.LeaseTTL)))
 	if err != nil {
 		return
 	}
@@ -273,7 +273,7 @@
 	}
 	p.lease.held = held
 	if held {
-		p.lease.renewedAt = j.SentAt
+		p.lease.renewedAt = a.SentAt
 	}
 }
 
@@ -387,8 +387,8 @@
 // seat may be this host's already, which only its next proof tells it: the
 // group deals seats anew whenever a member joins or leaves.
 func (p *Planner) PlannerLost() {
-	if soon := p.lease.lastAnswerAt.Add(minAcquireInterval); !p.lease.held && soon.Before(p.lease.nextRequestAt) {
-		p.lease.nextRequestAt = soon
+	if earliest := p.lease.lastAnswerAt.Add(minAcquireInterval); !p.lease.held && earliest.Before(p.lease.nextRequestAt) {
+		p.lease.nextRequestAt = earliest
 	}
 }
 
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -18,32 +18,32 @@
 	if m.releaseInFlight == nil && catalogue.IsLaterIncarnation(m.dest, m.old.Owner) {
 		return true
 	}
-	bound := t.p.opts.maxGrantTTL()
-	h := t.server(m.old.Owner)
-	if h.grantsInFlight > 0 || m.releaseInFlight != nil || now.Before(m.relistUntil) {
+	maxTTL := t.p.opts.maxGrantTTL()
+	srv := t.server(m.old.Owner)
+	if srv.grantsInFlight > 0 || m.releaseInFlight != nil || now.Before(m.relistUntil) {
 		return false
 	}
 	if m.old.FencingToken <= t.firstFencingToken && !t.previousGrantsExpired(m, now) {
 		return false
 	}
-	if h.hasUnanswered && now.Sub(h.unansweredAt) <= bound {
+	if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= maxTTL {
 		return false
 	}
-	return m.released || !h.grantSent || now.Sub(h.maybeGrantedAt) > bound
+	return m.released || !srv.grantSent || now.Sub(srv.maybeGrantedAt) > maxTTL
 }
 
 // previousGrantsExpired reports whether no grant of an earlier planner can keep the
 // move's keys at their old owner.
 func (t *term) previousGrantsExpired(m *move, now bootclock.Time) bool {
-	bound := t.p.opts.maxGrantTTL()
-	if now.Sub(t.previousGrants.grantsUntilFor(m.old.Owner)) > bound {
+	maxTTL := t.p.opts.maxGrantTTL()
+	if now.Sub(t.previousGrants.grantsUntilFor(m.old.Owner)) > maxTTL {
 		return true
 	}
-	h := t.server(m.old.Owner)
-	if h.incarnation != m.old.Owner || !h.acknowledgedTerm(m.span) {
+	srv := t.server(m.old.Owner)
+	if srv.incarnation != m.old.Owner || !srv.acknowledgedTerm(m.span) {
 		return false
 	}
-	return m.released || now.Sub(t.previousGrants.dialsUntil()) > bound
+	return m.released || now.Sub(t.previousGrants.dialsUntil()) > maxTTL
 }
 
 // mayRelease reports whether a release now would end what earlier planners
@@ -56,8 +56,8 @@
 // dueAppend returns the append of the moves that are ready, if any.
 func (t *term) dueAppend(now bootclock.Time) Action {
 	if t.pendingAppend != nil {
-		if again := t.dueAppendRetry(now); len(again) > 0 {
-			return again[0]
+		if retry := t.dueAppendRetry(now); len(retry) > 0 {
+			return retry[0]
 		}
 		return nil
 	}
@@ -104,9 +104,9 @@
 func (t *term) lostOwners(table *ownership.Table) []string {
 	var out []string
 	for _, r := range table.Ranges {
-		h := t.server(r.Owner)
-		silent := t.ups[r.Owner] == nil || h.lost
-		if r.Owner != "" && silent && h.grantsInFlight == 0 {
+		srv := t.server(r.Owner)
+		unreachable := t.ups[r.Owner] == nil || srv.lost
+		if r.Owner != "" && unreachable && srv.grantsInFlight == 0 {
 			out = append(out, r.Owner)
 		}
 	}
@@ -117,13 +117,13 @@
 // redirect gives a move whose new owner is no candidate any more another
 // one: the one with the fewest keys.
 func (t *term) redirect(m *move, now bootclock.Time) {
-	keys := map[string]int{}
+	keyCount := map[string]int{}
 	for _, r := range t.table.Ranges {
-		keys[r.Owner] += r.To - r.From + 1
+		keyCount[r.Owner] += r.To - r.From + 1
 	}
 	m.dest = ""
 	for _, u := range t.eligibleOwners(now) {
-		if m.dest == "" || keys[u.ID] < keys[m.dest] || (keys[u.ID] == keys[m.dest] && u.ID < m.dest) {
+		if m.dest == "" || keyCount[u.ID] < keyCount[m.dest] || (keyCount[u.ID] == keyCount[m.dest] && u.ID < m.dest) {
 			m.dest = u.ID
 		}
 	}
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -35,38 +35,38 @@
 // last one when the last one's term was seen.
 func (t *term) previousPlanners(now bootclock.Time) []*previousPlanner {
 	var out []*previousPlanner
-	for _, p := range t.table.PreviousPlanners {
-		lost := now
-		if t.base != nil && p.Host != t.base.Planner {
-			lost = t.baseTermSeenAt
+	for _, host := range t.table.PreviousPlanners {
+		leaseLostBy := now
+		if t.base != nil && host.Host != t.base.Planner {
+			leaseLostBy = t.baseTermSeenAt
 		}
-		b := &previousPlanner{PlannerHost: p, grantsUntil: lost.Add(t.p.opts.MaxViewAge), dialsUntil: lost.Add(maxLeaseAge)}
-		if p.Host == t.p.opts.Host {
+		prev := &previousPlanner{PlannerHost: host, grantsUntil: leaseLostBy.Add(t.p.opts.MaxViewAge), dialsUntil: leaseLostBy.Add(maxLeaseAge)}
+		if host.Host == t.p.opts.Host {
 			// It is this process, whose earlier terms are over, or one before
 			// it that has ended.
-			b.markStopped(now)
+			prev.markStopped(now)
 		}
-		out = append(out, b)
+		out = append(out, prev)
 	}
 	return out
 }
 
 // markStopped takes in that it sends nothing any more.
-func (b *previousPlanner) markStopped(now bootclock.Time) {
-	b.retired = true
-	b.grantsUntil = min(b.grantsUntil, now)
-	b.dialsUntil = min(b.dialsUntil, now)
+func (p *previousPlanner) markStopped(now bootclock.Time) {
+	p.retired = true
+	p.grantsUntil = min(p.grantsUntil, now)
+	p.dialsUntil = min(p.dialsUntil, now)
 }
 
 // dueRetires returns the questions to predecessors that are due.
 func (t *term) dueRetires(now bootclock.Time) []Action {
 	var out []Action
-	for _, b := range t.previousGrants.planners {
-		if b.retired || b.retireInFlight || now.Before(b.nextRetireAt) || b.grantsUntil.Before(now) {
+	for _, prev := range t.previousGrants.planners {
+		if prev.retired || prev.retireInFlight || now.Before(prev.nextRetireAt) || prev.grantsUntil.Before(now) {
 			continue
 		}
-		b.retireInFlight = true
-		out = append(out, &Retire{Service: t.name, Host: b.Host, Addr: b.Addr, Term: t.number})
+		prev.retireInFlight = true
+		out = append(out, &Retire{Service: t.name, Host: prev.Host, Addr: prev.Addr, Term: t.number})
 	}
 	return out
 }
@@ -86,23 +86,23 @@
 	if t == nil || t.number != r.Term {
 		return
 	}
-	for _, b := range t.previousGrants.planners {
-		if b.Host != r.Host {
+	for _, prev := range t.previousGrants.planners {
+		if prev.Host != r.Host {
 			continue
 		}
-		b.retireInFlight = false
-		b.nextRetireAt = now.Add(retireRetryDelay)
+		prev.retireInFlight = false
+		prev.nextRetireAt = now.Add(retireRetryDelay)
 		if retired && host == r.Host {
-			b.markStopped(now)
+			prev.markStopped(now)
 		}
 	}
 }
 
 // Retire stops what this host plans of the service in terms before the given
 // one, and reports whether no grant of those is under way any more.
-func (p *Planner) Retire(service string, number int64, now bootclock.Time) bool {
+func (p *Planner) Retire(service string, nextTerm int64, now bootclock.Time) bool {
 	if t := p.services[service]; t != nil {
-		if t.started && t.number >= number {
+		if t.started && t.number >= nextTerm {
 			return false // the caller is the one that was replaced
 		}
 		p.OnEvent(Event{Kind: TermEnded, Service: service, Table: t.table, Age: now.Sub(p.lease.renewedAt)})
@@ -114,9 +114,9 @@
 }
 
 func (t *term) grantsInFlight() int {
-	n := 0
-	for _, h := range t.servers {
-		n += h.grantsInFlight
+	total := 0
+	for _, srv := range t.servers {
+		total += srv.grantsInFlight
 	}
-	return n
+	return total
 }
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -42,40 +42,40 @@
 // recordResult takes in a grant's result. It must be called for each that was sent, on the
 // holder for which it was, also after the term has ended: a later term may go on with
 // the account.
-func (h *serverState) recordResult(g *Grant, err error, now bootclock.Time) {
-	h.grantsInFlight--
+func (srv *serverState) recordResult(g *Grant, err error, now bootclock.Time) {
+	srv.grantsInFlight--
 	if !errors.Is(err, ownership.ErrNotSent) {
-		h.maybeGrantedAt = now
+		srv.maybeGrantedAt = now
 	}
 	switch {
 	case errors.Is(err, ownership.ErrNoAnswer):
-		h.hasUnanswered = true
-		h.unansweredAt = now
+		srv.hasUnanswered = true
+		srv.unansweredAt = now
 	case errors.Is(err, ownership.ErrFenced):
-		h.answeredAt = now
-	case err == nil && !h.forPastIncarnation(g):
-		h.answeredAt = now
-		h.losses = 0
-		h.ackedSpans = append(h.ackedSpans, span{g.Range.From, g.Range.To})
-		if len(h.ackedSpans) > maxAckedSpans {
-			h.ackedSpans = h.ackedSpans[len(h.ackedSpans)-maxAckedSpans:]
+		srv.answeredAt = now
+	case err == nil && !srv.forPastIncarnation(g):
+		srv.answeredAt = now
+		srv.losses = 0
+		srv.ackedSpans = append(srv.ackedSpans, span{g.Range.From, g.Range.To})
+		if len(srv.ackedSpans) > maxAckedSpans {
+			srv.ackedSpans = srv.ackedSpans[len(srv.ackedSpans)-maxAckedSpans:]
 		}
 	}
 }
 
 // forPastIncarnation reports whether the life that the grant was for has ended: what it
 // answers, or does not, says nothing of the next one.
-func (h *serverState) forPastIncarnation(g *Grant) bool {
-	return catalogue.IsLaterIncarnation(h.incarnation, g.Range.Owner)
+func (srv *serverState) forPastIncarnation(g *Grant) bool {
+	return catalogue.IsLaterIncarnation(srv.incarnation, g.Range.Owner)
 }
 
 // startIncarnation turns to a newer life. It has forgotten the tokens that the older
 // one acknowledged, and none of the older one's failures are its own.
-func (h *serverState) startIncarnation(life string, now bootclock.Time) {
-	h.incarnation = life
-	h.ackedSpans = nil
-	h.lost, h.losses, h.excludedUntil = false, 0, 0
-	h.answeredAt = now
+func (srv *serverState) startIncarnation(incarnation string, now bootclock.Time) {
+	srv.incarnation = incarnation
+	srv.ackedSpans = nil
+	srv.lost, srv.losses, srv.excludedUntil = false, 0, 0
+	srv.answeredAt = now
 }
 
 // maxConfirmed bounds the spans remembered per upstream; more than an
@@ -84,13 +84,13 @@
 
 // acknowledgedTerm reports whether the upstream has acknowledged this term's
 // token on every key of s, so that it refuses its predecessor's grants.
-func (h *serverState) acknowledgedTerm(s span) bool {
+func (srv *serverState) acknowledgedTerm(s span) bool {
 	from := s.from
-	for again := true; again && from <= s.to; {
-		again = false
-		for _, c := range h.ackedSpans {
-			if c.from <= from && from <= c.to {
-				from, again = c.to+1, true
+	for advanced := true; advanced && from <= s.to; {
+		advanced = false
+		for _, acked := range srv.ackedSpans {
+			if acked.from <= from && from <= acked.to {
+				from, advanced = acked.to+1, true
 			}
 		}
 	}
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -77,14 +77,14 @@
 }
 
 // server returns the account of the life's server.
-func (t *term) server(life string) *serverState {
-	server := catalogue.ServerID(life)
-	h := t.servers[server]
-	if h == nil {
-		h = &serverState{incarnation: life}
-		t.servers[server] = h
-	}
-	return h
+func (t *term) server(incarnation string) *serverState {
+	id := catalogue.ServerID(incarnation)
+	srv := t.servers[id]
+	if srv == nil {
+		srv = &serverState{incarnation: incarnation}
+		t.servers[id] = srv
+	}
+	return srv
 }
 
 // newerIncarnation returns the newer life of the owner's server, if one is listed:
@@ -106,15 +106,15 @@
 		// Another planner has written: this host's term is over, though it
 		// may hold the seat again.
 		t.p.OnEvent(Event{Kind: TermEnded, Service: t.name, Table: latest})
-		ended := *t
-		t.p.pastTerms[t.name] = &ended
+		past := *t
+		t.p.pastTerms[t.name] = &past
 		*t = *newTerm(t.p, t.name)
 	}
 	t.table = latest
 	if latest.Planner != t.p.opts.Host {
 		t.otherPlannerSeenAt = now
 	}
-	if a := t.pendingAppend; a != nil && a.Table.MaxFencingToken <= latest.MaxFencingToken {
+	if pending := t.pendingAppend; pending != nil && pending.Table.MaxFencingToken <= latest.MaxFencingToken {
 		t.pendingAppend = nil
 		t.appendRetryDue = false
 	}
@@ -187,8 +187,8 @@
 	for _, u := range v.Upstreams.ForService(t.name) {
 		t.ups[u.ID] = u
 		t.byServer[catalogue.ServerID(u.ID)] = u
-		if h := t.server(u.ID); catalogue.IsLaterIncarnation(u.ID, h.incarnation) {
-			h.startIncarnation(u.ID, now)
+		if srv := t.server(u.ID); catalogue.IsLaterIncarnation(u.ID, srv.incarnation) {
+			srv.startIncarnation(u.ID, now)
 		}
 	}
 	t.excludeCold = t.enoughWarm()
@@ -232,8 +232,8 @@
 }
 
 func (t *term) excluded(id string, now bootclock.Time) bool {
-	h := t.server(id)
-	return h.lost || now.Before(h.excludedUntil)
+	srv := t.server(id)
+	return srv.lost || now.Before(srv.excludedUntil)
 }
 
 // syncGrants makes the leases cover the owned ranges of the table less the
@@ -248,13 +248,13 @@
 			continue
 		}
 		for _, s := range t.withoutMoves(span{r.From, r.To}) {
-			part := r
-			part.From, part.To = s.from, s.to
-			wanted[s] = part
+			rng := r
+			rng.From, rng.To = s.from, s.to
+			wanted[s] = rng
 		}
 	}
-	for s, l := range t.activeGrants {
-		if w, ok := wanted[s]; !ok || w.Owner != l.r.Owner || w.FencingToken != l.r.FencingToken {
+	for s, ag := range t.activeGrants {
+		if w, ok := wanted[s]; !ok || w.Owner != ag.r.Owner || w.FencingToken != ag.r.FencingToken {
 			delete(t.activeGrants, s)
 		}
 	}
@@ -289,20 +289,20 @@
 func (t *term) dueGrants(now bootclock.Time) []Action {
 	var out []Action
 	for _, s := range sortedKeys(t.activeGrants) {
-		l := t.activeGrants[s]
-		u := t.ups[l.r.Owner]
-		if l.inFlight || now.Before(l.nextSendAt) || u == nil || t.server(l.r.Owner).lost || t.table.IsLost(l.r.Owner) {
+		ag := t.activeGrants[s]
+		u := t.ups[ag.r.Owner]
+		if ag.inFlight || now.Before(ag.nextSendAt) || u == nil || t.server(ag.r.Owner).lost || t.table.IsLost(ag.r.Owner) {
 			continue
 		}
-		h := t.server(u.ID)
-		if h.grantsInFlight == 0 && !h.grantSent {
-			h.answeredAt = now
+		srv := t.server(u.ID)
+		if srv.grantsInFlight == 0 && !srv.grantSent {
+			srv.answeredAt = now
 		}
-		h.grantsInFlight++
-		h.grantSent = true
-		l.inFlight = true
-		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: l.r, TTL: t.p.opts.GrantTTL, SentAt: now,
-			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > maxLeaseAge, server: h})
+		srv.grantsInFlight++
+		srv.grantSent = true
+		ag.inFlight = true
+		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: ag.r, TTL: t.p.opts.GrantTTL, SentAt: now,
+			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > maxLeaseAge, server: srv})
 	}
 	return out
 }
@@ -310,12 +310,12 @@
 // grantDone takes in the result of a grant, which may be one of an earlier term; its
 // holder's account has it already.
 func (t *term) grantDone(g *Grant, err error, now bootclock.Time) {
-	h := g.server
+	srv := g.server
 	s := span{g.Range.From, g.Range.To}
-	l := t.activeGrants[s]
-	if l != nil && l.r.FencingToken == g.Range.FencingToken {
-		l.inFlight = false
-		l.nextSendAt = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
+	ag := t.activeGrants[s]
+	if ag != nil && ag.r.FencingToken == g.Range.FencingToken {
+		ag.inFlight = false
+		ag.nextSendAt = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
 	}
 	switch {
 	case err == nil:
@@ -325,12 +325,12 @@
 	case errors.Is(err, ownership.ErrRejected):
 		t.emitFailure(GrantRejected, g.Range.Owner, err, now)
 	}
-	if l != nil {
-		l.nextSendAt = now.Add(grantRetryDelay)
+	if ag != nil {
+		ag.nextSendAt = now.Add(grantRetryDelay)
 	}
-	if !h.lost && !h.forPastIncarnation(g) && now.Sub(h.answeredAt) > time.Duration(lostAfterFraction*float64(t.p.opts.GrantTTL)) {
-		h.lost = true
-		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(h.answeredAt), Err: err})
+	if !srv.lost && !srv.forPastIncarnation(g) && now.Sub(srv.answeredAt) > time.Duration(lostAfterFraction*float64(t.p.opts.GrantTTL)) {
+		srv.lost = true
+		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(srv.answeredAt), Err: err})
 	}
 }
 
@@ -338,18 +338,18 @@
 // upstream and kind: an owner of a hundred ranges fails a hundred orders at
 // once, and again with each retry.
 func (t *term) emitFailure(k EventKind, upstream string, err error, now bootclock.Time) {
-	h := t.server(upstream)
-	n := h.throttles[k]
-	if n.emittedAt != 0 && now.Sub(n.emittedAt) < failureEventInterval {
-		n.suppressed++
-		h.throttles[k] = n
+	srv := t.server(upstream)
+	throttle := srv.throttles[k]
+	if throttle.emittedAt != 0 && now.Sub(throttle.emittedAt) < failureEventInterval {
+		throttle.suppressed++
+		srv.throttles[k] = throttle
 		return
 	}
-	t.p.OnEvent(Event{Kind: k, Service: t.name, Upstream: upstream, Err: err, Suppressed: n.suppressed})
-	if h.throttles == nil {
-		h.throttles = map[EventKind]eventThrottle{}
+	t.p.OnEvent(Event{Kind: k, Service: t.name, Upstream: upstream, Err: err, Suppressed: throttle.suppressed})
+	if srv.throttles == nil {
+		srv.throttles = map[EventKind]eventThrottle{}
 	}
-	h.throttles[k] = eventThrottle{emittedAt: now}
+	srv.throttles[k] = eventThrottle{emittedAt: now}
 }
 
 // markSuperseded takes note that an upstream has seen a higher token than that of a
