--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -64,8 +64,8 @@
 // load.
 const maxLeaseAge = 900 * time.Millisecond
 
-// plan starts the moves that the present owners and load call for.
-func (t *term) plan(now bootclock.Time) {
+// planMoves starts the moves that the present owners and load call for.
+func (t *term) planMoves(now bootclock.Time) {
 	if t.awaitingRegistrations(now) {
 		return
 	}
@@ -183,11 +183,11 @@
 // nobody who could keep it.
 func (t *term) hasOwnerlessKeys(now bootclock.Time) bool {
 	for _, r := range t.table.Ranges {
-		u := t.ups[r.Owner]
+		u := t.upstreams[r.Owner]
 		if u != nil && !t.ineligible(u) && !t.excluded(r.Owner, now) {
 			continue
 		}
-		if len(t.withoutMoves(span{r.From, r.To})) > 0 {
+		if len(t.subtractMoves(span{r.From, r.To})) > 0 {
 			return true
 		}
 	}
@@ -206,7 +206,7 @@
 // whose new owner was lost meanwhile is given another one.
 func (t *term) startMove(m ownership.Move, now bootclock.Time) {
 	s := span{m.From, m.To}
-	for _, part := range t.withoutMoves(s) {
+	for _, part := range t.subtractMoves(s) {
 		old := t.table.Find(part.from)
 		old.From, old.To = part.from, part.to
 		if !t.mayStartMove(old, now) {
@@ -237,7 +237,7 @@
 		return true
 	}
 	srv := t.server(old.Owner)
-	if t.ups[old.Owner] == nil || srv.lost {
+	if t.upstreams[old.Owner] == nil || srv.lost {
 		return true
 	}
 	return srv.incarnation == old.Owner && srv.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
@@ -259,7 +259,7 @@
 }
 
 func (t *term) moveCause(owner string, now bootclock.Time) string {
-	u := t.ups[owner]
+	u := t.upstreams[owner]
 	switch {
 	case owner == "":
 		return causeNoOwner
@@ -285,7 +285,7 @@
 func (t *term) dueReleases(now bootclock.Time) []Action {
 	var out []Action
 	for _, m := range t.moves {
-		u := t.ups[m.old.Owner]
+		u := t.upstreams[m.old.Owner]
 		if m.released || m.releaseInFlight != nil || u == nil || now.Before(m.nextRelease) || t.server(m.old.Owner).grantsInFlight > 0 || !t.mayRelease(m, now) {
 			continue
 		}
@@ -334,7 +334,7 @@
 		return
 	}
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool {
-		u := t.ups[m.old.Owner]
+		u := t.upstreams[m.old.Owner]
 		wasUnlisted := m.cause == causeLeaving || m.cause == causeGone
 		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.ineligible(u) || (!m.released && !wasUnlisted) {
 			return false
@@ -351,7 +351,7 @@
 // it may be that only the answers to its grants were lost. Moves whose
 // release is still under way go on. It reports whether it did.
 func (t *term) restoreOwner(id string, now bootclock.Time) bool {
-	srv, u := t.server(id), t.ups[id]
+	srv, u := t.server(id), t.upstreams[id]
 	if !srv.lost || u == nil || t.ineligible(u) || t.pendingAppend != nil {
 		return false
 	}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -134,7 +134,7 @@
 func (p *Planner) Tick(now bootclock.Time, v *view.View) []Action {
 	p.observeView(now, v)
 	var out []Action
-	if a := p.dueLeaseCall(now, v); a != nil {
+	if a := p.dueAcquireLease(now, v); a != nil {
 		out = append(out, a)
 	}
 	if p.shouldReleaseLease(now) {
@@ -186,8 +186,8 @@
 	}
 }
 
-// dueLeaseCall returns the next proof of the seat if it is due.
-func (p *Planner) dueLeaseCall(now bootclock.Time, v *view.View) Action {
+// dueAcquireLease returns the next proof of the seat if it is due.
+func (p *Planner) dueAcquireLease(now bootclock.Time, v *view.View) Action {
 	if p.resigned || p.lease.requestInFlight || now.Before(p.lease.nextRequestAt) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
 		return nil
 	}
@@ -304,7 +304,7 @@
 		t = newTerm(p, name)
 		p.services[name] = t
 	}
-	t.adopt(v.Tables[name], now)
+	t.adoptTable(v.Tables[name], now)
 	if !t.started && p.resigned || t.isSuperseded() {
 		return nil
 	}
@@ -314,7 +314,7 @@
 	t.updateUpstreams(v, now)
 	out := t.dueRetires(now)
 	if !p.resigned {
-		t.plan(now)
+		t.planMoves(now)
 		out = append(out, t.dueReleases(now)...)
 	}
 	out = append(out, t.dueGrants(now)...)
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -70,7 +70,7 @@
 		if !t.safeToReassign(m, now) || (m.lacksHandover() && !t.limiter.allow(m.span, now)) {
 			continue
 		}
-		if u := t.ups[m.dest]; u == nil || t.ineligible(u) || t.excluded(m.dest, now) {
+		if u := t.upstreams[m.dest]; u == nil || t.ineligible(u) || t.excluded(m.dest, now) {
 			t.redirect(m, now)
 		}
 		ready = append(ready, ownership.Move{From: m.from, To: m.to, NewOwner: m.dest, HandoverToken: m.handover})
@@ -105,7 +105,7 @@
 	var out []string
 	for _, r := range table.Ranges {
 		srv := t.server(r.Owner)
-		unreachable := t.ups[r.Owner] == nil || srv.lost
+		unreachable := t.upstreams[r.Owner] == nil || srv.lost
 		if r.Owner != "" && unreachable && srv.grantsInFlight == 0 {
 			out = append(out, r.Owner)
 		}
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -46,9 +46,9 @@
 	superseded   bool
 	supersededAt bootclock.Time
 
-	// ups are the lives that are listed, byServer the same by their servers.
-	ups      map[string]*catalogue.Upstream
-	byServer map[string]*catalogue.Upstream
+	// upstreams are the lives that are listed, byServer the same by their servers.
+	upstreams        map[string]*catalogue.Upstream
+	upstreamByServer map[string]*catalogue.Upstream
 	// warmUp is how long keys are slow that come without a handover.
 	warmUp time.Duration
 	// excludeCold is set while those in their slow start get no keys.
@@ -66,13 +66,13 @@
 
 // activeGrant is one grant that is kept up.
 type activeGrant struct {
-	r          ownership.Range
+	rng        ownership.Range
 	nextSendAt bootclock.Time
 	inFlight   bool
 }
 
 func newTerm(p *Planner, name string) *term {
-	return &term{p: p, name: name, ups: map[string]*catalogue.Upstream{}, byServer: map[string]*catalogue.Upstream{},
+	return &term{p: p, name: name, upstreams: map[string]*catalogue.Upstream{}, upstreamByServer: map[string]*catalogue.Upstream{},
 		servers: map[string]*serverState{}, activeGrants: map[span]*activeGrant{}}
 }
 
@@ -90,15 +90,15 @@
 // newerIncarnation returns the newer life of the owner's server, if one is listed:
 // the owner has ended then.
 func (t *term) newerIncarnation(owner string) *catalogue.Upstream {
-	u := t.byServer[catalogue.ServerID(owner)]
+	u := t.upstreamByServer[catalogue.ServerID(owner)]
 	if u != nil && catalogue.IsLaterIncarnation(u.ID, owner) {
 		return u
 	}
 	return nil
 }
 
-// adopt takes the table that the log has now.
-func (t *term) adopt(latest *ownership.Table, now bootclock.Time) {
+// adoptTable takes the table that the log has now.
+func (t *term) adoptTable(latest *ownership.Table, now bootclock.Time) {
 	if latest == nil || (t.table != nil && latest.MaxFencingToken <= t.table.MaxFencingToken) {
 		return
 	}
@@ -182,11 +182,11 @@
 
 // updateUpstreams takes in the upstreams that are listed.
 func (t *term) updateUpstreams(v *view.View, now bootclock.Time) {
-	clear(t.ups)
-	clear(t.byServer)
+	clear(t.upstreams)
+	clear(t.upstreamByServer)
 	for _, u := range v.Upstreams.ForService(t.name) {
-		t.ups[u.ID] = u
-		t.byServer[catalogue.ServerID(u.ID)] = u
+		t.upstreams[u.ID] = u
+		t.upstreamByServer[catalogue.ServerID(u.ID)] = u
 		if srv := t.server(u.ID); catalogue.IsLaterIncarnation(u.ID, srv.incarnation) {
 			srv.startIncarnation(u.ID, now)
 		}
@@ -202,7 +202,7 @@
 // most. So keys wait with others until it is warm.
 func (t *term) enoughWarm() bool {
 	warm, cold := 0, 0
-	for _, u := range t.ups {
+	for _, u := range t.upstreams {
 		switch {
 		case u.Draining():
 		case t.p.Cold(u):
@@ -223,7 +223,7 @@
 // eligibleOwners returns the upstreams that may own keys.
 func (t *term) eligibleOwners(now bootclock.Time) []*catalogue.Upstream {
 	var out []*catalogue.Upstream
-	for _, u := range t.ups {
+	for _, u := range t.upstreams {
 		if !t.ineligible(u) && !t.excluded(u.ID, now) {
 			out = append(out, u)
 		}
@@ -247,26 +247,26 @@
 		if r.Owner == "" {
 			continue
 		}
-		for _, s := range t.withoutMoves(span{r.From, r.To}) {
+		for _, s := range t.subtractMoves(span{r.From, r.To}) {
 			rng := r
 			rng.From, rng.To = s.from, s.to
 			wanted[s] = rng
 		}
 	}
 	for s, ag := range t.activeGrants {
-		if w, ok := wanted[s]; !ok || w.Owner != ag.r.Owner || w.FencingToken != ag.r.FencingToken {
+		if w, ok := wanted[s]; !ok || w.Owner != ag.rng.Owner || w.FencingToken != ag.rng.FencingToken {
 			delete(t.activeGrants, s)
 		}
 	}
 	for s, r := range wanted {
 		if t.activeGrants[s] == nil {
-			t.activeGrants[s] = &activeGrant{r: r, nextSendAt: now}
+			t.activeGrants[s] = &activeGrant{rng: r, nextSendAt: now}
 		}
 	}
 }
 
-// withoutMoves cuts the spans that are being moved out of s.
-func (t *term) withoutMoves(s span) []span {
+// subtractMoves cuts the spans that are being moved out of s.
+func (t *term) subtractMoves(s span) []span {
 	var out []span
 	from := s.from
 	first := sort.Search(len(t.moves), func(i int) bool { return t.moves[i].to >= s.from })
@@ -290,8 +290,8 @@
 	var out []Action
 	for _, s := range sortedKeys(t.activeGrants) {
 		ag := t.activeGrants[s]
-		u := t.ups[ag.r.Owner]
-		if ag.inFlight || now.Before(ag.nextSendAt) || u == nil || t.server(ag.r.Owner).lost || t.table.IsLost(ag.r.Owner) {
+		u := t.upstreams[ag.rng.Owner]
+		if ag.inFlight || now.Before(ag.nextSendAt) || u == nil || t.server(ag.rng.Owner).lost || t.table.IsLost(ag.rng.Owner) {
 			continue
 		}
 		srv := t.server(u.ID)
@@ -301,7 +301,7 @@
 		srv.grantsInFlight++
 		srv.grantSent = true
 		ag.inFlight = true
-		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: ag.r, TTL: t.p.opts.GrantTTL, SentAt: now,
+		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: ag.rng, TTL: t.p.opts.GrantTTL, SentAt: now,
 			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > maxLeaseAge, server: srv})
 	}
 	return out
@@ -313,7 +313,7 @@
 	srv := g.server
 	s := span{g.Range.From, g.Range.To}
 	ag := t.activeGrants[s]
-	if ag != nil && ag.r.FencingToken == g.Range.FencingToken {
+	if ag != nil && ag.rng.FencingToken == g.Range.FencingToken {
 		ag.inFlight = false
 		ag.nextSendAt = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
 	}
