--- a/internal/planner/actions.go
+++ b/internal/planner/actions.go
@@ -7,52 +7,54 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// Action is a call to make. Its result is handed back to the planner by the
-// method named after it.
+// Action is a call to make. The caller passes its result to the Planner method
+// that is named after it.
 type Action interface{ action() }
 
-// AcquireLease proves or seeks the planner's seat; see Planner.JoinDone.
+// AcquireLease requests or renews the planner lease; see
+// Planner.AcquireLeaseDone.
 type AcquireLease struct {
 	TTL    time.Duration
 	SentAt bootclock.Time
 }
 
-// ReleaseLease ends this host's membership of the group that holds the seat.
+// ReleaseLease ends this host's membership in the planner election. It has no
+// result to pass back.
 type ReleaseLease struct{}
 
-// Retire asks the host that planned before this one to send no more grants;
-// see Planner.RetireDone.
+// Retire asks a previous planner to send no more grants; see
+// Planner.RetireDone.
 type Retire struct {
 	Service string
-	// Host is its name, Addr where its peers reach it.
+	// Host is the previous planner's name, Addr the address at which its peers reach it.
 	Host, Addr string
-	// Term is the one that this host has recorded.
+	// Term is the term that this host has recorded.
 	Term int64
 }
 
-// Append records a table if the ownership stream ends at At; see
-// Planner.AppendDone.
+// Append appends a table to the ownership stream if the stream ends at
+// ExpectedOffset; see Planner.AppendDone.
 type Append struct {
 	Table          *ownership.Table
 	ExpectedOffset int64
-	// Cause says why the table changed, for the log.
+	// Cause is the reason for the change, for the log.
 	Cause string
 }
 
-// Grant gives or renews keys; see Planner.GrantDone.
+// Grant grants or renews a range of keys; see Planner.GrantDone.
 type Grant struct {
 	Service, Addr string
 	Range         ownership.Range
 	TTL           time.Duration
 	SentAt        bootclock.Time
-	// ExistingConnOnly grants go over a connection that is open already, or not at
-	// all; see the package comment.
+	// ExistingConnOnly restricts the grant to a connection that is already
+	// open; see the package comment.
 	ExistingConnOnly bool
-	// server is where it was counted when it was sent.
+	// server is the state that counts the grant as in flight.
 	server *serverState
 }
 
-// Release takes keys back; see Planner.ReleaseDone.
+// Release takes a range of keys back; see Planner.ReleaseDone.
 type Release struct {
 	Service, Addr string
 	Range         ownership.Range
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -5,18 +5,18 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// history is what this host has seen of a service's records, whoever wrote
-// them. It bounds what earlier planners may still send: a record was in the
-// log no later than it was seen here.
+// history is what this host has seen of a service's records, from any planner.
+// It bounds what previous planners may still send: a record was in the log no
+// later than it was seen here.
 type history struct {
-	// newestTerm is the newest term seen, and termAt when its first record was.
+	// newestTerm is the newest term seen, newestTermSeenAt when it was first seen.
 	newestTerm       int64
 	newestTermSeenAt bootclock.Time
-	// lostAt is when each lost owner was first seen marked.
+	// lostAt is when each owner was first seen marked as lost.
 	lostAt map[string]bootclock.Time
 }
 
-// observe takes in the newest table.
+// observe updates the history with the latest table.
 func (h *history) observe(t *ownership.Table, now bootclock.Time) {
 	if t.Term != h.newestTerm {
 		h.newestTerm, h.newestTermSeenAt = t.Term, now
@@ -33,16 +33,15 @@
 	}
 }
 
-// previousGrants bounds the grants of earlier planners.
+// previousGrants bounds the grants of previous planners.
 type previousGrants struct {
 	planners []*previousPlanner
-	// lostBounds holds an earlier bound for owners that the last planner had
-	// marked as lost.
+	// lostBounds holds earlier bounds for owners that the last planner had marked as lost.
 	lostBounds map[string]bootclock.Time
 }
 
-// termSeenAt returns when base's term was first seen; now if it is new here. The
-// planners before it had lost the seat by then.
+// termSeenAt returns when the term of base was first seen, or now if it is new
+// to this host. The planners before it had lost the lease by then.
 func (h *history) termSeenAt(base *ownership.Table, now bootclock.Time) bootclock.Time {
 	if h != nil && h.newestTerm == base.Term {
 		return h.newestTermSeenAt
@@ -50,10 +49,10 @@
 	return now
 }
 
-// lostBounds returns the bounds for owners that base's writer marked as
-// lost. The writer has stopped sending to them when the mark was seen; those
-// before it have lost their seat before its first record, and send for
-// viewAge after that at most.
+// lostBounds returns the bounds for owners that base marks as lost. Its planner
+// had stopped sending to them when the mark was seen. The planners before it
+// had lost the lease before its first record, and send nothing later than
+// MaxViewAge after that.
 func (h *history) lostBounds(base *ownership.Table, opts *Options) map[string]bootclock.Time {
 	out := map[string]bootclock.Time{}
 	if h == nil || base == nil || base.Term != h.newestTerm {
@@ -65,13 +64,13 @@
 	return out
 }
 
-// grantsUntil returns when the last grant of the planners before this one may be
-// sent, to any owner.
+// grantsUntil returns the latest time at which a previous planner may send a
+// grant to any owner.
 func (g *previousGrants) grantsUntil() bootclock.Time {
 	return g.latest(func(p *previousPlanner) bootclock.Time { return p.grantsUntil })
 }
 
-// dialsUntil returns when they may last open a connection for one.
+// dialsUntil returns the latest time at which one may open a connection for a grant.
 func (g *previousGrants) dialsUntil() bootclock.Time {
 	return g.latest(func(p *previousPlanner) bootclock.Time { return p.dialsUntil })
 }
@@ -84,8 +83,8 @@
 	return last
 }
 
-// grantsUntilFor returns when the last grant of an earlier planner may be sent to the
-// owner.
+// grantsUntilFor returns the latest time at which a previous planner may send a
+// grant to the owner.
 func (g *previousGrants) grantsUntilFor(owner string) bootclock.Time {
 	if at, ok := g.lostBounds[owner]; ok {
 		return min(at, g.grantsUntil())
--- a/internal/planner/limiter.go
+++ b/internal/planner/limiter.go
@@ -8,32 +8,28 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// coldShare is the part of what the owners can do that keys may be asked for
-// which are placed anew, without a handover, within the time in which such keys
-// are slow. Work on them takes some five times as long, so that this much keeps
-// half of the owners' time busy.
+// coldKeyLoadFraction is the fraction of the owners' capacity that the load on
+// keys reassigned without a handover may reach within one warm-up time.
+// Requests for such keys take about five times as long, so this fraction
+// occupies half of the owners' time.
 const coldKeyLoadFraction = 0.1
 
-// placementLimiter holds the keys of lost owners back where too many are lost at once.
-//
-// Keys that come without a handover are slow for seconds. A cut takes a third of
-// the owners away: their keys, all placed on the others as soon as their leases
-// had run out, asked those for twice what they could do, and callers of all keys
-// were refused for as long as the cut lasted and some seconds more, also those
-// whose owners had never been lost. Placed as the others can bear it, some keys
-// wait longer, mostly until their owners are back.
+// placementLimiter delays the reassignment of lost owners' keys when many
+// owners are lost at once; see the package comment.
 type placementLimiter struct {
-	// warmUp is how long such keys are slow; 0 if they are not.
+	// warmUp is how long requests for keys are slow after a reassignment without a
+	// handover; 0 if they are not.
 	warmUp time.Duration
-	// loadByKey is what the keys are asked for, capacity what the owners can do.
+	// loadByKey is the load on each key, capacity the total capacity of the owners.
 	loadByKey []float64
 	capacity  float64
-	// placedLoad is what was placed lately, as of at.
+	// placedLoad is the load on recently reassigned keys at updatedAt. It
+	// decays with time constant warmUp.
 	placedLoad float64
 	updatedAt  bootclock.Time
 }
 
-// setLoad takes in what is known of the load.
+// setLoad sets the warm-up time and the current load.
 func (l *placementLimiter) setLoad(warmUp time.Duration, load ownership.Load) {
 	l.warmUp, l.loadByKey, l.capacity = warmUp, load.ByKey, 0
 	for _, c := range load.Capacity {
@@ -41,7 +37,7 @@
 	}
 }
 
-// allow reports whether the keys may be placed now, and counts them if so.
+// allow reports whether the keys of s may be reassigned now, and if so counts their load.
 func (l *placementLimiter) allow(s span, now bootclock.Time) bool {
 	if l.warmUp == 0 || len(l.loadByKey) == 0 {
 		return true
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -11,25 +11,26 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// move is a span on its way to another owner.
+// move is a span that is being moved to another owner.
 type move struct {
 	span
 	old ownership.Range
-	// dest is the upstream that gets the keys.
+	// dest is the ID of the upstream that gets the keys.
 	dest string
-	// releaseInFlight is the one under way, released is set once one was answered.
+	// releaseInFlight is the release that awaits its answer; released is set
+	// once one was answered.
 	releaseInFlight *Release
 	released        bool
 	handover        string
 	nextRelease     bootclock.Time
-	// releaseFailed is set once a release got no answer, silentUntil is until when
-	// an owner that answers again may still be listed again.
+	// releaseFailed is set once a release failed. Until relistUntil an owner
+	// that answers again is given time to be listed again.
 	releaseFailed bool
 	relistUntil   bootclock.Time
 	cause         string
 }
 
-// Causes of moves, as they stand in the log and in table records.
+// Causes of moves, as written to the log and to table records.
 const (
 	causeNoOwner   = "no owner"
 	causeRestarted = "owner restarted"
@@ -41,30 +42,31 @@
 	causeLoad      = "load"
 )
 
-// lacksHandover reports whether the move's keys come without a handover from an
-// owner that was lost or is gone.
+// lacksHandover reports whether the move's keys come without a handover because
+// their owner was lost or is gone.
 func (m *move) lacksHandover() bool {
 	return m.handover == "" && (m.cause == causeLost || m.cause == causeGone)
 }
 
 const (
-	// rebalanceInterval is the pause between looks for load that is out of balance.
+	// rebalanceInterval is the interval between load checks.
 	rebalanceInterval = 250 * time.Millisecond
-	// ownerlessCheckInterval is that pause while keys need an owner. A look costs some
-	// milliseconds; with one in each tick a planner whose upstreams restarted
-	// in turn was too busy to prove its seat and lost it three times.
+	// ownerlessCheckInterval is that interval while keys need an owner. A check takes
+	// some milliseconds: with one per tick, a planner whose upstreams restarted one
+	// after another was too busy to renew its lease and lost it three times.
 	ownerlessCheckInterval = 100 * time.Millisecond
 )
 
-// fewestSamples is how many requests must be known before keys move for
-// load: a planner that has just taken over knows nothing of it yet.
+// minSamples is how many requests a load estimate must rest on before keys are
+// moved for load. A planner that has just taken over has no estimate yet.
 const minSamples = 40
 
-// freshSeat is how lately the seat must have been proved for keys to move for
-// load.
+// maxLeaseAge is how recently the lease must have been renewed for the planner
+// to move keys for load, to open connections for grants and to rely on being
+// the only writer of the ownership stream.
 const maxLeaseAge = 900 * time.Millisecond
 
-// planMoves starts the moves that the present owners and load call for.
+// planMoves starts the moves that the current owners and load require.
 func (t *term) planMoves(now bootclock.Time) {
 	if t.awaitingRegistrations(now) {
 		return
@@ -81,7 +83,7 @@
 	}
 	if t.moveToNewIncarnations(now) {
 		t.syncGrants(now)
-		return // recorded first; load is looked at after that
+		return // recorded first; load is considered afterwards
 	}
 	load, lim := t.loadAndLimits(owners, now)
 	t.limiter.setLoad(t.warmUp, load)
@@ -92,33 +94,31 @@
 	t.syncGrants(now)
 }
 
-// loadAndLimits returns what is known of the load on the owners, and how far keys may
-// be moved for it now.
+// loadAndLimits returns the known load on the owners, and how far keys may be
+// moved for it now.
 func (t *term) loadAndLimits(owners []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
 	load, samples := t.p.Load(t.name, owners)
 	load.SlowToMove = t.ownersWithUnansweredGrants(owners, now)
 	if t.neverAssigned() {
-		// Requests that were refused for want of an owner say little: after
-		// ten of them the ten keys would be dealt out and the rest left in
-		// one piece.
+		// Requests that were refused because no key has an owner say little
+		// about load: after ten of them, those ten keys would be spread out and
+		// all others left in one range.
 		load.ByKey = nil
 	}
 	lim := t.p.Limits
 	moveBudget := max(lim.MaxMoves, min(len(owners)/ownersPerMove, maxLoadMoves))
 	lim.MaxMoves = max(moveBudget-t.loadMoveCount(), 0)
 	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > maxLeaseAge {
-		// Keys taken back while the log cannot be written to would stay
-		// without an owner until it can.
+		// Keys released while the log is not writable would have no owner until it is.
 		lim.MaxMoves = 0
 	}
 	return load, lim
 }
 
-// ownersWithUnansweredGrants returns the owners that have lately left a grant unanswered. It
-// may be carried out yet, so that keys taken from them would have no owner
-// until it has run out: 3 s instead of the time of the work under way. Where
-// upstreams lost six answers of a hundred, nine tenths of all moves for load
-// waited so.
+// ownersWithUnansweredGrants returns the owners that recently left a grant
+// unanswered. It may still take effect, so keys taken from them have no owner
+// until it expires: 3 s instead of the duration of the requests in flight. With
+// 6% of the answers lost, nine tenths of all load moves waited that long.
 func (t *term) ownersWithUnansweredGrants(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range owners {
@@ -130,10 +130,9 @@
 	return out
 }
 
-// loadMoveCount returns how many keys' runs are on the move for load. Those of
-// owners that are lost or leave do not count: their keys are not stopped for
-// the sake of balance, and while 200 of them waited for leases to run out no
-// other owner was relieved.
+// loadMoveCount returns the number of load moves in progress. Moves off owners
+// that are lost or leaving do not count, because balance is not their purpose:
+// while 200 of them waited for grants to expire, no other owner could be relieved.
 func (t *term) loadMoveCount() int {
 	n := 0
 	for _, m := range t.moves {
@@ -144,11 +143,10 @@
 	return n
 }
 
-// moveToNewIncarnations gives the keys of lives that have ended to the next life of
-// their server, where one is listed. It alone may have been given them by a
-// late grant to its predecessor, so that they are free for it at once; another
-// upstream would have to wait until the last of those has run out. It reports
-// whether there are such keys.
+// moveToNewIncarnations moves the keys of ended incarnations to the listed newer
+// incarnation of the same server, and reports whether there are such keys. A late
+// grant for the old incarnation can reach only the new one, which gets the keys at
+// once; any other upstream would have to wait until the last grant has expired.
 func (t *term) moveToNewIncarnations(now bootclock.Time) bool {
 	found := false
 	for _, r := range t.table.Ranges {
@@ -160,8 +158,9 @@
 	return found
 }
 
-// awaitingRegistrations reports whether the service's upstreams are still registering
-// before the first division: those that came first would get all keys.
+// awaitingRegistrations reports whether the service's upstreams are still
+// registering before the first assignment. Without the wait the first ones
+// would get all keys.
 func (t *term) awaitingRegistrations(now bootclock.Time) bool {
 	if !t.neverAssigned() {
 		return false
@@ -179,8 +178,8 @@
 	return !slices.ContainsFunc(t.table.Ranges, func(r ownership.Range) bool { return r.Owner != "" })
 }
 
-// hasOwnerlessKeys reports whether a range that is not on the move is owned by
-// nobody who could keep it.
+// hasOwnerlessKeys reports whether a range that is not being moved has no
+// owner, or one that cannot keep it.
 func (t *term) hasOwnerlessKeys(now bootclock.Time) bool {
 	for _, r := range t.table.Ranges {
 		u := t.upstreams[r.Owner]
@@ -202,8 +201,8 @@
 	return out
 }
 
-// startMove begins a move unless its keys are on the move already. A move
-// whose new owner was lost meanwhile is given another one.
+// startMove starts moving the keys of m that are not being moved yet. Moves in
+// progress within its span get its new owner, because theirs may have been lost.
 func (t *term) startMove(m ownership.Move, now bootclock.Time) {
 	s := span{m.From, m.To}
 	for _, part := range t.subtractMoves(s) {
@@ -217,7 +216,7 @@
 		t.insertMove(mv)
 	}
 	if t.pendingAppend != nil {
-		return // what is being recorded can no longer be changed
+		return // the moves in a pending record must not change
 	}
 	for _, mv := range t.moves {
 		if mv.from >= s.from && mv.to <= s.to {
@@ -226,12 +225,10 @@
 	}
 }
 
-// mayStartMove reports whether a move of the range would not have to wait for the
-// grants of earlier planners though its owner lives. A range that was taken
-// back before its owner had acknowledged this term's token stayed without an
-// owner until those had run out, 9.2 s: on a day with six changes of planner 40
-// to 70 requests a second were refused for that from the first change on. The
-// owner acknowledges it with its first grant, or is taken for lost.
+// mayStartMove reports whether a move of the range need not wait for grants of
+// previous planners, or its owner is lost anyway. A range released before its
+// owner acknowledged this term's token had no owner until those grants expired,
+// 9.2 s later. The owner acknowledges the token with its first grant, or is lost.
 func (t *term) mayStartMove(old ownership.Range, now bootclock.Time) bool {
 	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantTTL() {
 		return true
@@ -243,7 +240,7 @@
 	return srv.incarnation == old.Owner && srv.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
 }
 
-// insertMove keeps the moves in the order of their keys.
+// insertMove inserts m in the order of the keys.
 func (t *term) insertMove(m *move) {
 	i := sort.Search(len(t.moves), func(i int) bool { return t.moves[i].from > m.from })
 	t.moves = slices.Insert(t.moves, i, m)
@@ -279,9 +276,8 @@
 	return causeLoad
 }
 
-// dueReleases returns the releases to send. A release waits for the grants
-// under way to its owner: one that arrived after it would give the keys
-// back.
+// dueReleases returns the releases to send now. A release waits for the grants in
+// flight to its owner, because one that arrived after it would give the keys back.
 func (t *term) dueReleases(now bootclock.Time) []Action {
 	var out []Action
 	for _, m := range t.moves {
@@ -298,14 +294,14 @@
 func (t *term) releaseDone(r *Release, handover string, err error, now bootclock.Time) {
 	m := t.findMove(span{r.Range.From, r.Range.To})
 	if m == nil || m.releaseInFlight != r {
-		// It was sent for a move that was given up: the keys may have been
-		// granted to their owner again since it was carried out.
+		// The release was sent for a move that has been cancelled. The keys may
+		// have been granted to their owner again since it took effect.
 		return
 	}
 	m.releaseInFlight = nil
 	if errors.Is(err, ownership.ErrRejected) {
-		// An upstream refuses no release, so something else answers at its
-		// address: the old owner has ended and its grants with it.
+		// Upstreams never reject a release, so another process answers at the
+		// address: the old owner has ended, and its grants with it.
 		m.released = true
 		return
 	}
@@ -324,11 +320,10 @@
 	}
 }
 
-// cancelMovesOfReturnedOwners gives up the moves of owners that were taken for gone or lost
-// and are back: listed again, with nobody else granted their keys. After a
-// data centre's cut heals its upstreams answer before they are listed, all
-// within a heartbeat; moving a third of the keys off them, cold, left the
-// others overloaded for seconds.
+// cancelMovesOfReturnedOwners cancels the moves off owners that were gone or lost,
+// are listed again, and whose keys no other upstream has been granted. When the
+// partition of a data centre heals, its upstreams answer up to a heartbeat before
+// they are listed; moving a third of all keys off them overloaded the others.
 func (t *term) cancelMovesOfReturnedOwners(now bootclock.Time) {
 	if t.pendingAppend != nil {
 		return
@@ -346,10 +341,9 @@
 	t.syncGrants(now)
 }
 
-// restoreOwner gives an upstream that was taken for lost, but answers again, its
-// keys back instead of moving them: nobody else has been granted them, and
-// it may be that only the answers to its grants were lost. Moves whose
-// release is still under way go on. It reports whether it did.
+// restoreOwner cancels the moves off a lost upstream that answers again, and
+// reports whether it did. No other upstream has been granted its keys, and perhaps
+// only the answers to its grants were lost. Moves with a release in flight go on.
 func (t *term) restoreOwner(id string, now bootclock.Time) bool {
 	srv, u := t.server(id), t.upstreams[id]
 	if !srv.lost || u == nil || t.ineligible(u) || t.pendingAppend != nil {
@@ -362,9 +356,9 @@
 	return true
 }
 
-// startExclusions lets lost upstreams that own nothing any more come back after
-// a pause, which doubles with each loss: one that answers now and then would
-// otherwise be given keys only to lose them again.
+// startExclusions ends the loss of upstreams that own no keys any more and excludes
+// them for a time that doubles with each loss. Otherwise an upstream that answers
+// only now and then would be given keys again and again, only to lose them.
 func (t *term) startExclusions(now bootclock.Time) {
 	owns := map[string]bool{}
 	for _, r := range t.table.Ranges {
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -2,97 +2,99 @@
 
 import "time"
 
-// Options are the planner's timings.
+// Options configures a Planner.
 type Options struct {
-	// Host is this host's name, PeerAddr where its peers reach it.
+	// Host is this host's name, PeerAddr the address at which its peers reach it.
 	Host, PeerAddr string
 	// GrantTTL is how long a grant lasts. It bounds how long the keys of an
-	// upstream that went silent have no owner.
+	// upstream that stops answering have no owner.
 	GrantTTL time.Duration
-	// MaxViewAge is the longest that grants are renewed after the seat was
-	// last proved. Through an outage of the log service keys stay owned
-	// for ViewAge + Hold.
+	// MaxViewAge is how long after its last lease renewal the planner goes on
+	// renewing grants. During an outage of the log service keys stay owned for
+	// MaxViewAge + GrantTTL.
 	MaxViewAge time.Duration
-	// LeaseTTL is how long the seat outlives its holder's last proof.
+	// LeaseTTL is how long the planner lease stays valid after its last renewal.
 	LeaseTTL time.Duration
-	// Candidate hosts seek the seat always. The others, whose links and
-	// processors are weak, do so only where no planner is seen for
-	// patience: every host follows the planner, and one with a link of 10
-	// Mbit/s made half of 91 hosts fall back to the log service.
+	// Candidate hosts always compete for the planner lease. Other hosts, with
+	// slow links or processors, do so only if they have seen no planner for
+	// noPlannerTimeout. Every host follows the planner: one with a 10 Mbit/s
+	// link made half of 91 hosts fall back to reading the log service.
 	Candidate bool
 }
 
 const (
-	// maxClockDrift covers an upstream's clock that runs 2% slow.
+	// maxClockDrift is the fraction by which an upstream's clock may run slow.
 	maxClockDrift = 0.02
-	// maxGrantDelay covers the way of a grant to its upstream.
+	// maxGrantDelay bounds the time from sending a grant to its arrival.
 	maxGrantDelay = 100 * time.Millisecond
-	// renewalsPerTTL is how often a grant is renewed within its time, so that
-	// some may be lost.
+	// renewalsPerTTL is how often a grant is renewed within its TTL; more than
+	// once, because a renewal may be lost.
 	renewalsPerTTL = 3
-	// grantRetryDelay is the pause after a grant that failed.
+	// grantRetryDelay is the delay before a failed grant is retried.
 	grantRetryDelay = 100 * time.Millisecond
-	// lostAfterFraction is the part of a grant's time after which an upstream that
-	// has answered none is taken for lost.
+	// lostAfterFraction is the fraction of the grant TTL without an answer to
+	// any grant after which an upstream is considered lost.
 	lostAfterFraction = 0.5
-	// releaseRetryDelay is the pause before a release that failed is sent again.
+	// releaseRetryDelay is the delay before a failed release is retried.
 	releaseRetryDelay = 800 * time.Millisecond
-	// minExclusion is how long an upstream that was lost gets no keys, if it
-	// is still or again listed; it doubles with each loss up to shunMost.
+	// minExclusion is how long an upstream that was lost gets no keys, even if
+	// it is listed. The time doubles with each loss, up to maxExclusion.
 	minExclusion = time.Second
 	maxExclusion = 16 * time.Second
-	// failureEventInterval is the least time between two log lines of the same kind of
-	// failed order at one upstream.
+	// failureEventInterval is the minimum interval between two events for
+	// failed calls of one kind to one upstream.
 	failureEventInterval = time.Second
-	// relistGrace is how long an owner that answers again after a silence is
-	// given to be listed again: upstreams write about every 0.9 s.
+	// relistGrace is how long an owner that answers again after a silence has
+	// to get listed again. Upstreams write their entries about every 0.9 s.
 	relistGrace = time.Second
-	// appendRetryDelay is the pause before an append without an answer is sent
-	// again.
+	// appendRetryDelay is the delay before the next append after a conflict or
+	// a missing answer.
 	appendRetryDelay = 150 * time.Millisecond
-	// minRegistrationWait is how long after the first upstream was seen the first
-	// division of a service's keys waits for the others to register.
+	// minRegistrationWait is how long after the first upstream was seen the
+	// first assignment of a service's keys waits for others to register.
 	minRegistrationWait = 1200 * time.Millisecond
-	// registrationQuiet is how long no further upstream must have registered for
-	// that, and settleMost the longest wait: hundreds take seconds, and those
-	// that came too late owned nothing until callers had overloaded the
-	// others. In a fleet of 181 the first 81 got all keys.
+	// registrationQuiet is how long no further upstream must have registered before
+	// the first assignment, maxRegistrationWait the longest wait in total. Hundreds
+	// of upstreams take seconds to register, and late ones own nothing until the
+	// others are overloaded: in a fleet of 181, the first 81 got all keys.
 	registrationQuiet   = 700 * time.Millisecond
 	maxRegistrationWait = 4 * time.Second
-	// trigger, settleAt and maxMoves are the usual limits of rebalancing; an
-	// owner's load estimate rests on some fifty requests, which chance makes
-	// a third too high now and then.
+	// highWatermark, lowWatermark and maxMoves are the default limits of
+	// rebalancing. An owner's load estimate rests on about fifty requests, so
+	// chance alone sometimes makes it a third too high.
 	highWatermark, lowWatermark = 1.35, 1.05
 	maxMoves                    = 24
-	// ownersPerMove bounds the moves for load of a large service, to one for
-	// so many owners. Each takes a second or so, most of it work under way,
-	// and a busy region of 200 keys needs 150 new owners while it lasts.
+	// ownersPerMove raises the number of concurrent load moves in a large
+	// service to one for this many owners. A move takes about a second, mostly
+	// to wait for requests in flight, and a hot region of 200 keys needs 150
+	// new owners while it lasts.
 	ownersPerMove = 3
-	// maxLoadMoves bounds them in services of any size, so that a plan's cost
-	// does not grow with the number of owners as well.
+	// maxLoadMoves bounds the concurrent load moves of a service of any size,
+	// and with them the cost of a plan.
 	maxLoadMoves = 150
-	// loadRecordInterval is the least pause between records of moves for load alone.
-	// Each record goes to every host; at 30 a second a table of 700 ranges
-	// would take a weak host's processor. A move waits 0.5 s and more for the
-	// work under way on its keys anyway.
+	// loadRecordInterval is the minimum interval between records that contain only
+	// load moves. Each record goes to every host: with a table of 700 ranges, 30
+	// records a second would saturate the processor of a slow host. A load move
+	// waits 0.5 s or more for the requests in flight on its keys anyway.
 	loadRecordInterval = 150 * time.Millisecond
-	// noPlannerTimeout is how long hosts that are not eager wait for a planner.
+	// noPlannerTimeout is how long a host that is not a candidate must see no
+	// planner before it competes for the lease.
 	noPlannerTimeout = 3 * time.Second
-	// renewFraction and joinOther are the pauses between proofs of the seat,
-	// relative to its time to live, of its holder and of the others.
+	// renewFraction and acquireFraction are the intervals between lease requests
+	// of the lease holder and of other hosts, as fractions of LeaseTTL.
 	renewFraction   = 0.35
 	acquireFraction = 0.7
-	// stepDownAfterTTLs is how many times to live of the seat a weak planner plans
-	// before it gives way; a member that does not hold the seat lapses after
-	// two.
+	// stepDownAfterTTLs is the number of lease TTLs for which a planner that is
+	// not a candidate plans before it steps down. The memberships of hosts that
+	// do not hold the lease lapse after two.
 	stepDownAfterTTLs = 2.5
-	// minAcquireInterval is the least pause between proofs while the planner does
-	// not answer.
+	// minAcquireInterval is the minimum interval between lease requests while
+	// the planner does not answer.
 	minAcquireInterval = 200 * time.Millisecond
 )
 
-// maxGrantTTL is the longest that an upstream may keep keys after a grant was
-// sent to it.
+// maxGrantTTL returns the longest time for which an upstream may keep keys
+// after a grant was sent to it.
 func (o *Options) maxGrantTTL() time.Duration {
 	return time.Duration(float64(o.GrantTTL)*(1+maxClockDrift)) + maxGrantDelay
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -12,45 +12,47 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// Planner is the state machine. All methods are called by one goroutine.
+// Planner is the state machine. Its methods must be called from one goroutine.
 type Planner struct {
 	opts Options
-	// Load returns what callers ask of a service, with the capacity of the
-	// upstreams named, and how many requests it rests on.
+	// Load returns a service's load with the capacities of the given upstreams,
+	// and the number of requests that the estimate rests on.
 	Load func(service string, owners []*catalogue.Upstream) (ownership.Load, float64)
-	// Limits shape rebalancing.
+	// Limits configures rebalancing.
 	Limits ownership.Limits
-	// OnEvent is told of each change of the planner's belief.
+	// OnEvent is called with each event.
 	OnEvent func(Event)
-	// Cold reports whether an upstream is in its slow start and bears only so
-	// many requests meanwhile.
+	// Cold reports whether an upstream is in its slow start and its capacity
+	// therefore limited.
 	Cold func(*catalogue.Upstream) bool
 
 	lease    plannerLease
 	resigned bool
 	services map[string]*term
-	// pastTerms is each service's last term of this process.
+	// pastTerms holds each service's last ended term of this process.
 	pastTerms map[string]*term
 	histories map[string]*history
-	// streamEnd is where the ownership stream ends, as far as is known; endDoubted
-	// is set while an append or an order has shown that it may end further on.
+	// streamEnd is the last known end of the ownership stream.
+	// streamEndUncertain is set when an append or a grant shows that the stream
+	// may extend beyond it.
 	streamEnd          int64
 	streamEndUncertain bool
-	// plannerSeenAt is when another host was last seen to plan.
+	// plannerSeenAt is the start of noPlannerTimeout: when another planner was
+	// last seen, or when one could last have gone unseen.
 	plannerSeenAt bootclock.Time
-	// registrations is when each service's upstreams registered.
+	// registrations holds the registration times by service.
 	registrations map[string]registrations
 }
 
-// registrations is when a service's upstreams were seen to register.
+// registrations records when a service's upstreams registered.
 type registrations struct {
-	// maxListed is the most that were listed at once; first and last are when the
-	// first of them was seen and when the last.
+	// maxListed is the largest number of upstreams listed at once; firstAt and
+	// lastAt are when it first and last rose.
 	maxListed       int
 	firstAt, lastAt bootclock.Time
 }
 
-// Event is a change of belief, for the log.
+// Event is a state change or failure to be logged.
 type Event struct {
 	Kind     EventKind
 	Service  string
@@ -59,11 +61,11 @@
 	Cause    string
 	Age      time.Duration
 	Err      error
-	// Suppressed is how many events of the kind were not told since the last.
+	// Suppressed is the number of events of this kind suppressed since the last one.
 	Suppressed int
 }
 
-// EventKind names an Event.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // Kinds of events.
@@ -82,16 +84,16 @@
 type plannerLease struct {
 	held       bool
 	acquiredAt bootclock.Time
-	// member is set from the first proof sent to the end of the membership.
+	// member is set from the first lease request until this host leaves the election.
 	member          bool
 	renewedAt       bootclock.Time
 	requestInFlight bool
-	// lastAnswerAt is when the last proof was answered, nextJoin when the next
-	// is due.
+	// lastAnswerAt is when the last lease request completed, nextRequestAt when
+	// the next one is due.
 	lastAnswerAt, nextRequestAt bootclock.Time
 }
 
-// New returns a planner that holds no seat.
+// New returns a planner that does not hold the lease.
 func New(opts Options) *Planner {
 	return &Planner{opts: opts, services: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
 		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: maxMoves},
@@ -109,7 +111,7 @@
 	return out
 }
 
-// AdvanceStreamEnd tells the planner how far the ownership stream was read.
+// AdvanceStreamEnd records that the ownership stream extends at least to end.
 func (p *Planner) AdvanceStreamEnd(end int64) {
 	if end > p.streamEnd {
 		p.streamEnd, p.streamEndUncertain = end, false
@@ -121,11 +123,10 @@
 	return p.lease.held && now.Sub(p.lease.renewedAt) <= p.opts.MaxViewAge
 }
 
-// SoleWriter reports whether the ownership stream holds nothing that this host
-// has not written itself: the seat was proved lately, is not being given up,
-// every append was answered and no order refused for a higher token. After a
-// lost answer only reading tells where the stream ends; without it each
-// further append would be refused.
+// SoleWriter reports whether the ownership stream contains only records that
+// this host has read or written: it renewed the lease within maxLeaseAge, has not
+// resigned, every append was answered and no grant was fenced. Otherwise only a
+// read shows where the stream ends; without it every later append would conflict.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
 	return p.HoldsLease(now) && !p.resigned && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= maxLeaseAge
 }
@@ -154,7 +155,7 @@
 	return out
 }
 
-// observeView keeps the histories, whether this host plans or not.
+// observeView updates registrations and histories, whether or not this host is the planner.
 func (p *Planner) observeView(now bootclock.Time, v *view.View) {
 	p.observeRegistrations(now, v)
 	for name, t := range v.Tables {
@@ -167,7 +168,7 @@
 	}
 }
 
-// observeRegistrations notes when each keyed service's upstreams register.
+// observeRegistrations records when each keyed service's upstreams register.
 func (p *Planner) observeRegistrations(now bootclock.Time, v *view.View) {
 	if v.Desired == nil {
 		return
@@ -186,13 +187,13 @@
 	}
 }
 
-// dueAcquireLease returns the next proof of the seat if it is due.
+// dueAcquireLease returns the next lease request if it is due, or nil.
 func (p *Planner) dueAcquireLease(now bootclock.Time, v *view.View) Action {
 	if p.resigned || p.lease.requestInFlight || now.Before(p.lease.nextRequestAt) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
 		return nil
 	}
 	if p.plannerSeenAt == 0 || !p.plannerExpected(now, v) {
-		p.plannerSeenAt = now // a planner may be about to show itself
+		p.plannerSeenAt = now // a planner may not have published a table yet
 	}
 	if !p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout {
 		return nil
@@ -205,10 +206,10 @@
 	return &AcquireLease{TTL: ttl, SentAt: now}
 }
 
-// shouldReleaseLease reports whether this host is a member of the group and has no
-// more use for the seat: it resigned, or is weak and sees another host plan.
-// A member that merely stops its proofs may be dealt the seat until it lapses,
-// and nobody plans meanwhile: 2.6 s were seen.
+// shouldReleaseLease reports whether this host should leave the election: it
+// has resigned, or it is not a candidate and another host plans. A member that
+// merely stops its requests can still be assigned the lease until its
+// membership lapses; that left the fleet without a planner for 2.6 s.
 func (p *Planner) shouldReleaseLease(now bootclock.Time) bool {
 	if !p.lease.member || p.lease.requestInFlight {
 		return false
@@ -216,9 +217,10 @@
 	return p.resigned || (!p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout)
 }
 
-// plannerExpected reports whether a planner would have shown itself by now, if there
-// were one. Where 85 weak hosts sought the seat because there was no table
-// yet, one of them got it at the start of every fleet.
+// plannerExpected reports whether a planner, if there is one, would have
+// published a table by now. Without this check 85 hosts that were not
+// candidates requested the lease before the first table existed, and at the
+// start of every fleet one of them got it.
 func (p *Planner) plannerExpected(now bootclock.Time, v *view.View) bool {
 	if len(v.Tables) > 0 {
 		return true
@@ -231,18 +233,18 @@
 	return false
 }
 
-// ShouldStepDown reports whether this host plans, though it is not eager, and
-// can give the seat up now. It first plans for giveWayAfter seats' times to
-// live: by then the other weak hosts have seen a planner, their memberships
-// have lapsed, and the seat goes to a strong one.
+// ShouldStepDown reports whether this host is the planner without being a
+// candidate and can give up the lease now. It first plans for stepDownAfterTTLs
+// lease TTLs: by then the other non-candidates have seen a planner and their
+// memberships have lapsed, so the lease goes to a candidate.
 func (p *Planner) ShouldStepDown(now bootclock.Time) bool {
 	heldLongEnough := now.Sub(p.lease.acquiredAt) > time.Duration(stepDownAfterTTLs*float64(p.opts.LeaseTTL))
 	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.requestInFlight && heldLongEnough
 }
 
-// StepDown ends this host's planning in favour of a stronger one. What it
-// granted outlives the change: grants last Hold, the successor renews them
-// within one pause between its proofs of the seat.
+// StepDown ends this host's term in favour of a candidate. Its grants remain
+// valid for up to GrantTTL, and the next planner renews them within one
+// interval between its lease requests.
 func (p *Planner) StepDown(now bootclock.Time) {
 	p.OnEvent(Event{Kind: LeaseLost, Cause: "a stronger host is there", Age: now.Sub(p.lease.renewedAt)})
 	p.lease.held = false
@@ -250,7 +252,8 @@
 	p.dropTerms()
 }
 
-// AcquireLeaseDone takes a Join's answer: whether this host holds the seat.
+// AcquireLeaseDone handles the result of an AcquireLease. held is whether this
+// host holds the lease.
 func (p *Planner) AcquireLeaseDone(a *AcquireLease, held bool, err error, now bootclock.Time) {
 	p.lease.requestInFlight = false
 	p.lease.lastAnswerAt = now
@@ -277,8 +280,8 @@
 	}
 }
 
-// endTerms forgets the terms once the seat is no longer proved. A later
-// term starts with a record of its own.
+// endTerms ends all terms once the last lease renewal is too old. A later term
+// starts with a record of its own.
 func (p *Planner) endTerms(now bootclock.Time) {
 	for name := range p.services {
 		p.OnEvent(Event{Kind: TermEnded, Service: name, Age: now.Sub(p.lease.renewedAt)})
@@ -286,8 +289,8 @@
 	p.dropTerms()
 }
 
-// dropTerms ends the terms of all services. Those that had started are kept
-// as past ones: what this host itself has sent it need not guess.
+// dropTerms ends the terms of all services. Started ones are kept as past
+// terms, because they know which grants this host has sent.
 func (p *Planner) dropTerms() {
 	for name, t := range p.services {
 		if t.started {
@@ -297,7 +300,7 @@
 	p.services = map[string]*term{}
 }
 
-// tickService returns the calls for one service.
+// tickService returns the calls to make for one service.
 func (p *Planner) tickService(now bootclock.Time, name string, v *view.View) []Action {
 	t := p.services[name]
 	if t == nil {
@@ -324,8 +327,8 @@
 	return out
 }
 
-// AppendDone takes an Append's result. It reports the table if this host
-// may already use it.
+// AppendDone handles the result of an Append. It returns the table if this host
+// may use it already, or nil.
 func (p *Planner) AppendDone(a *Append, end int64, err error, now bootclock.Time) *ownership.Table {
 	t := p.services[a.Table.Service]
 	if t == nil || t.pendingAppend != a {
@@ -343,8 +346,8 @@
 		t.nextAppendAt = now.Add(appendRetryDelay)
 		p.OnEvent(Event{Kind: RecordConflict, Service: t.name, Err: err})
 	default:
-		// The record may be written yet, so the same one is sent again
-		// until the log says which.
+		// The record may still be written, so the same append is retried until
+		// the stream shows whether it was.
 		p.streamEndUncertain = true
 		t.nextAppendAt = now.Add(appendRetryDelay)
 		t.appendRetryDue = true
@@ -352,7 +355,7 @@
 	return nil
 }
 
-// GrantDone takes a Grant's result.
+// GrantDone handles the result of a Grant.
 func (p *Planner) GrantDone(g *Grant, err error, now bootclock.Time) {
 	g.server.recordResult(g, err, now)
 	if t := p.services[g.Service]; t != nil {
@@ -360,7 +363,7 @@
 	}
 }
 
-// ReleaseDone takes a Release's result.
+// ReleaseDone handles the result of a Release. handover is the old owner's handover token.
 func (p *Planner) ReleaseDone(r *Release, handover string, err error, now bootclock.Time) {
 	if t := p.services[r.Service]; t != nil {
 		t.releaseDone(r, handover, err, now)
@@ -376,24 +379,25 @@
 	return out
 }
 
-// PlannerSeen tells that another host plans.
+// PlannerSeen records that another host is the planner.
 func (p *Planner) PlannerSeen(now bootclock.Time) { p.plannerSeenAt = now }
 
-// LogReconnected tells that the log service was lost to this host and is back.
-// That it saw no planner meanwhile says nothing.
+// LogReconnected records that this host reaches the log service again. It may
+// have missed a planner during the outage, so noPlannerTimeout restarts.
 func (p *Planner) LogReconnected(now bootclock.Time) { p.plannerSeenAt = now }
 
-// PlannerLost tells that the planner did not answer or is none any more. The
-// seat may be this host's already, which only its next proof tells it: the
-// group deals seats anew whenever a member joins or leaves.
+// PlannerLost brings the next lease request forward, because the planner did
+// not answer or is no longer the planner. The election reassigns the lease
+// whenever a member joins or leaves; this host may hold it already and learns
+// that only from its next request.
 func (p *Planner) PlannerLost() {
 	if earliest := p.lease.lastAnswerAt.Add(minAcquireInterval); !p.lease.held && earliest.Before(p.lease.nextRequestAt) {
 		p.lease.nextRequestAt = earliest
 	}
 }
 
-// Resign makes the planner seek its seat no more, for a planned stop. It goes
-// on renewing what it granted, for as long as its last proof allows or until
-// its successor's token is seen, so that no lease runs out before the
-// successor has renewed it; but it moves no more keys.
+// Resign stops requesting the lease, for a planned shutdown. The planner goes
+// on renewing its grants until its last lease renewal is too old or it sees a
+// newer planner's token, so that no grant expires before the next planner
+// renews it. It moves no more keys.
 func (p *Planner) Resign() { p.resigned = true }
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -9,8 +9,8 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// safeToReassign reports whether the move's old owner can no longer hold its keys; see
-// the package comment for why.
+// safeToReassign reports whether the move's old owner can no longer hold its
+// keys; the package comment explains the conditions.
 func (t *term) safeToReassign(m *move, now bootclock.Time) bool {
 	if m.old.Owner == "" {
 		return true
@@ -32,8 +32,8 @@
 	return m.released || !srv.grantSent || now.Sub(srv.maybeGrantedAt) > maxTTL
 }
 
-// previousGrantsExpired reports whether no grant of an earlier planner can keep the
-// move's keys at their old owner.
+// previousGrantsExpired reports whether no grant of a previous planner can keep
+// the move's keys at their old owner.
 func (t *term) previousGrantsExpired(m *move, now bootclock.Time) bool {
 	maxTTL := t.p.opts.maxGrantTTL()
 	if now.Sub(t.previousGrants.grantsUntilFor(m.old.Owner)) > maxTTL {
@@ -46,14 +46,15 @@
 	return m.released || now.Sub(t.previousGrants.dialsUntil()) > maxTTL
 }
 
-// mayRelease reports whether a release now would end what earlier planners
-// granted too: none of their grants reaches a later life of the owner's server
-// after it.
+// mayRelease reports whether a release sent now would also end the grants of
+// previous planners. It would not if one of them could still reach a later
+// incarnation of the owner's server.
 func (t *term) mayRelease(m *move, now bootclock.Time) bool {
 	return m.old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
 }
 
-// dueAppend returns the append of the moves that are ready, if any.
+// dueAppend returns the append to make now, or nil: a retry of the pending one,
+// or a new record of the moves that are ready and of changes to the lost owners.
 func (t *term) dueAppend(now bootclock.Time) Action {
 	if t.pendingAppend != nil {
 		if retry := t.dueAppendRetry(now); len(retry) > 0 {
@@ -98,9 +99,9 @@
 	return t.pendingAppend
 }
 
-// lostOwners returns the owners in the table that get no grants: those that
-// are not listed or do not answer. An owner with a grant under way is not
-// marked yet, as its mark says that nothing is sent any more.
+// lostOwners returns the owners in the table that get no grants, because they
+// are not listed or do not answer. An owner with a grant in flight is not
+// marked as lost yet: the mark promises that no more grants are sent to it.
 func (t *term) lostOwners(table *ownership.Table) []string {
 	var out []string
 	for _, r := range table.Ranges {
@@ -114,8 +115,8 @@
 	return slices.Compact(out)
 }
 
-// redirect gives a move whose new owner is no candidate any more another
-// one: the one with the fewest keys.
+// redirect gives a move whose new owner is no longer eligible the eligible
+// owner with the fewest keys instead.
 func (t *term) redirect(m *move, now bootclock.Time) {
 	keyCount := map[string]int{}
 	for _, r := range t.table.Ranges {
@@ -129,7 +130,7 @@
 	}
 }
 
-// dropFinishedMoves forgets the moves that the table in force contains.
+// dropFinishedMoves removes the moves that the table in force contains.
 func (t *term) dropFinishedMoves() {
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return t.table.Find(m.from).FencingToken > m.old.FencingToken })
 }
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -7,32 +7,25 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// retryRetire is the pause before a planner that has not retired is asked
-// again; its grants under way end within 0.3 s.
+// retireRetryDelay is the delay before a previous planner that has not retired
+// is asked again. Its grants in flight complete within 0.3 s.
 const retireRetryDelay = 300 * time.Millisecond
 
-// previousPlanner is a planner of an earlier term.
-//
-// Until it is known to have stopped, the keys of owners that do not answer
-// this planner may still be granted to them: they stayed without an owner for
-// ViewAge and a lease, 9.2 s, after each change of planner. A predecessor that
-// was stopped or restarted, or lives, says so in a few milliseconds. One that
-// is cut off or stands still does not, and is waited for. All that may still
-// send are asked, not only the last: where the seat changed hands five times in
-// ten seconds, the one before the last was waited for each time.
+// previousPlanner is a planner of an earlier term. Until it is known to have
+// stopped, it may still send grants; see the package comment.
 type previousPlanner struct {
 	ownership.PlannerHost
-	// grantsUntil is when its last grant may be sent, dialsUntil when it may last
-	// open a connection for one.
+	// grantsUntil is the latest time at which it may send a grant, dialsUntil
+	// the latest at which it may open a connection for one.
 	grantsUntil, dialsUntil bootclock.Time
 	retired                 bool
 	retireInFlight          bool
 	nextRetireAt            bootclock.Time
 }
 
-// previousPlanners returns the planners that may still send grants as the term
-// starts. Whoever held the seat before has lost it by now, and those before the
-// last one when the last one's term was seen.
+// previousPlanners returns the planners that may still send grants when the
+// term starts. The last of them has lost the lease by now; the others had when
+// the last one's term was seen.
 func (t *term) previousPlanners(now bootclock.Time) []*previousPlanner {
 	var out []*previousPlanner
 	for _, host := range t.table.PreviousPlanners {
@@ -42,8 +35,8 @@
 		}
 		prev := &previousPlanner{PlannerHost: host, grantsUntil: leaseLostBy.Add(t.p.opts.MaxViewAge), dialsUntil: leaseLostBy.Add(maxLeaseAge)}
 		if host.Host == t.p.opts.Host {
-			// It is this process, whose earlier terms are over, or one before
-			// it that has ended.
+			// This process, whose earlier terms have ended, or an earlier
+			// process of this host, which has exited.
 			prev.markStopped(now)
 		}
 		out = append(out, prev)
@@ -51,14 +44,14 @@
 	return out
 }
 
-// markStopped takes in that it sends nothing any more.
+// markStopped records that the planner sends nothing any more.
 func (p *previousPlanner) markStopped(now bootclock.Time) {
 	p.retired = true
 	p.grantsUntil = min(p.grantsUntil, now)
 	p.dialsUntil = min(p.dialsUntil, now)
 }
 
-// dueRetires returns the questions to predecessors that are due.
+// dueRetires returns the Retire calls to make now.
 func (t *term) dueRetires(now bootclock.Time) []Action {
 	var out []Action
 	for _, prev := range t.previousGrants.planners {
@@ -79,8 +72,9 @@
 	return t.table.PreviousPlanners
 }
 
-// RetireDone takes a Retire's result: the host that answered, and whether it
-// has retired. A process that was started after the term was planned has.
+// RetireDone handles the result of a Retire: the name of the host that
+// answered, and whether it has retired. A process that was started after the
+// term began always has.
 func (p *Planner) RetireDone(r *Retire, host string, retired bool, now bootclock.Time) {
 	t := p.services[r.Service]
 	if t == nil || t.number != r.Term {
@@ -98,12 +92,13 @@
 	}
 }
 
-// Retire stops what this host plans of the service in terms before the given
-// one, and reports whether no grant of those is under way any more.
+// Retire ends this host's planning if its term of the service comes before
+// nextTerm. It reports whether no grant of the service's past term is in flight
+// any more.
 func (p *Planner) Retire(service string, nextTerm int64, now bootclock.Time) bool {
 	if t := p.services[service]; t != nil {
 		if t.started && t.number >= nextTerm {
-			return false // the caller is the one that was replaced
+			return false // the caller itself was superseded
 		}
 		p.OnEvent(Event{Kind: TermEnded, Service: service, Table: t.table, Age: now.Sub(p.lease.renewedAt)})
 		p.lease.held = false
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -8,40 +8,41 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// serverState is what is known of the grants sent to one server. Its lives share
-// it: a grant that was sent to one may reach the next.
+// serverState tracks the grants sent to one server. Its incarnations share the
+// state, because a grant sent to one may reach the next.
 type serverState struct {
-	// incarnation is the newest life a grant was meant for or that was listed. What
-	// earlier ones acknowledged does not count for it.
+	// incarnation is the newest one that was listed or sent a grant.
+	// Acknowledgements by earlier ones do not count for it.
 	incarnation    string
 	grantsInFlight int
-	// maybeGrantedAt is when the last grant was sent that may have reached it.
+	// maybeGrantedAt is when the last grant that may have reached the server completed.
 	maybeGrantedAt bootclock.Time
 	grantSent      bool
-	// unansweredAt is when the last grant was sent that got no answer; it
-	// may be carried out late, even after a release.
+	// unansweredAt is when the last grant without an answer was given up. It
+	// may take effect late, even after a release.
 	unansweredAt  bootclock.Time
 	hasUnanswered bool
-	// answeredAt is when it last answered, or was first sent a grant.
+	// answeredAt is when the server last answered, or was first sent a grant.
 	answeredAt bootclock.Time
-	// ackedSpans are the spans on which it has seen this term's token.
+	// ackedSpans are the spans for which the server has acknowledged this term's token.
 	ackedSpans []span
-	// throttles is what was last told of orders that failed.
+	// throttles limits the events for failed calls.
 	throttles     map[EventKind]eventThrottle
 	losses        int
 	excludedUntil bootclock.Time
 	lost          bool
 }
 
-// eventThrottle is when a kind of failure was last told, and how many were not since.
+// eventThrottle records when an event of one kind was last emitted, and how
+// many were suppressed since.
 type eventThrottle struct {
 	emittedAt  bootclock.Time
 	suppressed int
 }
 
-// recordResult takes in a grant's result. It must be called for each that was sent, on the
-// holder for which it was, also after the term has ended: a later term may go on with
-// the account.
+// recordResult records a grant's result. It must be called once for each grant
+// sent, on the state that counted the grant, even after the term has ended: a
+// later term may continue to use the state.
 func (srv *serverState) recordResult(g *Grant, err error, now bootclock.Time) {
 	srv.grantsInFlight--
 	if !errors.Is(err, ownership.ErrNotSent) {
@@ -63,14 +64,14 @@
 	}
 }
 
-// forPastIncarnation reports whether the life that the grant was for has ended: what it
-// answers, or does not, says nothing of the next one.
+// forPastIncarnation reports whether the grant was meant for an incarnation
+// that has ended. Its result says nothing about the current one.
 func (srv *serverState) forPastIncarnation(g *Grant) bool {
 	return catalogue.IsLaterIncarnation(srv.incarnation, g.Range.Owner)
 }
 
-// startIncarnation turns to a newer life. It has forgotten the tokens that the older
-// one acknowledged, and none of the older one's failures are its own.
+// startIncarnation switches to a newer incarnation. It has forgotten the tokens that
+// the old one acknowledged, and the old one's failures do not count against it.
 func (srv *serverState) startIncarnation(incarnation string, now bootclock.Time) {
 	srv.incarnation = incarnation
 	srv.ackedSpans = nil
@@ -78,12 +79,11 @@
 	srv.answeredAt = now
 }
 
-// maxConfirmed bounds the spans remembered per upstream; more than an
-// upstream has ranges is never needed.
+// maxAckedSpans bounds the spans kept per server; as many as it owns ranges are enough.
 const maxAckedSpans = 256
 
-// acknowledgedTerm reports whether the upstream has acknowledged this term's
-// token on every key of s, so that it refuses its predecessor's grants.
+// acknowledgedTerm reports whether the server has acknowledged this term's
+// token for every key of s, so that it rejects the grants of previous planners.
 func (srv *serverState) acknowledgedTerm(s span) bool {
 	from := s.from
 	for advanced := true; advanced && from <= s.to; {
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -11,60 +11,62 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// span is a run of keys, both ends inclusive.
+// span is a contiguous run of keys, both ends inclusive.
 type span struct{ from, to int }
 
-// term is one service's state while this host is the planner.
+// term is the state of one service while this host is the planner.
 type term struct {
 	p    *Planner
 	name string
-	// table is the one in force; nil before any is known.
+	// table is the table in force, or nil if none is known.
 	table *ownership.Table
-	// started is set once this host's first record is in force; number is
-	// that term's and startFence the token it put on every range.
+	// started is set once this host's first record is in force. number is the
+	// number of the term and firstFencingToken the token that its first record
+	// put on every range.
 	started           bool
 	number            int64
 	firstFencingToken int64
-	// base is the table that the term's first record was made from, foreign
-	// bounds what earlier planners may still send.
+	// base is the table that the term's first record was made from.
+	// previousGrants bounds what previous planners may still send.
 	base           *ownership.Table
 	previousGrants previousGrants
 	// baseTermSeenAt is when the term of base was first seen.
 	baseTermSeenAt bootclock.Time
-	// otherPlannerSeenAt is when a table of another planner's was last adopted.
+	// otherPlannerSeenAt is when a table of another planner was last adopted.
 	otherPlannerSeenAt bootclock.Time
 
 	pendingAppend  *Append
 	appendRetryDue bool
 	nextAppendAt   bootclock.Time
-	// lastRecordAt is when the last record was begun.
+	// lastRecordAt is when the last append other than the term's first was started.
 	lastRecordAt bootclock.Time
 
-	// supersededAt is when an upstream showed that it has seen a later
-	// planner's token. Until the seat is proved anew this host sends no
-	// orders: each would only be refused.
+	// superseded is set while an upstream is known to have seen a newer planner's
+	// token, supersededAt is when it last showed that. Until the lease is renewed
+	// this host makes no calls for the service: all would be rejected.
 	superseded   bool
 	supersededAt bootclock.Time
 
-	// upstreams are the lives that are listed, byServer the same by their servers.
+	// upstreams holds the listed upstreams by ID, upstreamByServer by server ID.
 	upstreams        map[string]*catalogue.Upstream
 	upstreamByServer map[string]*catalogue.Upstream
-	// warmUp is how long keys are slow that come without a handover.
+	// warmUp is how long requests for keys are slow after a move without a handover.
 	warmUp time.Duration
-	// excludeCold is set while those in their slow start get no keys.
+	// excludeCold is set while upstreams in their slow start get no keys.
 	excludeCold bool
-	// servers are by server.
+	// servers is keyed by server ID.
 	servers      map[string]*serverState
 	activeGrants map[span]*activeGrant
-	// limiter holds the keys of lost owners back.
+	// limiter delays the reassignment of lost owners' keys.
 	limiter placementLimiter
-	// moves are under way, in the order of their keys.
+	// moves are the moves in progress, in the order of their keys.
 	moves []*move
-	// nextRebalance is when load is looked at next, nextUrgent keys without owners.
+	// nextRebalance is when load is checked next, nextOwnerlessCheck when keys
+	// without an owner are.
 	nextRebalance, nextOwnerlessCheck bootclock.Time
 }
 
-// activeGrant is one grant that is kept up.
+// activeGrant is a grant that is renewed for as long as it is wanted.
 type activeGrant struct {
 	rng        ownership.Range
 	nextSendAt bootclock.Time
@@ -76,7 +78,7 @@
 		servers: map[string]*serverState{}, activeGrants: map[span]*activeGrant{}}
 }
 
-// server returns the account of the life's server.
+// server returns the state of the incarnation's server.
 func (t *term) server(incarnation string) *serverState {
 	id := catalogue.ServerID(incarnation)
 	srv := t.servers[id]
@@ -87,8 +89,8 @@
 	return srv
 }
 
-// newerIncarnation returns the newer life of the owner's server, if one is listed:
-// the owner has ended then.
+// newerIncarnation returns the listed newer incarnation of the owner's server,
+// or nil. If there is one, the owner has ended.
 func (t *term) newerIncarnation(owner string) *catalogue.Upstream {
 	u := t.upstreamByServer[catalogue.ServerID(owner)]
 	if u != nil && catalogue.IsLaterIncarnation(u.ID, owner) {
@@ -97,14 +99,14 @@
 	return nil
 }
 
-// adoptTable takes the table that the log has now.
+// adoptTable puts the latest table from the log into force if it is newer.
 func (t *term) adoptTable(latest *ownership.Table, now bootclock.Time) {
 	if latest == nil || (t.table != nil && latest.MaxFencingToken <= t.table.MaxFencingToken) {
 		return
 	}
 	if t.started && latest.Term != t.number {
-		// Another planner has written: this host's term is over, though it
-		// may hold the seat again.
+		// Another planner has written: this host's term has ended, even if the
+		// host holds the lease again.
 		t.p.OnEvent(Event{Kind: TermEnded, Service: t.name, Table: latest})
 		past := *t
 		t.p.pastTerms[t.name] = &past
@@ -130,15 +132,15 @@
 	t.firstFencingToken = t.table.MaxFencingToken
 	t.previousGrants.planners = t.previousPlanners(now)
 	if past := t.p.pastTerms[t.name]; past != nil && t.base != nil && past.number == t.base.Term {
-		// No other planner was in between: those before are bounded as they
-		// were, and this host's own grants are on the holders' accounts.
+		// This host was also the last planner: the bounds of its past term still
+		// hold, and the servers' states count the grants that it sent itself.
 		t.previousGrants = past.previousGrants
 		t.servers = past.servers
 	}
 	t.p.OnEvent(Event{Kind: TermStarted, Service: t.name, Table: t.table})
 }
 
-// takeOver returns the record that starts this host's term.
+// takeOver returns the append that starts this host's term, if it is due.
 func (t *term) takeOver(now bootclock.Time) []Action {
 	if t.pendingAppend != nil {
 		return t.dueAppendRetry(now)
@@ -147,16 +149,16 @@
 		return nil
 	}
 	if t.p.lease.renewedAt.Before(t.otherPlannerSeenAt) {
-		// Another host has planned since the seat was proved. A host that
-		// comes back from a cut may hold such a proof; a term started on it
-		// would supersede the planner's, and be superseded in turn.
+		// Another host has planned since the last lease renewal. A host that
+		// was partitioned may still hold such a renewal; a term started on it
+		// would supersede the current planner's and be superseded in turn.
 		t.p.lease.nextRequestAt = min(t.p.lease.nextRequestAt, now)
 		return nil
 	}
 	base := t.table
 	if base == nil {
-		// The first record divides nothing yet. It shows the other hosts whom
-		// to follow, before each of them has read the log for itself.
+		// The first record assigns no keys yet. It tells the other hosts which
+		// planner to follow before each of them has read the log for itself.
 		base = ownership.NewTable(t.name)
 	}
 	next := base.TakeOver(t.p.opts.Host, t.p.opts.PeerAddr)
@@ -171,7 +173,7 @@
 	return []Action{t.pendingAppend}
 }
 
-// dueAppendRetry repeats an append whose outcome is not known.
+// dueAppendRetry returns the pending append if its outcome is unknown and a retry is due.
 func (t *term) dueAppendRetry(now bootclock.Time) []Action {
 	if !t.appendRetryDue || now.Before(t.nextAppendAt) {
 		return nil
@@ -180,7 +182,7 @@
 	return []Action{t.pendingAppend}
 }
 
-// updateUpstreams takes in the upstreams that are listed.
+// updateUpstreams reads the listed upstreams from the view.
 func (t *term) updateUpstreams(v *view.View, now bootclock.Time) {
 	clear(t.upstreams)
 	clear(t.upstreamByServer)
@@ -195,11 +197,10 @@
 	t.warmUp = v.Desired.Services[t.name].WarmUp
 }
 
-// enoughWarm reports whether at least half of the upstreams that may own keys
-// are through with their slow start. A cold one is asked for what its keys are
-// asked for, which hosts that do not hear of each other cannot divide among
-// them as they do requests that any upstream serves: they could only refuse
-// most. So keys wait with others until it is warm.
+// enoughWarm reports whether at least half of the upstreams that are not
+// draining have finished their slow start; cold ones then get no keys. A cold
+// owner would receive every request for its keys, and hosts, which do not
+// coordinate its limited capacity, would have to refuse most of them.
 func (t *term) enoughWarm() bool {
 	warm, cold := 0, 0
 	for _, u := range t.upstreams {
@@ -214,8 +215,7 @@
 	return warm >= cold
 }
 
-// ineligible reports whether an upstream that is listed may own no keys now, however
-// well it answers.
+// ineligible reports whether a listed upstream may own no keys now, even if it answers.
 func (t *term) ineligible(u *catalogue.Upstream) bool {
 	return u.Draining() || (t.excludeCold && t.p.Cold(u))
 }
@@ -236,8 +236,8 @@
 	return srv.lost || now.Before(srv.excludedUntil)
 }
 
-// syncGrants makes the leases cover the owned ranges of the table less the
-// spans that are being moved.
+// syncGrants makes the active grants cover the owned ranges of the table,
+// except the spans that are being moved.
 func (t *term) syncGrants(now bootclock.Time) {
 	if !t.started {
 		return
@@ -265,7 +265,7 @@
 	}
 }
 
-// subtractMoves cuts the spans that are being moved out of s.
+// subtractMoves returns the parts of s that are not being moved.
 func (t *term) subtractMoves(s span) []span {
 	var out []span
 	from := s.from
@@ -285,7 +285,7 @@
 	return out
 }
 
-// dueGrants returns the grants and renewals that are due.
+// dueGrants returns the grants and renewals to send now.
 func (t *term) dueGrants(now bootclock.Time) []Action {
 	var out []Action
 	for _, s := range sortedKeys(t.activeGrants) {
@@ -307,8 +307,8 @@
 	return out
 }
 
-// grantDone takes in the result of a grant, which may be one of an earlier term; its
-// holder's account has it already.
+// grantDone handles the result of a grant, possibly of an earlier term. Its
+// server's state already includes the result.
 func (t *term) grantDone(g *Grant, err error, now bootclock.Time) {
 	srv := g.server
 	s := span{g.Range.From, g.Range.To}
@@ -334,9 +334,9 @@
 	}
 }
 
-// emitFailure tells of an order that failed, once in noteEvery for each
-// upstream and kind: an owner of a hundred ranges fails a hundred orders at
-// once, and again with each retry.
+// emitFailure emits an event for a failed call, at most once per
+// failureEventInterval for each upstream and kind: an owner of a hundred ranges
+// fails a hundred calls at once, and again with each retry.
 func (t *term) emitFailure(k EventKind, upstream string, err error, now bootclock.Time) {
 	srv := t.server(upstream)
 	throttle := srv.throttles[k]
@@ -352,12 +352,12 @@
 	srv.throttles[k] = eventThrottle{emittedAt: now}
 }
 
-// markSuperseded takes note that an upstream has seen a higher token than that of a
-// grant in force: another planner is at work, whose record has not reached
-// this host. It must read the ownership stream again to learn of it.
+// markSuperseded handles a grant that an upstream rejected because it has seen
+// a higher token. If the grant is in force, there is a newer planner whose
+// record has not reached this host, so the ownership stream must be read again.
 func (t *term) markSuperseded(r ownership.Range, now bootclock.Time, err error) {
 	if t.table.Find(r.From).FencingToken != r.FencingToken {
-		return // a grant from before a move of this host's own
+		return // the grant predates one of this host's own moves
 	}
 	if !t.superseded {
 		t.emitFailure(GrantRejected, r.Owner, err, now)
@@ -366,8 +366,8 @@
 	t.p.streamEndUncertain = true
 }
 
-// isSuperseded reports whether the term is superseded and the seat has not
-// been proved since.
+// isSuperseded reports whether the term is superseded and the lease has not
+// been renewed since.
 func (t *term) isSuperseded() bool {
 	if t.superseded && t.supersededAt.Before(t.p.lease.renewedAt) {
 		t.superseded = false
