--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -13,31 +13,31 @@
 
 // harness drives one planner by hand.
 type harness struct {
-	t     *testing.T
-	p     *Planner
-	now   bootclock.Time
-	ups   map[string]*catalogue.Upstream
-	table *ownership.Table
-	v     *view.Publisher
-	end   int64
+	t         *testing.T
+	p         *Planner
+	now       bootclock.Time
+	upstreams map[string]*catalogue.Upstream
+	table     *ownership.Table
+	view      *view.Publisher
+	streamEnd int64
 	// warmUp is how long keys are slow without a handover.
 	warmUp time.Duration
 }
 
 func newHarness(t *testing.T, ids ...string) *harness {
-	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), ups: map[string]*catalogue.Upstream{}, v: view.NewPublisher()}
+	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), upstreams: map[string]*catalogue.Upstream{}, view: view.NewPublisher()}
 	h.p.opts.Host = "me"
 	for _, id := range ids {
-		h.ups[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
+		h.upstreams[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
 	}
-	h.publish()
+	h.publishView()
 	return h
 }
 
-func (h *harness) publish() {
-	h.v.Publish(func(v *view.View) {
+func (h *harness) publishView() {
+	h.view.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true, WarmUp: h.warmUp}}, desired.Limits{})
-		v.Upstreams = catalogue.NewSnapshot(h.ups)
+		v.Upstreams = catalogue.NewSnapshot(h.upstreams)
 		if h.table != nil {
 			v.Tables = map[string]*ownership.Table{simService: h.table}
 		}
@@ -48,7 +48,7 @@
 func (h *harness) simulate(d time.Duration, answer func(Action) error) []Action {
 	var all []Action
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
-		for _, a := range h.p.Tick(h.now, h.v.Load()) {
+		for _, a := range h.p.Tick(h.now, h.view.Load()) {
 			all = append(all, a)
 			h.complete(a, answer(a))
 		}
@@ -62,11 +62,11 @@
 		h.p.AcquireLeaseDone(a, true, err, h.now)
 	case *Append:
 		if err == nil {
-			h.end++
+			h.streamEnd++
 			h.table = a.Table
 		}
-		h.p.AppendDone(a, h.end, err, h.now)
-		h.publish()
+		h.p.AppendDone(a, h.streamEnd, err, h.now)
+		h.publishView()
 	case *Grant:
 		h.p.GrantDone(a, err, h.now)
 	case *Release:
--- a/internal/planner/seat_test.go
+++ b/internal/planner/lease_test.go
@@ -14,14 +14,14 @@
 // The planner's host is stopped as planned. Until its successor has renewed
 // them, its grants are kept up, but no keys are taken back that it could not
 // give to anybody.
-func TestResignedPlannerKeepsGrantsUp(t *testing.T) {
+func TestResignedPlannerRenewsGrants(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	h.p.Resign()
-	gone := *h.ups["a"]
+	gone := *h.upstreams["a"]
 	gone.Leaving = true
-	h.ups["a"] = &gone
-	h.publish()
+	h.upstreams["a"] = &gone
+	h.publishView()
 	grants := 0
 	for _, a := range h.simulate(2*testOptions.GrantTTL/renewalsPerTTL, succeedAll) {
 		switch a.(type) {
@@ -39,16 +39,16 @@
 // An append is carried out and its answer lost; sent again it is refused, as
 // the stream has moved on. The planner must read the stream then, or every
 // later change of ownership would be refused too.
-func TestPlannerReadsTheStreamAfterALostAnswer(t *testing.T) {
+func TestPlannerReadsStreamAfterLostAppendAnswer(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	if !h.p.SoleWriter(h.now) {
 		t.Fatal("a calm planner reads what only it writes")
 	}
-	gone := *h.ups["a"]
+	gone := *h.upstreams["a"]
 	gone.Leaving = true
-	h.ups["a"] = &gone
-	h.publish()
+	h.upstreams["a"] = &gone
+	h.publishView()
 	h.simulate(500*time.Millisecond, func(a Action) error {
 		if _, ok := a.(*Append); ok {
 			return metastore.ErrNoAnswer
@@ -58,7 +58,7 @@
 	if h.p.SoleWriter(h.now) {
 		t.Error("after a lost answer the stream is not read")
 	}
-	h.p.AdvanceStreamEnd(h.end + 1)
+	h.p.AdvanceStreamEnd(h.streamEnd + 1)
 	if !h.p.SoleWriter(h.now) {
 		t.Error("the stream is still read once its end is known")
 	}
@@ -68,13 +68,13 @@
 // between. Their results came while the service had no term and were dropped: the
 // owners counted as having a grant under way for ever, and their keys could never be
 // taken back, nor moved once they had ended.
-func TestGrantsThatEndBetweenTermsAreAccountedFor(t *testing.T) {
+func TestGrantResultsBetweenTermsAreCounted(t *testing.T) {
 	for _, result := range []error{nil, ownership.ErrNotSent, ownership.ErrNoAnswer} {
 		h := newHarness(t, "a", "b")
 		h.simulate(3*time.Second, succeedAll)
 		var underWay []*Grant
 		for len(underWay) == 0 {
-			for _, a := range h.p.Tick(h.now, h.v.Load()) {
+			for _, a := range h.p.Tick(h.now, h.view.Load()) {
 				if g, ok := a.(*Grant); ok && g.Addr == "a" {
 					underWay = append(underWay, g)
 					continue
@@ -97,7 +97,7 @@
 
 // A host with a weak link leaves the seat to others while one of them plans,
 // and takes it once none is seen any more.
-func TestWeakHostPlansOnlyIfNobodyElseDoes(t *testing.T) {
+func TestNonCandidatePlansOnlyWithoutOtherPlanner(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.p.opts.Candidate = false
 	for range 50 {
@@ -115,14 +115,14 @@
 // A fleet starts: the strong hosts' first table takes its time while the
 // upstreams register. A weak host that sought the seat meanwhile would get it
 // and plan for everybody.
-func TestWeakHostWaitsWhileTheFleetStarts(t *testing.T) {
+func TestNonCandidateWaitsDuringFleetStart(t *testing.T) {
 	h := newHarness(t)
 	h.p.opts.Candidate = false
 	if got := h.simulate(2*noPlannerTimeout, succeedAll); len(got) > 0 {
 		t.Fatalf("sends %T though no upstream is there to plan for", got[0])
 	}
-	h.ups["a"] = &catalogue.Upstream{ID: "a", Service: simService, Addr: "a", Slots: 3}
-	h.publish()
+	h.upstreams["a"] = &catalogue.Upstream{ID: "a", Service: simService, Addr: "a", Slots: 3}
+	h.publishView()
 	if got := h.simulate(noPlannerTimeout+minRegistrationWait-simStep, succeedAll); len(got) > 0 {
 		t.Fatalf("sends %T before a planner could have shown itself", got[0])
 	}
@@ -136,7 +136,7 @@
 // only after the other weak hosts have followed it for long enough to seek the
 // seat no more. Giving it up at once handed it to the next of them, and on,
 // with a term every half a second. If nobody takes it, it plans again.
-func TestWeakPlannerGivesWay(t *testing.T) {
+func TestNonCandidatePlannerStepsDown(t *testing.T) {
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
 	for !h.p.HoldsLease(h.now) {
@@ -173,12 +173,12 @@
 // A weak host sought the seat and did not get it; then it sees the planner. It
 // leaves the group: a member that stops its proofs may be dealt the seat until
 // its membership lapses, and nobody plans meanwhile.
-func TestWeakHostLeavesTheGroupOnceItSeesThePlanner(t *testing.T) {
+func TestNonCandidateLeavesElectionOncePlannerIsSeen(t *testing.T) {
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
 	sought := false
 	for !sought {
-		for _, a := range h.p.Tick(h.now, h.v.Load()) {
+		for _, a := range h.p.Tick(h.now, h.view.Load()) {
 			if j, ok := a.(*AcquireLease); ok {
 				sought = true
 				h.p.AcquireLeaseDone(j, false, nil, h.now)
@@ -199,7 +199,7 @@
 // A weak host was cut off for ten seconds and saw no planner. When the cut
 // ends there is one all along: the host looks for it before it seeks the
 // seat, which would take it from the planner.
-func TestWeakHostLooksForThePlannerAfterACut(t *testing.T) {
+func TestNonCandidateWaitsForPlannerAfterPartition(t *testing.T) {
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
 	h.p.PlannerSeen(h.now)
@@ -215,7 +215,7 @@
 // The planner's host ends and the group gives its seat to this one, which
 // learns of it with its next proof only. The planner's silence makes that
 // proof come soon; without it keys would be planned for by nobody the longer.
-func TestLostPlannerIsReplacedSoon(t *testing.T) {
+func TestPlannerLostBringsLeaseRequestForward(t *testing.T) {
 	h := newHarness(t, "a")
 	h.simulate(simStep, func(Action) error { return metastore.ErrRejected })
 	if got := h.simulate(minAcquireInterval+simStep, succeedAll); len(got) > 0 {
@@ -233,7 +233,7 @@
 // of the seat is still younger than the time for which it may renew grants.
 // If it took over on that proof, the two would supersede each other and the
 // keys of lost upstreams would wait for what either may have sent.
-func TestStaleProofOfTheSeatStartsNoTerm(t *testing.T) {
+func TestStaleLeaseRenewalStartsNoTerm(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(10*time.Second, succeedAll)
 	cut := func(a Action) error {
@@ -244,7 +244,7 @@
 	}
 	h.simulate(5*time.Second, cut)
 	h.table = h.tableOfOtherPlanner()
-	h.publish()
+	h.publishView()
 	for _, a := range h.simulate(500*time.Millisecond, cut) {
 		if ap, ok := a.(*Append); ok {
 			t.Fatalf("records term %d on a proof of the seat from before the other planner's term", ap.Table.Term)
@@ -260,7 +260,7 @@
 // token. The planner reads the stream that it otherwise need not read, to
 // learn who plans; and upstreams that refuse are not lost: if they counted as
 // lost, all keys would stand without an owner once it plans again.
-func TestRefusedOrdersMakeThePlannerReadTheStream(t *testing.T) {
+func TestFencedGrantsMakePlannerReadStream(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(10*time.Second, succeedAll)
 	if !h.p.SoleWriter(h.now) {
@@ -289,14 +289,14 @@
 // The seat's holder writes a record before any key is divided: it shows the
 // other hosts whom to follow. The keys are divided once the upstreams had time
 // to register; the first one alone must not get them all.
-func TestFirstRecordComesBeforeTheDivision(t *testing.T) {
+func TestFirstRecordPrecedesFirstAssignment(t *testing.T) {
 	h := newHarness(t, "a")
 	h.simulate(minRegistrationWait/2, succeedAll)
 	if h.table == nil || owns(h.table, "a") {
 		t.Fatalf("after half the time to register the table is %+v", h.table)
 	}
-	h.ups["b"] = &catalogue.Upstream{ID: "b", Service: simService, Addr: "b", Slots: 3}
-	h.publish()
+	h.upstreams["b"] = &catalogue.Upstream{ID: "b", Service: simService, Addr: "b", Slots: 3}
+	h.publishView()
 	h.simulate(minRegistrationWait, succeedAll)
 	if !owns(h.table, "a") || !owns(h.table, "b") || owns(h.table, "") {
 		t.Errorf("the keys are not divided among both: %+v", h.table.Ranges)
@@ -306,18 +306,18 @@
 // A large fleet starts: its upstreams register over two seconds. Callers of
 // keys that lie with the first few would be refused for want of room while the
 // others own nothing, so the division waits until no more come.
-func TestFirstDivisionWaitsForAllUpstreamsOfALargeFleet(t *testing.T) {
+func TestFirstAssignmentWaitsForLargeFleetToRegister(t *testing.T) {
 	h := newHarness(t)
 	h.simulate(registrationQuiet, succeedAll)
 	const arriving = 20
 	for i := range arriving {
 		id := fmt.Sprintf("u%02d", i)
-		h.ups[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
-		h.publish()
+		h.upstreams[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
+		h.publishView()
 		h.simulate(100*time.Millisecond, succeedAll)
 	}
 	h.simulate(minRegistrationWait, succeedAll)
-	for id := range h.ups {
+	for id := range h.upstreams {
 		if !owns(h.table, id) {
 			t.Errorf("%s owns nothing", id)
 		}
@@ -326,12 +326,12 @@
 
 // Upstreams go on registering without an end. Callers must be served all the
 // same: the keys are divided among those that are there after settleMost.
-func TestFirstDivisionDoesNotWaitForever(t *testing.T) {
+func TestFirstAssignmentWaitIsBounded(t *testing.T) {
 	h := newHarness(t)
 	for at := time.Duration(0); at < maxRegistrationWait+registrationQuiet; at += registrationQuiet / 2 {
 		id := fmt.Sprint("u", at)
-		h.ups[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
-		h.publish()
+		h.upstreams[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
+		h.publishView()
 		h.simulate(registrationQuiet/2, succeedAll)
 	}
 	if h.table == nil || owns(h.table, "") {
@@ -342,7 +342,7 @@
 // A planner that was cut off from the log is told by an upstream that a
 // later planner is at work. It must send no further orders: they would all be
 // refused, hundreds a second, until its own view ends.
-func TestSupersededPlannerSendsNoOrders(t *testing.T) {
+func TestSupersededPlannerMakesNoCalls(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	cut := func(a Action) error {
--- a/internal/planner/pace_test.go
+++ b/internal/planner/limiter_test.go
@@ -8,14 +8,14 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// losing plays the loss of the first n of sixty owners, each asked for six tenths
+// reassignedAfterLoss plays the loss of the first n of sixty owners, each asked for six tenths
 // of what it can do, for d, and returns the part of the lost owners' keys that have
 // another owner by then.
-func losing(t *testing.T, n int, d time.Duration) float64 {
+func reassignedAfterLoss(t *testing.T, n int, d time.Duration) float64 {
 	t.Helper()
 	h, ids := newHarnessWithOwners(t, 60)
 	h.warmUp = 5 * time.Second
-	h.publish()
+	h.publishView()
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		byKey := make([]float64, ownership.KeySpaceSize)
 		for k := range byKey {
@@ -65,15 +65,15 @@
 // others were asked for twice what they could do. A part of the keys is placed
 // now, as much as the others can bear, and the rest within half a minute. The keys
 // of a few lost owners are all placed as soon as nobody can hold them.
-func TestKeysOfManyLostOwnersArePlacedAsTheOthersCanBear(t *testing.T) {
+func TestManyLostOwnersKeysAreReassignedWithinCapacity(t *testing.T) {
 	const free = 6 * time.Second
-	if placed := losing(t, 2, free); placed < 1 {
+	if placed := reassignedAfterLoss(t, 2, free); placed < 1 {
 		t.Errorf("%.2f of the keys of two lost owners have another after %v", placed, free)
 	}
-	if placed := losing(t, 20, free); placed < 0.1 || placed > 0.6 {
+	if placed := reassignedAfterLoss(t, 20, free); placed < 0.1 || placed > 0.6 {
 		t.Errorf("%.2f of the keys of twenty lost owners have another after %v", placed, free)
 	}
-	if placed := losing(t, 20, 30*time.Second); placed < 1 {
+	if placed := reassignedAfterLoss(t, 20, 30*time.Second); placed < 1 {
 		t.Errorf("%.2f of them have another after 30 s", placed)
 	}
 }
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -21,9 +21,9 @@
 	return h, ids
 }
 
-// busyKeys makes the planner see equal load on all keys but those from first
+// setBusyKeys makes the planner see equal load on all keys but those from first
 // on, which are asked for ten times as much.
-func (h *harness) busyKeys(first *int) {
+func (h *harness) setBusyKeys(first *int) {
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		byKey := make([]float64, ownership.KeySpaceSize)
 		for k := range byKey {
@@ -43,7 +43,7 @@
 // A cut takes half of sixty owners away: their keys wait three seconds for
 // leases to run out. Callers of keys at an overloaded owner that lives must not
 // wait for that too: its keys move meanwhile.
-func TestLostOwnersDoNotKeepOthersFromBeingRelieved(t *testing.T) {
+func TestLostOwnersDoNotBlockLoadMoves(t *testing.T) {
 	h, ids := newHarnessWithOwners(t, 60)
 	dead := map[string]bool{}
 	for _, id := range ids[:30] {
@@ -70,7 +70,7 @@
 	for h.table.Find(first).Owner != ids[45] {
 		first++
 	}
-	h.busyKeys(&first)
+	h.setBusyKeys(&first)
 	before := h.table
 	h.simulate(500*time.Millisecond, answer)
 	if moved := h.table.KeysMovedSince(before); moved == 0 {
@@ -82,7 +82,7 @@
 // of its grants was lost. Taken from it now, its keys would have no owner until
 // that grant has run out, three seconds; callers are served, if late, while they
 // stay. Once the lost grant counts no more they move.
-func TestKeysStayWhileAGrantOfTheirOwnerIsUnanswered(t *testing.T) {
+func TestNoLoadMoveWhileOwnersGrantIsUnanswered(t *testing.T) {
 	h, ids := newHarnessWithOwners(t, 20)
 	busy := ids[7]
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
@@ -125,15 +125,15 @@
 
 // Load shifts all the time. Each record of the table goes to every host of the
 // fleet: those for load alone come no closer than gatherMoves.
-func TestRecordsOfMovesForLoadAreGathered(t *testing.T) {
+func TestLoadMoveRecordsAreBatched(t *testing.T) {
 	h, _ := newHarnessWithOwners(t, 60)
 	first := 0
-	h.busyKeys(&first)
+	h.setBusyKeys(&first)
 	records := 0
 	const played = 2 * time.Second
 	var releases []Action // answered one a step, as the work under way ends
 	for end := h.now.Add(played); h.now.Before(end); h.now = h.now.Add(simStep) {
-		for _, a := range h.p.Tick(h.now, h.v.Load()) {
+		for _, a := range h.p.Tick(h.now, h.view.Load()) {
 			if r, ok := a.(*Append); ok && r.Cause == causeLoad {
 				records++
 			}
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -14,7 +14,7 @@
 // host's own term before knows when its last grant was sent; the dead
 // upstream's keys must not wait again for what an earlier planner may have
 // sent, ten seconds in which nobody serves them.
-func TestOwnTermBeforeIsNotGuessed(t *testing.T) {
+func TestOwnPastTermGivesExactGrantBounds(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	h.simulate(2*time.Second, upstreamADown)
@@ -28,7 +28,7 @@
 // A planner marks a dead upstream as lost and is killed ten seconds into its
 // term. Its successor saw the mark: nothing was sent to that upstream since,
 // and its keys need not wait for the whole time that a planner may send.
-func TestSuccessorReliesOnTheMarkOfALostOwner(t *testing.T) {
+func TestNextPlannerUsesLostOwnerMark(t *testing.T) {
 	first := newHarness(t, "a", "b")
 	second := New(testOptions)
 	second.opts.Host = "other"
@@ -36,7 +36,7 @@
 	watch := func(d time.Duration, answer func(Action) error) {
 		for end := first.now.Add(d); first.now.Before(end); {
 			first.simulate(simStep, answer)
-			second.observeView(first.now, first.v.Load())
+			second.observeView(first.now, first.view.Load())
 		}
 	}
 	watch(12*time.Second, succeedAll)
@@ -45,7 +45,7 @@
 		t.Fatal("the play is wrong: a should be marked and still own keys")
 	}
 	first.p = second
-	second.AdvanceStreamEnd(first.end)
+	second.AdvanceStreamEnd(first.streamEnd)
 	if took := first.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("moved only %v after the successor took over", took)
 	}
@@ -55,7 +55,7 @@
 // run out, and no longer: the upstream stops answering, its grants stop being
 // renewed, and the record that gives its keys away comes between one lease
 // and a lease and a half later.
-func TestSilentOwnersKeysMoveOnceItsLeaseRanOut(t *testing.T) {
+func TestSilentOwnersKeysMoveOnceGrantsExpire(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	silent := h.now
@@ -127,7 +127,7 @@
 // Later that range is to move for load. The answer to the first play's
 // release must not count for the second one's: the upstream has been granted
 // the range since, and its callers would have two owners.
-func TestAnswerToAnEarlierReleaseDoesNotCount(t *testing.T) {
+func TestAnswerToCancelledReleaseIsIgnored(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	var held []*Release
@@ -135,7 +135,7 @@
 	granted := func(*Grant) {}
 	step := func(d time.Duration) {
 		for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
-			for _, a := range h.p.Tick(h.now, h.v.Load()) {
+			for _, a := range h.p.Tick(h.now, h.view.Load()) {
 				switch a := a.(type) {
 				case *Release:
 					held = append(held, a)
@@ -185,7 +185,7 @@
 
 // The log service refuses this host while keys would move for load. Keys
 // taken back now could not be given to anybody, so none may be.
-func TestNoKeyMovesForLoadWhileTheSeatIsNotProved(t *testing.T) {
+func TestNoLoadMovesWithoutRecentLeaseRenewal(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	cut := func(a Action) error {
@@ -214,13 +214,13 @@
 // The address of an upstream that ended was given to another service's. It
 // refuses the release, which no owner does: the owner has ended, and its keys
 // need not wait for its lease.
-func TestRefusedReleaseProvesThatTheOwnerEnded(t *testing.T) {
+func TestRejectedReleaseProvesOwnerEnded(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
-	gone := *h.ups["a"]
+	gone := *h.upstreams["a"]
 	gone.Leaving = true
-	h.ups["a"] = &gone
-	h.publish()
+	h.upstreams["a"] = &gone
+	h.publishView()
 	began := h.now
 	h.simulate(time.Second, func(a Action) error {
 		if r, ok := a.(*Release); ok && r.Addr == "a" {
@@ -239,16 +239,16 @@
 // that it sends no more grants, so that the dead upstream's keys wait for one
 // lease only; the answer of a host of another name at its address does not
 // count, and they wait for all that a planner may send: 9.2 s.
-func TestDeadOwnersKeysDoNotWaitForAPlannerThatRetired(t *testing.T) {
+func TestDeadOwnersKeysDoNotWaitForRetiredPlanner(t *testing.T) {
 	play := func(answers string) time.Duration {
 		h := newHarness(t, "a", "b")
 		h.simulate(12*time.Second, succeedAll)
 		h.table = h.tableOfOtherPlanner()
-		h.end++
+		h.streamEnd++
 		h.p = New(testOptions)
 		h.p.opts.Host = "me"
-		h.p.AdvanceStreamEnd(h.end)
-		h.publish()
+		h.p.AdvanceStreamEnd(h.streamEnd)
+		h.publishView()
 		return h.simulateUntilMoved(func(a Action) error {
 			if r, ok := a.(*Retire); ok {
 				h.p.RetireDone(r, answers, true, h.now)
@@ -268,14 +268,14 @@
 // has too much of it. The upstream's answers to grants take half a second. Its
 // keys are not taken back before it has acknowledged the new term: they would
 // stay without an owner until every earlier planner's grants had run out.
-func TestNoKeyIsTakenBackBeforeItsOwnerKnowsTheTerm(t *testing.T) {
+func TestNoReleaseBeforeOwnerAcknowledgesTerm(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	h.table = h.tableOfOtherPlanner()
-	h.end++
+	h.streamEnd++
 	h.p = New(testOptions)
 	h.p.opts.Host = "me"
-	h.p.AdvanceStreamEnd(h.end)
+	h.p.AdvanceStreamEnd(h.streamEnd)
 	byKey := make([]float64, ownership.KeySpaceSize)
 	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
@@ -285,7 +285,7 @@
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
-	h.publish()
+	h.publishView()
 	var late []*Grant
 	released := 0
 	for start := h.now; h.now.Sub(start) < 3*time.Second; h.now = h.now.Add(simStep) {
@@ -295,7 +295,7 @@
 			}
 			late = nil
 		}
-		for _, a := range h.p.Tick(h.now, h.v.Load()) {
+		for _, a := range h.p.Tick(h.now, h.view.Load()) {
 			switch a := a.(type) {
 			case *Grant:
 				if a.Addr == "a" {
@@ -319,7 +319,7 @@
 // A data centre is cut off for five seconds: its upstream answers nothing and
 // its entry lapses. When the cut heals it answers first and is listed again
 // half a second later. Its keys stay with it; nobody else was given them.
-func TestOwnerThatComesBackFromACutKeepsItsKeys(t *testing.T) {
+func TestOwnerBackFromPartitionKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	// An order that may have arrived keeps the keys where they are for a
@@ -336,16 +336,16 @@
 		return nil
 	}
 	h.simulate(1800*time.Millisecond, lost)
-	gone := *h.ups["a"]
+	gone := *h.upstreams["a"]
 	gone.Leaving = true
-	h.ups["a"] = &gone
-	h.publish()
+	h.upstreams["a"] = &gone
+	h.publishView()
 	h.simulate(900*time.Millisecond, lost)
 	h.simulate(500*time.Millisecond, succeedAll)
 	back := gone
 	back.Leaving = false
-	h.ups["a"] = &back
-	h.publish()
+	h.upstreams["a"] = &back
+	h.publishView()
 	h.simulate(2*time.Second, succeedAll)
 	if !owns(h.table, "a") {
 		t.Error("the keys have moved")
--- a/internal/planner/plays_test.go
+++ b/internal/planner/safety_test.go
@@ -14,8 +14,8 @@
 
 var testOptions = Options{Candidate: true, GrantTTL: 3 * time.Second, MaxViewAge: 6 * time.Second, LeaseTTL: 1200 * time.Millisecond}
 
-var allFaults = faults{orderLost: 0.05, orderLate: 0.05, mute: 0.05, orderCut: 0.01, appendLost: 0.1, appendLate: 0.1, storeCut: 0.05,
-	leaseChange: 0.1, freeze: 0.03, crash: 0.01, restart: 0.02, leave: 0.02, hostRestart: 0.03}
+var allFaults = faults{answerLost: 0.05, callLate: 0.05, answerOutage: 0.05, upstreamPartition: 0.01, appendAnswerLost: 0.1, appendLate: 0.1, logPartition: 0.05,
+	leaseChange: 0.1, stall: 0.03, crash: 0.01, restart: 0.02, leave: 0.02, hostRestart: 0.03}
 
 // Callers of one key must never reach two upstreams that both believe they
 // own it. Three hosts plan in turn while orders and records get lost or take
@@ -45,8 +45,8 @@
 // upstreams and from the log: one that was replaced still reaches upstreams
 // that its successors take for lost, and goes on sending to them for as long
 // as it may.
-func TestNoKeyHasTwoOwnersWhilePlannersAreCutOff(t *testing.T) {
-	cuts := faults{orderLost: 0.02, appendLost: 0.02, orderCut: 0.25, storeCut: 0.2, leaseChange: 0.5, freeze: 0.02}
+func TestNoKeyHasTwoOwnersWhilePlannersArePartitioned(t *testing.T) {
+	cuts := faults{answerLost: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
 	seeds := uint64(120)
 	if testing.Short() {
 		seeds = 10
@@ -64,7 +64,7 @@
 // Planners that were cut off from the log go on renewing, while upstreams end
 // and start again under their IDs at any moment of a move: a restarted one has
 // forgotten that it refused the cut-off planner's tokens.
-var restartFaults = faults{orderLost: 0.02, orderLate: 0.02, appendLost: 0.02, orderCut: 0.05, storeCut: 0.25, leaseChange: 0.3, freeze: 0.05, restart: 0.15}
+var restartFaults = faults{answerLost: 0.02, callLate: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.05, logPartition: 0.25, leaseChange: 0.3, stall: 0.05, restart: 0.15}
 
 func TestNoKeyHasTwoOwnersWhileUpstreamsRestart(t *testing.T) {
 	seeds := uint64(40)
@@ -87,7 +87,7 @@
 // wakes before its view has run out and renews what it had granted: the
 // restarted upstream must not get the range, which is another's. Where planners
 // open connections for grants at any time, it does.
-func TestRestartedUpstreamGetsNoGrantOfAReplacedPlanner(t *testing.T) {
+func TestRestartedUpstreamGetsNoGrantFromReplacedPlanner(t *testing.T) {
 	play := func(keepsOpen bool) error {
 		s := newSimulation(1, faults{}, testOptions)
 		s.allowDials, s.steadyLoad = keepsOpen, true
@@ -95,15 +95,15 @@
 			return err
 		}
 		first := s.planner()
-		first.frozenUntil, first.logCutUntil = s.now.Add(4500*time.Millisecond), s.now.Add(6500*time.Millisecond)
+		first.stalledUntil, first.logUnreachableUntil = s.now.Add(4500*time.Millisecond), s.now.Add(6500*time.Millisecond)
 		if err := s.run(2500 * time.Millisecond); err != nil {
 			return err
 		}
-		successor := s.planner().p.services[simService]
+		successor := s.planner().planner.services[simService]
 		moved := successor.table.Ranges[0]
-		to := s.ups[0].id
+		to := s.upstreams[0].id
 		if moved.Owner == to {
-			to = s.ups[1].id
+			to = s.upstreams[1].id
 		}
 		for range 19 {
 			if len(successor.moves) == 0 && successor.table.Find(moved.From).Owner != to {
@@ -141,7 +141,7 @@
 
 // Without faults the play must be a real one: keys get owners, grants are
 // kept up, and load moves keys.
-func TestCalmPlayGivesEveryKeyAnOwner(t *testing.T) {
+func TestFaultFreeSimulationAssignsEveryKey(t *testing.T) {
 	s := newSimulation(1, faults{}, testOptions)
 	if err := s.run(20 * time.Second); err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 		t.Fatalf("%d records after 20 s of changing load", len(s.log))
 	}
 	covered := 0
-	for _, u := range s.ups {
+	for _, u := range s.upstreams {
 		for _, h := range u.grants {
 			covered += h.to - h.from + 1
 		}
@@ -166,7 +166,7 @@
 
 // The oracle itself must notice: upstreams that hold keys three times as long
 // as they are told are given successors too soon, and some seed shows it.
-func TestOracleNoticesMovesThatComeTooSoon(t *testing.T) {
+func TestOracleDetectsEarlyMoves(t *testing.T) {
 	for seed := range uint64(40) {
 		s := newSimulation(seed, allFaults, testOptions)
 		s.overstayFactor = 3
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -18,20 +18,20 @@
 // virtual time, with faults drawn from a seed. After every step it checks
 // that no key is held by two upstreams that are up.
 type simulation struct {
-	rng   *rand.Rand
-	now   bootclock.Time
-	start time.Time
-	queue []event
-	hosts []*simHost
-	ups   []*simUpstream
-	log   []*ownership.Table
+	rng       *rand.Rand
+	now       bootclock.Time
+	start     time.Time
+	queue     []simEvent
+	hosts     []*simHost
+	upstreams []*simUpstream
+	log       []*ownership.Table
 	// seat is the group's state.
 	leaseHolder string
 	leaseUntil  bootclock.Time
 
-	opts   Options
-	faults faults
-	byKey  []float64
+	opts      Options
+	faults    faults
+	loadByKey []float64
 	// steadyLoad keeps the load as it is.
 	steadyLoad bool
 	// allowDials makes hosts open connections for grants whenever they like.
@@ -42,28 +42,28 @@
 	granted bool
 }
 
-type event struct {
+type simEvent struct {
 	at bootclock.Time
 	do func()
 }
 
 type simHost struct {
-	name             string
-	p                *Planner
-	v                *view.Publisher
-	read             int // records of the log seen
-	frozenUntil      bootclock.Time
-	logCutUntil      bootclock.Time // from the log
-	unreachableUntil map[string]bootclock.Time
-	// kept are the lives of upstreams to which a connection is open.
-	kept map[string]int
-	life int
+	name                string
+	planner             *Planner
+	view                *view.Publisher
+	recordsRead         int // records of the log seen
+	stalledUntil        bootclock.Time
+	logUnreachableUntil bootclock.Time // from the log
+	unreachableUntil    map[string]bootclock.Time
+	// connectedTo are the lives of upstreams to which a connection is open.
+	connectedTo map[string]int
+	incarnation int
 }
 
 type simGrant struct {
-	from, to int
-	fence    int64
-	until    bootclock.Time
+	from, to     int
+	fencingToken int64
+	expiresAt    bootclock.Time
 }
 
 type simUpstream struct {
@@ -74,60 +74,60 @@
 	// incarnation counts its starts. Each forgets the holds and tokens of the one
 	// before.
 	incarnation int
-	// muteUntil is until when most of its answers are lost.
-	muteUntil  bootclock.Time
-	grants     []simGrant
-	tokensSeen []simGrant // highest token seen, by run of keys
+	// answersLostUntil is until when most of its answers are lost.
+	answersLostUntil bootclock.Time
+	grants           []simGrant
+	tokensSeen       []simGrant // highest token seen, by run of keys
 }
 
 const simService = "svc"
 
 func newSimulation(seed uint64, f faults, opts Options) *simulation {
 	s := &simulation{rng: rand.New(rand.NewPCG(seed, 17)), now: bootclock.Time(time.Hour), start: time.Unix(1000, 0), opts: opts, faults: f,
-		byKey: make([]float64, ownership.KeySpaceSize), overstayFactor: 1}
+		loadByKey: make([]float64, ownership.KeySpaceSize), overstayFactor: 1}
 	for i := range 6 {
 		s.addUpstream(fmt.Sprintf("u%d", i))
 	}
 	for i := range 3 {
-		h := &simHost{name: fmt.Sprintf("h%d", i), unreachableUntil: map[string]bootclock.Time{}, kept: map[string]int{}}
+		h := &simHost{name: fmt.Sprintf("h%d", i), unreachableUntil: map[string]bootclock.Time{}, connectedTo: map[string]int{}}
 		s.hosts = append(s.hosts, h)
-		s.restart(h)
+		s.restartHost(h)
 	}
 	return s
 }
 
 func (s *simulation) addUpstream(id string) {
-	s.ups = append(s.ups, &simUpstream{id: id, up: true, listed: true})
+	s.upstreams = append(s.upstreams, &simUpstream{id: id, up: true, listed: true})
 }
 
-// restart gives the host a planner that knows nothing.
-func (s *simulation) restart(h *simHost) {
-	h.life++
-	h.read = 0
-	h.v = view.NewPublisher()
+// restartHost gives the host a planner that knows nothing.
+func (s *simulation) restartHost(h *simHost) {
+	h.incarnation++
+	h.recordsRead = 0
+	h.view = view.NewPublisher()
 	opts := s.opts
 	opts.Host, opts.PeerAddr = h.name, h.name+":1"
-	h.p = New(opts)
-	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		return ownership.Load{ByKey: s.byKey, Capacity: slotsByID(owners)}, 1000
+	h.planner = New(opts)
+	h.planner.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
+		return ownership.Load{ByKey: s.loadByKey, Capacity: slotsByID(owners)}, 1000
 	}
-	h.v.Publish(func(v *view.View) {
+	h.view.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true}}, desired.Limits{})
 	})
 }
 
 func (s *simulation) after(d time.Duration, do func()) {
 	at := s.now.Add(d)
-	i, _ := slices.BinarySearchFunc(s.queue, at, func(e event, at bootclock.Time) int {
+	i, _ := slices.BinarySearchFunc(s.queue, at, func(e simEvent, at bootclock.Time) int {
 		if e.at <= at {
 			return -1
 		}
 		return 1
 	})
-	s.queue = slices.Insert(s.queue, i, event{at, do})
+	s.queue = slices.Insert(s.queue, i, simEvent{at, do})
 }
 
-func (s *simulation) chance(perSecond float64, step time.Duration) bool {
+func (s *simulation) faultOccurs(perSecond float64, step time.Duration) bool {
 	return s.rng.Float64() < perSecond*step.Seconds()
 }
 
@@ -161,21 +161,21 @@
 }
 
 func (s *simulation) tickHost(h *simHost) {
-	if s.now.Before(h.frozenUntil) {
+	if s.now.Before(h.stalledUntil) {
 		return
 	}
-	if !s.now.Before(h.logCutUntil) {
-		s.follow(h)
+	if !s.now.Before(h.logUnreachableUntil) {
+		s.updateView(h)
 	}
-	for _, a := range h.p.Tick(s.now, h.v.Load()) {
-		s.carryOut(h, a)
+	for _, a := range h.planner.Tick(s.now, h.view.Load()) {
+		s.execute(h, a)
 	}
 }
 
-// follow brings the host's view up to date.
-func (s *simulation) follow(h *simHost) {
+// updateView brings the host's view up to date.
+func (s *simulation) updateView(h *simHost) {
 	all := map[string]*catalogue.Upstream{}
-	for _, u := range s.ups {
+	for _, u := range s.upstreams {
 		if u.listed {
 			id := catalogue.IncarnationID(u.id, int64(u.incarnation))
 			all[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: u.id, Slots: 3, Leaving: u.leaving}
@@ -185,22 +185,22 @@
 	if len(s.log) > 0 {
 		tables[simService] = s.log[len(s.log)-1]
 	}
-	h.p.AdvanceStreamEnd(int64(len(s.log)))
-	h.v.Publish(func(v *view.View) {
+	h.planner.AdvanceStreamEnd(int64(len(s.log)))
+	h.view.Publish(func(v *view.View) {
 		v.Upstreams = catalogue.NewSnapshot(all)
 		v.Tables = tables
 	})
 }
 
-func (s *simulation) carryOut(h *simHost, a Action) {
-	life, p := h.life, h.p
+func (s *simulation) execute(h *simHost, a Action) {
+	life, p := h.incarnation, h.planner
 	// deliver hands a result back unless the host has restarted; a frozen
 	// host gets it when it wakes.
 	deliver := func(f func()) {
 		s.after(s.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
-			wait := max(h.frozenUntil.Sub(s.now), 0)
+			wait := max(h.stalledUntil.Sub(s.now), 0)
 			s.after(wait, func() {
-				if h.life == life && h.p == p {
+				if h.incarnation == life && h.planner == p {
 					f()
 				}
 			})
@@ -208,7 +208,7 @@
 	}
 	switch a := a.(type) {
 	case *AcquireLease:
-		s.join(h, a, deliver)
+		s.acquireLease(h, a, deliver)
 	case *Retire:
 		s.retire(h, a, deliver)
 	case *ReleaseLease:
@@ -218,22 +218,22 @@
 	case *Append:
 		s.append(h, a, deliver)
 	case *Grant:
-		if a.ExistingConnOnly && !s.allowDials && h.kept[a.Addr] != s.upstream(a.Addr).incarnation {
+		if a.ExistingConnOnly && !s.allowDials && h.connectedTo[a.Addr] != s.upstream(a.Addr).incarnation {
 			deliver(func() { p.GrantDone(a, ownership.ErrNotSent, s.now) })
 			return
 		}
-		h.kept[a.Addr] = s.upstream(a.Addr).incarnation
-		s.order(h, a.Addr, func(arrived bootclock.Time) error { return s.grant(a, arrived) }, 0, true,
+		h.connectedTo[a.Addr] = s.upstream(a.Addr).incarnation
+		s.callUpstream(h, a.Addr, func(arrived bootclock.Time) error { return s.grant(a, arrived) }, 0, true,
 			func(err error) { deliver(func() { p.GrantDone(a, err, s.now) }) })
 	case *Release:
-		s.order(h, a.Addr, func(bootclock.Time) error { return s.release(a) }, s.randomDuration(0, 1500*time.Millisecond), false,
+		s.callUpstream(h, a.Addr, func(bootclock.Time) error { return s.release(a) }, s.randomDuration(0, 1500*time.Millisecond), false,
 			func(err error) { deliver(func() { p.ReleaseDone(a, "token", err, s.now) }) })
 	}
 }
 
-func (s *simulation) join(h *simHost, j *AcquireLease, deliver func(func())) {
-	if s.now.Before(h.logCutUntil) {
-		deliver(func() { h.p.AcquireLeaseDone(j, false, metastore.ErrRejected, s.now) })
+func (s *simulation) acquireLease(h *simHost, j *AcquireLease, deliver func(func())) {
+	if s.now.Before(h.logUnreachableUntil) {
+		deliver(func() { h.planner.AcquireLeaseDone(j, false, metastore.ErrRejected, s.now) })
 		return
 	}
 	if !s.now.Before(s.leaseUntil) {
@@ -244,24 +244,24 @@
 	if held {
 		s.leaseUntil = s.now.Add(j.TTL)
 	}
-	deliver(func() { h.p.AcquireLeaseDone(j, held, nil, s.now) })
+	deliver(func() { h.planner.AcquireLeaseDone(j, held, nil, s.now) })
 }
 
 // retire asks another host. One that stands still does not answer.
 func (s *simulation) retire(h *simHost, r *Retire, deliver func(func())) {
-	p := h.p
+	p := h.planner
 	i := slices.IndexFunc(s.hosts, func(o *simHost) bool { return o.name == r.Host })
 	asked := s.hosts[i]
-	if s.now.Before(asked.frozenUntil) || s.rng.Float64() < s.faults.orderLost {
-		s.after(orderTimeout, func() { deliver(func() { p.RetireDone(r, "", false, s.now) }) })
+	if s.now.Before(asked.stalledUntil) || s.rng.Float64() < s.faults.answerLost {
+		s.after(callTimeout, func() { deliver(func() { p.RetireDone(r, "", false, s.now) }) })
 		return
 	}
-	retired := asked.p.Retire(r.Service, r.Term, s.now)
+	retired := asked.planner.Retire(r.Service, r.Term, s.now)
 	deliver(func() { p.RetireDone(r, asked.name, retired, s.now) })
 }
 
 func (s *simulation) append(h *simHost, a *Append, deliver func(func())) {
-	p := h.p
+	p := h.planner
 	write := func() error {
 		if int64(len(s.log)) != a.ExpectedOffset {
 			return metastore.ErrConflict
@@ -273,17 +273,17 @@
 		end := int64(len(s.log))
 		deliver(func() {
 			if t := p.AppendDone(a, end, err, s.now); t != nil {
-				h.v.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{simService: t} })
+				h.view.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{simService: t} })
 			}
 		})
 	}
 	switch x := s.rng.Float64(); {
-	case s.now.Before(h.logCutUntil):
+	case s.now.Before(h.logUnreachableUntil):
 		done(metastore.ErrRejected)
-	case x < s.faults.appendLost:
+	case x < s.faults.appendAnswerLost:
 		_ = write()
 		done(metastore.ErrNoAnswer)
-	case x < s.faults.appendLost+s.faults.appendLate:
+	case x < s.faults.appendAnswerLost+s.faults.appendLate:
 		s.after(s.randomDuration(time.Second, 6*time.Second), func() { _ = write() })
 		done(metastore.ErrNoAnswer)
 	default:
@@ -292,33 +292,33 @@
 }
 
 // mutedShare is how many answers of a mute upstream are lost.
-const mutedShare = 0.85
+const answerOutageLossRate = 0.85
 
 // orderTimeout is how long a host waits for an order's answer.
-const orderTimeout = 300 * time.Millisecond
+const callTimeout = 300 * time.Millisecond
 
-// order delivers an order after a short way, or does not, and hands its
+// callUpstream delivers an order after a short way, or does not, and hands its
 // result to answered. The upstream carries it out on arrival and answers
 // after work.
-func (s *simulation) order(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayBeLate bool, answered func(error)) {
+func (s *simulation) callUpstream(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayBeLate bool, answered func(error)) {
 	if s.now.Before(h.unreachableUntil[id]) || !s.upstream(id).up {
 		err := ownership.ErrNotSent
 		if s.rng.IntN(3) == 0 {
 			err = ownership.ErrNoAnswer
 		}
-		s.after(orderTimeout, func() { answered(err) })
+		s.after(callTimeout, func() { answered(err) })
 		return
 	}
 	x := s.rng.Float64()
 	s.after(s.randomDuration(time.Millisecond, 40*time.Millisecond), func() {
 		arrived := s.now
 		switch {
-		case x < s.faults.orderLost, x < mutedShare && s.now.Before(s.upstream(id).muteUntil):
+		case x < s.faults.answerLost, x < answerOutageLossRate && s.now.Before(s.upstream(id).answersLostUntil):
 			_ = do(arrived)
-			s.after(orderTimeout, func() { answered(ownership.ErrNoAnswer) })
-		case mayBeLate && x < s.faults.orderLost+s.faults.orderLate:
+			s.after(callTimeout, func() { answered(ownership.ErrNoAnswer) })
+		case mayBeLate && x < s.faults.answerLost+s.faults.callLate:
 			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
-			s.after(orderTimeout, func() { answered(ownership.ErrNoAnswer) })
+			s.after(callTimeout, func() { answered(ownership.ErrNoAnswer) })
 		default:
 			err := do(arrived)
 			s.after(work, func() { answered(err) })
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -10,76 +10,76 @@
 
 // faults are the chances of each fault, per call or per second.
 type faults struct {
-	orderLost   float64 // order delivered, answer lost
-	orderLate   float64 // order delivered, carried out 2 to 12 s later, no answer
-	mute        float64 // a second: most of an upstream's answers are lost for a while
-	orderCut    float64 // a second: a host loses the way to an upstream for a while
-	appendLost  float64 // record written, answer lost
-	appendLate  float64 // record written 1 to 6 s later if its condition holds
-	storeCut    float64 // a second: a host is refused by the log for a while
-	leaseChange float64 // a second: the seat is dealt anew
-	freeze      float64 // a second: a host stands still for a while
-	crash       float64 // a second: an upstream dies; another life starts
-	restart     float64 // a second: an upstream starts again under its ID
-	leave       float64 // a second: an upstream starts to leave; another starts
-	hostRestart float64 // a second: a host's planner starts anew
+	answerLost        float64 // order delivered, answer lost
+	callLate          float64 // order delivered, carried out 2 to 12 s later, no answer
+	answerOutage      float64 // a second: most of an upstream's answers are lost for a while
+	upstreamPartition float64 // a second: a host loses the way to an upstream for a while
+	appendAnswerLost  float64 // record written, answer lost
+	appendLate        float64 // record written 1 to 6 s later if its condition holds
+	logPartition      float64 // a second: a host is refused by the log for a while
+	leaseChange       float64 // a second: the seat is dealt anew
+	stall             float64 // a second: a host stands still for a while
+	crash             float64 // a second: an upstream dies; another life starts
+	restart           float64 // a second: an upstream starts again under its ID
+	leave             float64 // a second: an upstream starts to leave; another starts
+	hostRestart       float64 // a second: a host's planner starts anew
 }
 
 // busyRegion is how many neighbouring keys take all the load.
-const busyRegion = 1024
+const busyRegionSize = 1024
 
 // injectFaults draws this step's faults.
 func (s *simulation) injectFaults() {
 	f := s.faults
-	if s.chance(f.leaseChange, simStep) {
+	if s.faultOccurs(f.leaseChange, simStep) {
 		s.leaseHolder = s.hosts[s.rng.IntN(len(s.hosts))].name
 
 		s.leaseUntil = s.now.Add(s.opts.LeaseTTL)
 	}
 	for _, h := range s.hosts {
-		if s.chance(f.freeze, simStep) {
-			h.frozenUntil = s.now.Add(s.randomDuration(time.Second, 8*time.Second))
+		if s.faultOccurs(f.stall, simStep) {
+			h.stalledUntil = s.now.Add(s.randomDuration(time.Second, 8*time.Second))
 		}
-		if s.chance(f.storeCut, simStep) {
-			h.logCutUntil = s.now.Add(s.randomDuration(time.Second, 9*time.Second))
+		if s.faultOccurs(f.logPartition, simStep) {
+			h.logUnreachableUntil = s.now.Add(s.randomDuration(time.Second, 9*time.Second))
 		}
-		if s.chance(f.hostRestart, simStep) {
-			s.restart(h)
+		if s.faultOccurs(f.hostRestart, simStep) {
+			s.restartHost(h)
 		}
-		for _, u := range s.ups {
-			if s.chance(f.orderCut, simStep) {
+		for _, u := range s.upstreams {
+			if s.faultOccurs(f.upstreamPartition, simStep) {
 				h.unreachableUntil[u.id] = s.now.Add(s.randomDuration(time.Second, 9*time.Second))
 			}
 		}
 	}
-	s.strikeUpstreams()
+	s.injectUpstreamFaults()
 	if !s.steadyLoad && s.rng.IntN(100) == 0 {
-		clear(s.byKey)
-		busy := s.rng.IntN(ownership.KeySpaceSize - busyRegion)
+		clear(s.loadByKey)
+		busy := s.rng.IntN(ownership.KeySpaceSize - busyRegionSize)
 		for range 40 {
-			s.byKey[busy+s.rng.IntN(busyRegion)] = s.rng.Float64() * 10
+			s.loadByKey[busy+s.rng.IntN(busyRegionSize)] = s.rng.Float64() * 10
 		}
 	}
 }
 
-func (s *simulation) strikeUpstreams() {
-	for _, u := range slices.Clone(s.ups) {
+func (s *simulation) injectUpstreamFaults() {
+	for _, u := range slices.Clone(s.upstreams) {
 		if !u.up || !u.listed || u.leaving {
 			continue
 		}
-		if s.chance(s.faults.mute, simStep) {
-			u.muteUntil = s.now.Add(s.randomDuration(1500*time.Millisecond, 4*time.Second))
+		if s.faultOccurs(s.faults.answerOutage, simStep) {
+			u.answersLostUntil = s.now.Add(s.randomDuration(1500*time.Millisecond, 4*time.Second))
 		}
-		next := fmt.Sprintf("u%d", len(s.ups))
+		next := fmt.Sprintf("u%d", len(s.upstreams))
 		switch {
-		case s.chance(s.faults.crash, simStep):
+		case s.faultOccurs(s.faults.crash, simStep):
 			u.up, u.grants = false, nil
 			s.after(s.randomDuration(500*time.Millisecond, 3*time.Second), func() { u.listed = false })
 			s.addUpstream(next)
-		case s.chance(s.faults.restart, simStep):
+		case s.faultOccurs(s.faults.restart, simStep):
 			u.up, u.grants, u.tokensSeen = false, nil, nil
 			s.after(s.randomDuration(0, 2*time.Second), func() { u.up, u.incarnation = true, u.incarnation+1 })
-		case s.chance(s.faults.leave, simStep):
+		case s.faultOccurs(s.faults.leave, simStep):
 			u.leaving = true
 			s.after(s.randomDuration(4*time.Second, 12*time.Second), func() { u.listed, u.up, u.grants = false, false, nil })
 			s.addUpstream(next)
--- a/internal/planner/simupstream_test.go
+++ b/internal/planner/simupstream_test.go
@@ -10,7 +10,7 @@
 )
 
 func (s *simulation) upstream(id string) *simUpstream {
-	for _, u := range s.ups {
+	for _, u := range s.upstreams {
 		if u.id == id {
 			return u
 		}
@@ -27,14 +27,14 @@
 	}
 	r := g.Range
 	for _, h := range u.tokensSeen {
-		if h.from <= r.To && r.From <= h.to && h.fence > r.FencingToken {
+		if h.from <= r.To && r.From <= h.to && h.fencingToken > r.FencingToken {
 			return ownership.ErrFenced
 		}
 	}
 	until := arrived.Add(time.Duration(float64(g.TTL) * 1.02 * s.overstayFactor))
-	u.tokensSeen = cutOut(u.tokensSeen, r.From, r.To)
+	u.tokensSeen = removeKeys(u.tokensSeen, r.From, r.To)
 	u.tokensSeen = append(u.tokensSeen, simGrant{r.From, r.To, r.FencingToken, 0})
-	u.grants = cutOut(u.grants, r.From, r.To)
+	u.grants = removeKeys(u.grants, r.From, r.To)
 	u.grants = append(u.grants, simGrant{r.From, r.To, r.FencingToken, until})
 	s.granted = true
 	return nil
@@ -45,11 +45,11 @@
 	if !u.up {
 		return ownership.ErrNoAnswer
 	}
-	u.grants = cutOut(u.grants, r.Range.From, r.Range.To)
+	u.grants = removeKeys(u.grants, r.Range.From, r.Range.To)
 	return nil
 }
 
-func cutOut(hs []simGrant, from, to int) []simGrant {
+func removeKeys(hs []simGrant, from, to int) []simGrant {
 	var out []simGrant
 	for _, h := range hs {
 		if h.to < from || h.from > to {
@@ -77,11 +77,11 @@
 		by string
 	}
 	var all []held
-	for _, u := range s.ups {
+	for _, u := range s.upstreams {
 		if !u.up {
 			continue
 		}
-		u.grants = slices.DeleteFunc(u.grants, func(h simGrant) bool { return h.until <= s.now })
+		u.grants = slices.DeleteFunc(u.grants, func(h simGrant) bool { return h.expiresAt <= s.now })
 		for _, h := range u.grants {
 			all = append(all, held{h, u.id})
 		}
@@ -91,7 +91,7 @@
 		a, b := all[i-1], all[i]
 		if b.from <= a.to && a.by != b.by {
 			return fmt.Errorf("after %v: keys %d to %d are held by %s (token %d, %v left) and %s (token %d, %v left)",
-				s.now.Sub(bootclock.Time(time.Hour)), b.from, min(a.to, b.to), a.by, a.fence, a.until.Sub(s.now), b.by, b.fence, b.until.Sub(s.now))
+				s.now.Sub(bootclock.Time(time.Hour)), b.from, min(a.to, b.to), a.by, a.fencingToken, a.expiresAt.Sub(s.now), b.by, b.fencingToken, b.expiresAt.Sub(s.now))
 		}
 	}
 	return nil
