--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -18,14 +18,14 @@
 	now       bootclock.Time
 	upstreams map[string]*catalogue.Upstream
 	table     *ownership.Table
-	view      *view.Publisher
+	publisher *view.Publisher
 	streamEnd int64
 	// warmUp is how long keys are slow without a handover.
 	warmUp time.Duration
 }
 
 func newHarness(t *testing.T, ids ...string) *harness {
-	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), upstreams: map[string]*catalogue.Upstream{}, view: view.NewPublisher()}
+	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), upstreams: map[string]*catalogue.Upstream{}, publisher: view.NewPublisher()}
 	h.p.opts.Host = "me"
 	for _, id := range ids {
 		h.upstreams[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
@@ -35,7 +35,7 @@
 }
 
 func (h *harness) publishView() {
-	h.view.Publish(func(v *view.View) {
+	h.publisher.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true, WarmUp: h.warmUp}}, desired.Limits{})
 		v.Upstreams = catalogue.NewSnapshot(h.upstreams)
 		if h.table != nil {
@@ -48,7 +48,7 @@
 func (h *harness) simulate(d time.Duration, answer func(Action) error) []Action {
 	var all []Action
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
-		for _, a := range h.p.Tick(h.now, h.view.Load()) {
+		for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
 			all = append(all, a)
 			h.complete(a, answer(a))
 		}
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -18,9 +18,9 @@
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	h.p.Resign()
-	gone := *h.upstreams["a"]
-	gone.Leaving = true
-	h.upstreams["a"] = &gone
+	leaving := *h.upstreams["a"]
+	leaving.Leaving = true
+	h.upstreams["a"] = &leaving
 	h.publishView()
 	grants := 0
 	for _, a := range h.simulate(2*testOptions.GrantTTL/renewalsPerTTL, succeedAll) {
@@ -45,9 +45,9 @@
 	if !h.p.SoleWriter(h.now) {
 		t.Fatal("a calm planner reads what only it writes")
 	}
-	gone := *h.upstreams["a"]
-	gone.Leaving = true
-	h.upstreams["a"] = &gone
+	leaving := *h.upstreams["a"]
+	leaving.Leaving = true
+	h.upstreams["a"] = &leaving
 	h.publishView()
 	h.simulate(500*time.Millisecond, func(a Action) error {
 		if _, ok := a.(*Append); ok {
@@ -72,11 +72,11 @@
 	for _, result := range []error{nil, ownership.ErrNotSent, ownership.ErrNoAnswer} {
 		h := newHarness(t, "a", "b")
 		h.simulate(3*time.Second, succeedAll)
-		var underWay []*Grant
-		for len(underWay) == 0 {
-			for _, a := range h.p.Tick(h.now, h.view.Load()) {
+		var inFlight []*Grant
+		for len(inFlight) == 0 {
+			for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
 				if g, ok := a.(*Grant); ok && g.Addr == "a" {
-					underWay = append(underWay, g)
+					inFlight = append(inFlight, g)
 					continue
 				}
 				h.complete(a, nil)
@@ -84,7 +84,7 @@
 			h.now = h.now.Add(simStep)
 		}
 		h.p.AcquireLeaseDone(&AcquireLease{SentAt: h.now}, false, nil, h.now)
-		for _, g := range underWay {
+		for _, g := range inFlight {
 			h.p.GrantDone(g, result, h.now)
 		}
 		if !h.p.Retire(simService, h.table.Term+1, h.now) {
@@ -142,9 +142,9 @@
 	for !h.p.HoldsLease(h.now) {
 		h.simulate(simStep, succeedAll)
 	}
-	for taken := h.now; h.now.Sub(taken) < 2*testOptions.LeaseTTL; h.simulate(simStep, succeedAll) {
+	for acquiredAt := h.now; h.now.Sub(acquiredAt) < 2*testOptions.LeaseTTL; h.simulate(simStep, succeedAll) {
 		if h.p.ShouldStepDown(h.now) {
-			t.Fatalf("gives way after %v", h.now.Sub(taken))
+			t.Fatalf("gives way after %v", h.now.Sub(acquiredAt))
 		}
 	}
 	h.simulate(time.Second, succeedAll)
@@ -176,12 +176,12 @@
 func TestNonCandidateLeavesElectionOncePlannerIsSeen(t *testing.T) {
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
-	sought := false
-	for !sought {
-		for _, a := range h.p.Tick(h.now, h.view.Load()) {
-			if j, ok := a.(*AcquireLease); ok {
-				sought = true
-				h.p.AcquireLeaseDone(j, false, nil, h.now)
+	requested := false
+	for !requested {
+		for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
+			if acquire, ok := a.(*AcquireLease); ok {
+				requested = true
+				h.p.AcquireLeaseDone(acquire, false, nil, h.now)
 			}
 		}
 		h.now = h.now.Add(simStep)
@@ -236,18 +236,18 @@
 func TestStaleLeaseRenewalStartsNoTerm(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(10*time.Second, succeedAll)
-	cut := func(a Action) error {
+	logDown := func(a Action) error {
 		if _, ok := a.(*AcquireLease); ok {
 			return metastore.ErrNoAnswer
 		}
 		return nil
 	}
-	h.simulate(5*time.Second, cut)
+	h.simulate(5*time.Second, logDown)
 	h.table = h.tableOfOtherPlanner()
 	h.publishView()
-	for _, a := range h.simulate(500*time.Millisecond, cut) {
-		if ap, ok := a.(*Append); ok {
-			t.Fatalf("records term %d on a proof of the seat from before the other planner's term", ap.Table.Term)
+	for _, a := range h.simulate(500*time.Millisecond, logDown) {
+		if appended, ok := a.(*Append); ok {
+			t.Fatalf("records term %d on a proof of the seat from before the other planner's term", appended.Table.Term)
 		}
 	}
 	h.simulate(500*time.Millisecond, succeedAll)
@@ -309,8 +309,8 @@
 func TestFirstAssignmentWaitsForLargeFleetToRegister(t *testing.T) {
 	h := newHarness(t)
 	h.simulate(registrationQuiet, succeedAll)
-	const arriving = 20
-	for i := range arriving {
+	const count = 20
+	for i := range count {
 		id := fmt.Sprintf("u%02d", i)
 		h.upstreams[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
 		h.publishView()
@@ -328,8 +328,8 @@
 // same: the keys are divided among those that are there after settleMost.
 func TestFirstAssignmentWaitIsBounded(t *testing.T) {
 	h := newHarness(t)
-	for at := time.Duration(0); at < maxRegistrationWait+registrationQuiet; at += registrationQuiet / 2 {
-		id := fmt.Sprint("u", at)
+	for elapsed := time.Duration(0); elapsed < maxRegistrationWait+registrationQuiet; elapsed += registrationQuiet / 2 {
+		id := fmt.Sprint("u", elapsed)
 		h.upstreams[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
 		h.publishView()
 		h.simulate(registrationQuiet/2, succeedAll)
@@ -345,7 +345,7 @@
 func TestSupersededPlannerMakesNoCalls(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
-	cut := func(a Action) error {
+	logDown := func(a Action) error {
 		switch a.(type) {
 		case *AcquireLease:
 			return metastore.ErrRejected
@@ -354,14 +354,14 @@
 		}
 		return nil
 	}
-	told := bootclock.Time(0)
+	fencedAt := bootclock.Time(0)
 	h.simulate(2*time.Second, func(a Action) error {
-		if _, ok := a.(*AcquireLease); !ok && told != 0 && told != h.now {
-			t.Errorf("%v after it was told, the superseded planner sends %T", h.now.Sub(told), a)
+		if _, ok := a.(*AcquireLease); !ok && fencedAt != 0 && fencedAt != h.now {
+			t.Errorf("%v after it was told, the superseded planner sends %T", h.now.Sub(fencedAt), a)
 		}
-		err := cut(a)
-		if _, ok := a.(*Grant); ok && told == 0 {
-			told = h.now
+		err := logDown(a)
+		if _, ok := a.(*Grant); ok && fencedAt == 0 {
+			fencedAt = h.now
 		}
 		return err
 	})
--- a/internal/planner/limiter_test.go
+++ b/internal/planner/limiter_test.go
@@ -45,7 +45,7 @@
 		}
 		return nil
 	})
-	keys, moved := 0, 0
+	keys, reassigned := 0, 0
 	for _, r := range before.Ranges {
 		if !lost[r.Owner] {
 			continue
@@ -53,11 +53,11 @@
 		for k := r.From; k <= r.To; k++ {
 			keys++
 			if h.table.Find(k).Owner != r.Owner {
-				moved++
+				reassigned++
 			}
 		}
 	}
-	return float64(moved) / float64(keys)
+	return float64(reassigned) / float64(keys)
 }
 
 // A cut takes a third of the owners away for some seconds. Their keys were placed
@@ -66,14 +66,14 @@
 // now, as much as the others can bear, and the rest within half a minute. The keys
 // of a few lost owners are all placed as soon as nobody can hold them.
 func TestManyLostOwnersKeysAreReassignedWithinCapacity(t *testing.T) {
-	const free = 6 * time.Second
-	if placed := reassignedAfterLoss(t, 2, free); placed < 1 {
-		t.Errorf("%.2f of the keys of two lost owners have another after %v", placed, free)
+	const grantsExpired = 6 * time.Second
+	if reassigned := reassignedAfterLoss(t, 2, grantsExpired); reassigned < 1 {
+		t.Errorf("%.2f of the keys of two lost owners have another after %v", reassigned, grantsExpired)
 	}
-	if placed := reassignedAfterLoss(t, 20, free); placed < 0.1 || placed > 0.6 {
-		t.Errorf("%.2f of the keys of twenty lost owners have another after %v", placed, free)
+	if reassigned := reassignedAfterLoss(t, 20, grantsExpired); reassigned < 0.1 || reassigned > 0.6 {
+		t.Errorf("%.2f of the keys of twenty lost owners have another after %v", reassigned, grantsExpired)
 	}
-	if placed := reassignedAfterLoss(t, 20, 30*time.Second); placed < 1 {
-		t.Errorf("%.2f of them have another after 30 s", placed)
+	if reassigned := reassignedAfterLoss(t, 20, 30*time.Second); reassigned < 1 {
+		t.Errorf("%.2f of them have another after 30 s", reassigned)
 	}
 }
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -45,18 +45,18 @@
 // wait for that too: its keys move meanwhile.
 func TestLostOwnersDoNotBlockLoadMoves(t *testing.T) {
 	h, ids := newHarnessWithOwners(t, 60)
-	dead := map[string]bool{}
+	unreachable := map[string]bool{}
 	for _, id := range ids[:30] {
-		dead[id] = true
+		unreachable[id] = true
 	}
 	answer := func(a Action) error {
 		switch a := a.(type) {
 		case *Grant:
-			if dead[a.Addr] {
+			if unreachable[a.Addr] {
 				return ownership.ErrNoAnswer
 			}
 		case *Release:
-			if dead[a.Addr] {
+			if unreachable[a.Addr] {
 				return ownership.ErrNoAnswer
 			}
 		}
@@ -84,12 +84,12 @@
 // stay. Once the lost grant counts no more they move.
 func TestNoLoadMoveWhileOwnersGrantIsUnanswered(t *testing.T) {
 	h, ids := newHarnessWithOwners(t, 20)
-	busy := ids[7]
+	overloaded := ids[7]
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		byKey := make([]float64, ownership.KeySpaceSize)
 		for k := range byKey {
 			byKey[k] = 0.01
-			if h.table.Find(k).Owner == busy {
+			if h.table.Find(k).Owner == overloaded {
 				byKey[k] = 0.017
 			}
 		}
@@ -99,15 +99,15 @@
 		}
 		return ownership.Load{ByKey: byKey, Capacity: capacity}, 10 * minSamples
 	}
-	lost := false
+	answerLost := false
 	answer := func(a Action) error {
-		if g, ok := a.(*Grant); ok && g.Addr == busy && !lost {
-			lost = true
+		if g, ok := a.(*Grant); ok && g.Addr == overloaded && !answerLost {
+			answerLost = true
 			return ownership.ErrNoAnswer
 		}
 		return nil
 	}
-	for !lost {
+	for !answerLost {
 		// A grant's answer is lost before load is looked at.
 		h.p.services[simService].nextRebalance = h.now.Add(rebalanceInterval)
 		h.simulate(simStep, answer)
@@ -130,11 +130,11 @@
 	first := 0
 	h.setBusyKeys(&first)
 	records := 0
-	const played = 2 * time.Second
+	const duration = 2 * time.Second
 	var releases []Action // answered one a step, as the work under way ends
-	for end := h.now.Add(played); h.now.Before(end); h.now = h.now.Add(simStep) {
-		for _, a := range h.p.Tick(h.now, h.view.Load()) {
-			if r, ok := a.(*Append); ok && r.Cause == causeLoad {
+	for end := h.now.Add(duration); h.now.Before(end); h.now = h.now.Add(simStep) {
+		for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
+			if record, ok := a.(*Append); ok && record.Cause == causeLoad {
 				records++
 			}
 			if _, ok := a.(*Release); ok {
@@ -151,7 +151,7 @@
 			first = 0
 		}
 	}
-	if most := int(played/loadRecordInterval) + 1; records == 0 || records > most {
-		t.Errorf("%d records of moves for load in %v, want 1 to %d", records, played, most)
+	if maxRecords := int(duration/loadRecordInterval) + 1; records == 0 || records > maxRecords {
+		t.Errorf("%d records of moves for load in %v, want 1 to %d", records, duration, maxRecords)
 	}
 }
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -29,24 +29,24 @@
 // term. Its successor saw the mark: nothing was sent to that upstream since,
 // and its keys need not wait for the whole time that a planner may send.
 func TestNextPlannerUsesLostOwnerMark(t *testing.T) {
-	first := newHarness(t, "a", "b")
-	second := New(testOptions)
-	second.opts.Host = "other"
+	h := newHarness(t, "a", "b")
+	next := New(testOptions)
+	next.opts.Host = "other"
 	// The other host follows the log all the while.
-	watch := func(d time.Duration, answer func(Action) error) {
-		for end := first.now.Add(d); first.now.Before(end); {
-			first.simulate(simStep, answer)
-			second.observeView(first.now, first.view.Load())
+	run := func(d time.Duration, answer func(Action) error) {
+		for end := h.now.Add(d); h.now.Before(end); {
+			h.simulate(simStep, answer)
+			next.observeView(h.now, h.publisher.Load())
 		}
 	}
-	watch(12*time.Second, succeedAll)
-	watch(1900*time.Millisecond, upstreamADown)
-	if !first.table.IsLost("a") || !owns(first.table, "a") {
+	run(12*time.Second, succeedAll)
+	run(1900*time.Millisecond, upstreamADown)
+	if !h.table.IsLost("a") || !owns(h.table, "a") {
 		t.Fatal("the play is wrong: a should be marked and still own keys")
 	}
-	first.p = second
-	second.AdvanceStreamEnd(first.streamEnd)
-	if took := first.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
+	h.p = next
+	next.AdvanceStreamEnd(h.streamEnd)
+	if took := h.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("moved only %v after the successor took over", took)
 	}
 }
@@ -58,8 +58,8 @@
 func TestSilentOwnersKeysMoveOnceGrantsExpire(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
-	silent := h.now
-	moved := bootclock.Time(0)
+	silentSince := h.now
+	movedAt := bootclock.Time(0)
 	h.simulate(10*time.Second, func(a Action) error {
 		switch a := a.(type) {
 		case *Grant:
@@ -69,21 +69,21 @@
 		case *Release:
 			return ownership.ErrNotSent
 		case *Append:
-			if moved == 0 && !owns(a.Table, "a") {
-				moved = h.now
+			if movedAt == 0 && !owns(a.Table, "a") {
+				movedAt = h.now
 			}
 		}
 		return nil
 	})
-	if moved == 0 {
+	if movedAt == 0 {
 		t.Fatal("the keys never moved")
 	}
 	// The last grant that arrived was sent up to a renewal before.
-	waited := moved.Sub(silent)
-	if least := testOptions.GrantTTL - testOptions.GrantTTL/renewalsPerTTL; waited < least {
+	waited := movedAt.Sub(silentSince)
+	if minWait := testOptions.GrantTTL - testOptions.GrantTTL/renewalsPerTTL; waited < minWait {
 		t.Errorf("moved %v after the owner went silent, within its lease", waited)
 	}
-	if most := testOptions.GrantTTL * 3 / 2; waited > most {
+	if maxWait := testOptions.GrantTTL * 3 / 2; waited > maxWait {
 		t.Errorf("moved only %v after the owner went silent", waited)
 	}
 }
@@ -130,18 +130,18 @@
 func TestAnswerToCancelledReleaseIsIgnored(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
-	var held []*Release
-	mute := true
-	granted := func(*Grant) {}
+	var releases []*Release
+	answersLost := true
+	onGrant := func(*Grant) {}
 	step := func(d time.Duration) {
 		for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
-			for _, a := range h.p.Tick(h.now, h.view.Load()) {
+			for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
 				switch a := a.(type) {
 				case *Release:
-					held = append(held, a)
+					releases = append(releases, a)
 				case *Grant:
-					granted(a)
-					if mute && a.Addr == "a" {
+					onGrant(a)
+					if answersLost && a.Addr == "a" {
 						h.complete(a, ownership.ErrNoAnswer)
 						continue
 					}
@@ -152,18 +152,18 @@
 			}
 		}
 	}
-	for len(held) < 2 {
+	for len(releases) < 2 {
 		step(simStep)
 	}
-	mute = false
-	first, second := held[0], held[1]
+	answersLost = false
+	cancelling, cancelled := releases[0], releases[1]
 	regranted := false
-	granted = func(g *Grant) {
-		if g.Addr == "a" && g.Range.From <= second.Range.To && g.Range.To >= second.Range.From {
+	onGrant = func(g *Grant) {
+		if g.Addr == "a" && g.Range.From <= cancelled.Range.To && g.Range.To >= cancelled.Range.From {
 			regranted = true
 		}
 	}
-	h.p.ReleaseDone(first, "token", nil, h.now)
+	h.p.ReleaseDone(cancelling, "token", nil, h.now)
 	step(testOptions.GrantTTL + 2*time.Second)
 	// The load now asks for the second range to leave a.
 	byKey := make([]float64, ownership.KeySpaceSize)
@@ -176,10 +176,10 @@
 		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
 	step(500 * time.Millisecond)
-	h.p.ReleaseDone(second, "token", nil, h.now)
+	h.p.ReleaseDone(cancelled, "token", nil, h.now)
 	step(100 * time.Millisecond)
-	if got := h.table.Find(second.Range.From).Owner; regranted && got != "a" {
-		t.Fatalf("keys %d to %d went to %q on the answer to a release sent before a was granted them again", second.Range.From, second.Range.To, got)
+	if got := h.table.Find(cancelled.Range.From).Owner; regranted && got != "a" {
+		t.Fatalf("keys %d to %d went to %q on the answer to a release sent before a was granted them again", cancelled.Range.From, cancelled.Range.To, got)
 	}
 }
 
@@ -188,13 +188,13 @@
 func TestNoLoadMovesWithoutRecentLeaseRenewal(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
-	cut := func(a Action) error {
+	logDown := func(a Action) error {
 		if _, ok := a.(*AcquireLease); ok {
 			return metastore.ErrRejected
 		}
 		return nil
 	}
-	h.simulate(time.Second, cut)
+	h.simulate(time.Second, logDown)
 	byKey := make([]float64, ownership.KeySpaceSize)
 	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
@@ -204,7 +204,7 @@
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
-	for _, a := range h.simulate(3*time.Second, cut) {
+	for _, a := range h.simulate(3*time.Second, logDown) {
 		if r, ok := a.(*Release); ok {
 			t.Fatalf("keys %d to %d were taken back", r.Range.From, r.Range.To)
 		}
@@ -217,11 +217,11 @@
 func TestRejectedReleaseProvesOwnerEnded(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
-	gone := *h.upstreams["a"]
-	gone.Leaving = true
-	h.upstreams["a"] = &gone
+	leaving := *h.upstreams["a"]
+	leaving.Leaving = true
+	h.upstreams["a"] = &leaving
 	h.publishView()
-	began := h.now
+	start := h.now
 	h.simulate(time.Second, func(a Action) error {
 		if r, ok := a.(*Release); ok && r.Addr == "a" {
 			return ownership.ErrRejected
@@ -230,7 +230,7 @@
 	})
 	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
-			t.Fatalf("keys %d to %d still have no owner %v later", r.From, r.To, h.now.Sub(began))
+			t.Fatalf("keys %d to %d still have no owner %v later", r.From, r.To, h.now.Sub(start))
 		}
 	}
 }
@@ -240,7 +240,7 @@
 // lease only; the answer of a host of another name at its address does not
 // count, and they wait for all that a planner may send: 9.2 s.
 func TestDeadOwnersKeysDoNotWaitForRetiredPlanner(t *testing.T) {
-	play := func(answers string) time.Duration {
+	timeUntilMoved := func(answeringHost string) time.Duration {
 		h := newHarness(t, "a", "b")
 		h.simulate(12*time.Second, succeedAll)
 		h.table = h.tableOfOtherPlanner()
@@ -251,15 +251,15 @@
 		h.publishView()
 		return h.simulateUntilMoved(func(a Action) error {
 			if r, ok := a.(*Retire); ok {
-				h.p.RetireDone(r, answers, true, h.now)
+				h.p.RetireDone(r, answeringHost, true, h.now)
 			}
 			return upstreamADown(a)
 		})
 	}
-	if took := play("other"); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
+	if took := timeUntilMoved("other"); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("moved only %v after the change of planner", took)
 	}
-	if took := play("somebody"); took < testOptions.MaxViewAge+testOptions.GrantTTL {
+	if took := timeUntilMoved("somebody"); took < testOptions.MaxViewAge+testOptions.GrantTTL {
 		t.Errorf("moved %v after the change of planner on a stranger's word", took)
 	}
 }
@@ -286,20 +286,20 @@
 		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
 	h.publishView()
-	var late []*Grant
+	var delayed []*Grant
 	released := 0
 	for start := h.now; h.now.Sub(start) < 3*time.Second; h.now = h.now.Add(simStep) {
 		if h.now.Sub(start) > 500*time.Millisecond {
-			for _, g := range late {
+			for _, g := range delayed {
 				h.p.GrantDone(g, nil, h.now)
 			}
-			late = nil
+			delayed = nil
 		}
-		for _, a := range h.p.Tick(h.now, h.view.Load()) {
+		for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
 			switch a := a.(type) {
 			case *Grant:
 				if a.Addr == "a" {
-					late = append(late, a)
+					delayed = append(delayed, a)
 					continue
 				}
 			case *Release:
@@ -324,7 +324,7 @@
 	h.simulate(12*time.Second, succeedAll)
 	// An order that may have arrived keeps the keys where they are for a
 	// lease; the cut heals before that is over.
-	lost := func(a Action) error {
+	answersLost := func(a Action) error {
 		switch a := a.(type) {
 		case *Grant:
 			if a.Addr == "a" {
@@ -335,22 +335,22 @@
 		}
 		return nil
 	}
-	h.simulate(1800*time.Millisecond, lost)
-	gone := *h.upstreams["a"]
-	gone.Leaving = true
-	h.upstreams["a"] = &gone
+	h.simulate(1800*time.Millisecond, answersLost)
+	leaving := *h.upstreams["a"]
+	leaving.Leaving = true
+	h.upstreams["a"] = &leaving
 	h.publishView()
-	h.simulate(900*time.Millisecond, lost)
+	h.simulate(900*time.Millisecond, answersLost)
 	h.simulate(500*time.Millisecond, succeedAll)
-	back := gone
-	back.Leaving = false
-	h.upstreams["a"] = &back
+	returned := leaving
+	returned.Leaving = false
+	h.upstreams["a"] = &returned
 	h.publishView()
 	h.simulate(2*time.Second, succeedAll)
 	if !owns(h.table, "a") {
 		t.Error("the keys have moved")
 	}
-	if n := h.p.services[simService].moves; len(n) != 0 {
-		t.Errorf("%d moves are left", len(n))
+	if remaining := h.p.services[simService].moves; len(remaining) != 0 {
+		t.Errorf("%d moves are left", len(remaining))
 	}
 }
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -46,7 +46,7 @@
 // that its successors take for lost, and goes on sending to them for as long
 // as it may.
 func TestNoKeyHasTwoOwnersWhilePlannersArePartitioned(t *testing.T) {
-	cuts := faults{answerLost: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
+	partitions := faults{answerLost: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
 	seeds := uint64(120)
 	if testing.Short() {
 		seeds = 10
@@ -54,7 +54,7 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			if err := newSimulation(seed, cuts, testOptions).run(40 * time.Second); err != nil {
+			if err := newSimulation(seed, partitions, testOptions).run(40 * time.Second); err != nil {
 				t.Error(err)
 			}
 		})
@@ -88,49 +88,49 @@
 // restarted upstream must not get the range, which is another's. Where planners
 // open connections for grants at any time, it does.
 func TestRestartedUpstreamGetsNoGrantFromReplacedPlanner(t *testing.T) {
-	play := func(keepsOpen bool) error {
+	simulate := func(dialsAllowed bool) error {
 		s := newSimulation(1, faults{}, testOptions)
-		s.allowDials, s.steadyLoad = keepsOpen, true
+		s.allowDials, s.steadyLoad = dialsAllowed, true
 		if err := s.run(5 * time.Second); err != nil {
 			return err
 		}
-		first := s.planner()
+		first := s.currentPlanner()
 		first.stalledUntil, first.logUnreachableUntil = s.now.Add(4500*time.Millisecond), s.now.Add(6500*time.Millisecond)
 		if err := s.run(2500 * time.Millisecond); err != nil {
 			return err
 		}
-		successor := s.planner().planner.services[simService]
-		moved := successor.table.Ranges[0]
-		to := s.upstreams[0].id
-		if moved.Owner == to {
-			to = s.upstreams[1].id
+		nextTerm := s.currentPlanner().planner.services[simService]
+		moved := nextTerm.table.Ranges[0]
+		newOwner := s.upstreams[0].id
+		if moved.Owner == newOwner {
+			newOwner = s.upstreams[1].id
 		}
 		for range 19 {
-			if len(successor.moves) == 0 && successor.table.Find(moved.From).Owner != to {
-				successor.startMove(ownership.Move{From: moved.From, To: moved.To, NewOwner: to}, s.now)
+			if len(nextTerm.moves) == 0 && nextTerm.table.Find(moved.From).Owner != newOwner {
+				nextTerm.startMove(ownership.Move{From: moved.From, To: moved.To, NewOwner: newOwner}, s.now)
 			}
 			if err := s.run(100 * time.Millisecond); err != nil {
 				return err
 			}
 		}
-		if successor.table.Find(moved.From).Owner != to {
+		if nextTerm.table.Find(moved.From).Owner != newOwner {
 			t.Fatal("the range has not moved")
 		}
-		old := s.upstream(moved.Owner)
-		old.incarnation++
-		old.grants, old.tokensSeen = nil, nil
+		oldOwner := s.upstream(moved.Owner)
+		oldOwner.incarnation++
+		oldOwner.grants, oldOwner.tokensSeen = nil, nil
 		return s.run(2 * time.Second)
 	}
-	if err := play(false); err != nil {
+	if err := simulate(false); err != nil {
 		t.Error(err)
 	}
-	if play(true) == nil {
+	if simulate(true) == nil {
 		t.Error("the play does not need the safeguard")
 	}
 }
 
-// planner returns the host that holds the seat.
-func (s *simulation) planner() *simHost {
+// currentPlanner returns the host that holds the seat.
+func (s *simulation) currentPlanner() *simHost {
 	for _, h := range s.hosts {
 		if h.name == s.leaseHolder && s.now.Before(s.leaseUntil) {
 			return h
@@ -155,8 +155,8 @@
 	}
 	covered := 0
 	for _, u := range s.upstreams {
-		for _, h := range u.grants {
-			covered += h.to - h.from + 1
+		for _, g := range u.grants {
+			covered += g.to - g.from + 1
 		}
 	}
 	if covered != ownership.KeySpaceSize {
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -50,14 +50,14 @@
 type simHost struct {
 	name                string
 	planner             *Planner
-	view                *view.Publisher
+	publisher           *view.Publisher
 	recordsRead         int // records of the log seen
 	stalledUntil        bootclock.Time
 	logUnreachableUntil bootclock.Time // from the log
 	unreachableUntil    map[string]bootclock.Time
 	// connectedTo are the lives of upstreams to which a connection is open.
 	connectedTo map[string]int
-	incarnation int
+	starts      int
 }
 
 type simGrant struct {
@@ -102,16 +102,16 @@
 
 // restartHost gives the host a planner that knows nothing.
 func (s *simulation) restartHost(h *simHost) {
-	h.incarnation++
+	h.starts++
 	h.recordsRead = 0
-	h.view = view.NewPublisher()
+	h.publisher = view.NewPublisher()
 	opts := s.opts
 	opts.Host, opts.PeerAddr = h.name, h.name+":1"
 	h.planner = New(opts)
 	h.planner.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		return ownership.Load{ByKey: s.loadByKey, Capacity: slotsByID(owners)}, 1000
 	}
-	h.view.Publish(func(v *view.View) {
+	h.publisher.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true}}, desired.Limits{})
 	})
 }
@@ -167,7 +167,7 @@
 	if !s.now.Before(h.logUnreachableUntil) {
 		s.updateView(h)
 	}
-	for _, a := range h.planner.Tick(s.now, h.view.Load()) {
+	for _, a := range h.planner.Tick(s.now, h.publisher.Load()) {
 		s.execute(h, a)
 	}
 }
@@ -186,21 +186,21 @@
 		tables[simService] = s.log[len(s.log)-1]
 	}
 	h.planner.AdvanceStreamEnd(int64(len(s.log)))
-	h.view.Publish(func(v *view.View) {
+	h.publisher.Publish(func(v *view.View) {
 		v.Upstreams = catalogue.NewSnapshot(all)
 		v.Tables = tables
 	})
 }
 
 func (s *simulation) execute(h *simHost, a Action) {
-	life, p := h.incarnation, h.planner
+	starts, planner := h.starts, h.planner
 	// deliver hands a result back unless the host has restarted; a frozen
 	// host gets it when it wakes.
 	deliver := func(f func()) {
 		s.after(s.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
 			wait := max(h.stalledUntil.Sub(s.now), 0)
 			s.after(wait, func() {
-				if h.incarnation == life && h.planner == p {
+				if h.starts == starts && h.planner == planner {
 					f()
 				}
 			})
@@ -219,21 +219,21 @@
 		s.append(h, a, deliver)
 	case *Grant:
 		if a.ExistingConnOnly && !s.allowDials && h.connectedTo[a.Addr] != s.upstream(a.Addr).incarnation {
-			deliver(func() { p.GrantDone(a, ownership.ErrNotSent, s.now) })
+			deliver(func() { planner.GrantDone(a, ownership.ErrNotSent, s.now) })
 			return
 		}
 		h.connectedTo[a.Addr] = s.upstream(a.Addr).incarnation
 		s.callUpstream(h, a.Addr, func(arrived bootclock.Time) error { return s.grant(a, arrived) }, 0, true,
-			func(err error) { deliver(func() { p.GrantDone(a, err, s.now) }) })
+			func(err error) { deliver(func() { planner.GrantDone(a, err, s.now) }) })
 	case *Release:
 		s.callUpstream(h, a.Addr, func(bootclock.Time) error { return s.release(a) }, s.randomDuration(0, 1500*time.Millisecond), false,
-			func(err error) { deliver(func() { p.ReleaseDone(a, "token", err, s.now) }) })
+			func(err error) { deliver(func() { planner.ReleaseDone(a, "token", err, s.now) }) })
 	}
 }
 
-func (s *simulation) acquireLease(h *simHost, j *AcquireLease, deliver func(func())) {
+func (s *simulation) acquireLease(h *simHost, a *AcquireLease, deliver func(func())) {
 	if s.now.Before(h.logUnreachableUntil) {
-		deliver(func() { h.planner.AcquireLeaseDone(j, false, metastore.ErrRejected, s.now) })
+		deliver(func() { h.planner.AcquireLeaseDone(a, false, metastore.ErrRejected, s.now) })
 		return
 	}
 	if !s.now.Before(s.leaseUntil) {
@@ -242,26 +242,26 @@
 	}
 	held := s.leaseHolder == h.name
 	if held {
-		s.leaseUntil = s.now.Add(j.TTL)
+		s.leaseUntil = s.now.Add(a.TTL)
 	}
-	deliver(func() { h.planner.AcquireLeaseDone(j, held, nil, s.now) })
+	deliver(func() { h.planner.AcquireLeaseDone(a, held, nil, s.now) })
 }
 
 // retire asks another host. One that stands still does not answer.
 func (s *simulation) retire(h *simHost, r *Retire, deliver func(func())) {
-	p := h.planner
-	i := slices.IndexFunc(s.hosts, func(o *simHost) bool { return o.name == r.Host })
-	asked := s.hosts[i]
-	if s.now.Before(asked.stalledUntil) || s.rng.Float64() < s.faults.answerLost {
-		s.after(callTimeout, func() { deliver(func() { p.RetireDone(r, "", false, s.now) }) })
+	planner := h.planner
+	i := slices.IndexFunc(s.hosts, func(other *simHost) bool { return other.name == r.Host })
+	peer := s.hosts[i]
+	if s.now.Before(peer.stalledUntil) || s.rng.Float64() < s.faults.answerLost {
+		s.after(callTimeout, func() { deliver(func() { planner.RetireDone(r, "", false, s.now) }) })
 		return
 	}
-	retired := asked.planner.Retire(r.Service, r.Term, s.now)
-	deliver(func() { p.RetireDone(r, asked.name, retired, s.now) })
+	retired := peer.planner.Retire(r.Service, r.Term, s.now)
+	deliver(func() { planner.RetireDone(r, peer.name, retired, s.now) })
 }
 
 func (s *simulation) append(h *simHost, a *Append, deliver func(func())) {
-	p := h.planner
+	planner := h.planner
 	write := func() error {
 		if int64(len(s.log)) != a.ExpectedOffset {
 			return metastore.ErrConflict
@@ -272,8 +272,8 @@
 	done := func(err error) {
 		end := int64(len(s.log))
 		deliver(func() {
-			if t := p.AppendDone(a, end, err, s.now); t != nil {
-				h.view.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{simService: t} })
+			if t := planner.AppendDone(a, end, err, s.now); t != nil {
+				h.publisher.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{simService: t} })
 			}
 		})
 	}
@@ -300,13 +300,13 @@
 // callUpstream delivers an order after a short way, or does not, and hands its
 // result to answered. The upstream carries it out on arrival and answers
 // after work.
-func (s *simulation) callUpstream(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayBeLate bool, answered func(error)) {
+func (s *simulation) callUpstream(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayArriveLate bool, done func(error)) {
 	if s.now.Before(h.unreachableUntil[id]) || !s.upstream(id).up {
 		err := ownership.ErrNotSent
 		if s.rng.IntN(3) == 0 {
 			err = ownership.ErrNoAnswer
 		}
-		s.after(callTimeout, func() { answered(err) })
+		s.after(callTimeout, func() { done(err) })
 		return
 	}
 	x := s.rng.Float64()
@@ -315,13 +315,13 @@
 		switch {
 		case x < s.faults.answerLost, x < answerOutageLossRate && s.now.Before(s.upstream(id).answersLostUntil):
 			_ = do(arrived)
-			s.after(callTimeout, func() { answered(ownership.ErrNoAnswer) })
-		case mayBeLate && x < s.faults.answerLost+s.faults.callLate:
+			s.after(callTimeout, func() { done(ownership.ErrNoAnswer) })
+		case mayArriveLate && x < s.faults.answerLost+s.faults.callLate:
 			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
-			s.after(callTimeout, func() { answered(ownership.ErrNoAnswer) })
+			s.after(callTimeout, func() { done(ownership.ErrNoAnswer) })
 		default:
 			err := do(arrived)
-			s.after(work, func() { answered(err) })
+			s.after(work, func() { done(err) })
 		}
 	})
 }
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -55,9 +55,9 @@
 	s.injectUpstreamFaults()
 	if !s.steadyLoad && s.rng.IntN(100) == 0 {
 		clear(s.loadByKey)
-		busy := s.rng.IntN(ownership.KeySpaceSize - busyRegionSize)
+		regionStart := s.rng.IntN(ownership.KeySpaceSize - busyRegionSize)
 		for range 40 {
-			s.loadByKey[busy+s.rng.IntN(busyRegionSize)] = s.rng.Float64() * 10
+			s.loadByKey[regionStart+s.rng.IntN(busyRegionSize)] = s.rng.Float64() * 10
 		}
 	}
 }
--- a/internal/planner/simupstream_test.go
+++ b/internal/planner/simupstream_test.go
@@ -26,16 +26,16 @@
 		return ownership.ErrNoAnswer
 	}
 	r := g.Range
-	for _, h := range u.tokensSeen {
-		if h.from <= r.To && r.From <= h.to && h.fencingToken > r.FencingToken {
+	for _, seen := range u.tokensSeen {
+		if seen.from <= r.To && r.From <= seen.to && seen.fencingToken > r.FencingToken {
 			return ownership.ErrFenced
 		}
 	}
-	until := arrived.Add(time.Duration(float64(g.TTL) * 1.02 * s.overstayFactor))
+	expiresAt := arrived.Add(time.Duration(float64(g.TTL) * 1.02 * s.overstayFactor))
 	u.tokensSeen = removeKeys(u.tokensSeen, r.From, r.To)
 	u.tokensSeen = append(u.tokensSeen, simGrant{r.From, r.To, r.FencingToken, 0})
 	u.grants = removeKeys(u.grants, r.From, r.To)
-	u.grants = append(u.grants, simGrant{r.From, r.To, r.FencingToken, until})
+	u.grants = append(u.grants, simGrant{r.From, r.To, r.FencingToken, expiresAt})
 	s.granted = true
 	return nil
 }
@@ -49,20 +49,20 @@
 	return nil
 }
 
-func removeKeys(hs []simGrant, from, to int) []simGrant {
+func removeKeys(grants []simGrant, from, to int) []simGrant {
 	var out []simGrant
-	for _, h := range hs {
-		if h.to < from || h.from > to {
-			out = append(out, h)
+	for _, g := range grants {
+		if g.to < from || g.from > to {
+			out = append(out, g)
 			continue
 		}
-		if h.from < from {
-			left := h
+		if g.from < from {
+			left := g
 			left.to = from - 1
 			out = append(out, left)
 		}
-		if h.to > to {
-			right := h
+		if g.to > to {
+			right := g
 			right.from = to + 1
 			out = append(out, right)
 		}
@@ -72,21 +72,21 @@
 
 // checkExclusive is the oracle: no key is held by two upstreams that are up.
 func (s *simulation) checkExclusive() error {
-	type held struct {
+	type ownedGrant struct {
 		simGrant
 		by string
 	}
-	var all []held
+	var all []ownedGrant
 	for _, u := range s.upstreams {
 		if !u.up {
 			continue
 		}
-		u.grants = slices.DeleteFunc(u.grants, func(h simGrant) bool { return h.expiresAt <= s.now })
-		for _, h := range u.grants {
-			all = append(all, held{h, u.id})
+		u.grants = slices.DeleteFunc(u.grants, func(g simGrant) bool { return g.expiresAt <= s.now })
+		for _, g := range u.grants {
+			all = append(all, ownedGrant{g, u.id})
 		}
 	}
-	slices.SortFunc(all, func(a, b held) int { return a.from - b.from })
+	slices.SortFunc(all, func(a, b ownedGrant) int { return a.from - b.from })
 	for i := 1; i < len(all); i++ {
 		a, b := all[i-1], all[i]
 		if b.from <= a.to && a.by != b.by {
