--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -14,9 +14,9 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// simulation plays several hosts' planners against one log and a set of upstreams in
-// virtual time, with faults drawn from a seed. After every step it checks
-// that no key is held by two upstreams that are up.
+// simulation runs the planners of several hosts in virtual time against one
+// ownership stream and a set of upstreams, with random faults. After each new
+// grant it checks that no two running upstreams own the same key.
 type simulation struct {
 	rng       *rand.Rand
 	now       bootclock.Time
@@ -24,42 +24,48 @@
 	queue     []simEvent
 	hosts     []*simHost
 	upstreams []*simUpstream
-	log       []*ownership.Table
-	// seat is the group's state.
+	// log is the ownership stream.
+	log []*ownership.Table
+	// leaseHolder holds the planner lease until leaseUntil.
 	leaseHolder string
 	leaseUntil  bootclock.Time
 
 	opts      Options
 	faults    faults
 	loadByKey []float64
-	// steadyLoad keeps the load as it is.
+	// steadyLoad disables random changes of loadByKey.
 	steadyLoad bool
-	// allowDials makes hosts open connections for grants whenever they like.
+	// allowDials makes hosts ignore Grant.ExistingConnOnly.
 	allowDials bool
-	// overstayFactor is how much longer than told upstreams hold, as a factor.
+	// overstayFactor multiplies the time for which upstreams keep a grant.
 	overstayFactor float64
-	// granted is set by each grant that an upstream takes.
+	// granted is set when an upstream accepts a grant.
 	granted bool
 }
 
+// simEvent is a call of do scheduled for time at.
 type simEvent struct {
 	at bootclock.Time
 	do func()
 }
 
+// simHost is a host that runs a planner.
 type simHost struct {
 	name                string
 	planner             *Planner
 	publisher           *view.Publisher
-	recordsRead         int // records of the log seen
+	recordsRead         int
 	stalledUntil        bootclock.Time
-	logUnreachableUntil bootclock.Time // from the log
-	unreachableUntil    map[string]bootclock.Time
-	// connectedTo are the lives of upstreams to which a connection is open.
+	logUnreachableUntil bootclock.Time
+	// unreachableUntil is when each upstream can be reached again.
+	unreachableUntil map[string]bootclock.Time
+	// connectedTo is the incarnation of each upstream to which a connection is open.
 	connectedTo map[string]int
-	starts      int
+	// starts counts the starts of the host's planner.
+	starts int
 }
 
+// simGrant is a grant that an upstream has accepted.
 type simGrant struct {
 	from, to     int
 	fencingToken int64
@@ -71,13 +77,13 @@
 	up      bool
 	listed  bool
 	leaving bool
-	// incarnation counts its starts. Each forgets the holds and tokens of the one
-	// before.
+	// incarnation counts its restarts. Each one forgets all grants and tokens.
 	incarnation int
-	// answersLostUntil is until when most of its answers are lost.
+	// answersLostUntil is when most of its answers stop getting lost.
 	answersLostUntil bootclock.Time
 	grants           []simGrant
-	tokensSeen       []simGrant // highest token seen, by run of keys
+	// tokensSeen holds the highest fencing token seen for each span of keys.
+	tokensSeen []simGrant
 }
 
 const simService = "svc"
@@ -100,7 +106,7 @@
 	s.upstreams = append(s.upstreams, &simUpstream{id: id, up: true, listed: true})
 }
 
-// restartHost gives the host a planner that knows nothing.
+// restartHost replaces the host's planner and view by new ones.
 func (s *simulation) restartHost(h *simHost) {
 	h.starts++
 	h.recordsRead = 0
@@ -116,6 +122,7 @@
 	})
 }
 
+// after schedules do. Calls that are due at the same time run in the order of scheduling.
 func (s *simulation) after(d time.Duration, do func()) {
 	at := s.now.Add(d)
 	i, _ := slices.BinarySearchFunc(s.queue, at, func(e simEvent, at bootclock.Time) int {
@@ -127,6 +134,7 @@
 	s.queue = slices.Insert(s.queue, i, simEvent{at, do})
 }
 
+// faultOccurs draws whether a fault with the given rate occurs within step.
 func (s *simulation) faultOccurs(perSecond float64, step time.Duration) bool {
 	return s.rng.Float64() < perSecond*step.Seconds()
 }
@@ -137,7 +145,7 @@
 
 const simStep = 20 * time.Millisecond
 
-// run plays for d and returns the first breach of ownership.
+// run simulates d and returns an error once a key has two owners.
 func (s *simulation) run(d time.Duration) error {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simStep) {
 		for len(s.queue) > 0 && s.queue[0].at <= s.now {
@@ -145,7 +153,7 @@
 			s.queue = s.queue[1:]
 			do()
 			if !s.granted {
-				continue // without a new grant no key gets a second holder
+				continue // only a new grant can give a key a second owner
 			}
 			s.granted = false
 			if err := s.checkExclusive(); err != nil {
@@ -172,7 +180,7 @@
 	}
 }
 
-// updateView brings the host's view up to date.
+// updateView updates the host's view with the listed upstreams and the latest table.
 func (s *simulation) updateView(h *simHost) {
 	all := map[string]*catalogue.Upstream{}
 	for _, u := range s.upstreams {
@@ -192,10 +200,11 @@
 	})
 }
 
+// execute makes the call that a planner asked for and delivers its result.
 func (s *simulation) execute(h *simHost, a Action) {
 	starts, planner := h.starts, h.planner
-	// deliver hands a result back unless the host has restarted; a frozen
-	// host gets it when it wakes.
+	// deliver passes a result back unless the host has restarted. A stalled
+	// host gets it after the stall.
 	deliver := func(f func()) {
 		s.after(s.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
 			wait := max(h.stalledUntil.Sub(s.now), 0)
@@ -231,6 +240,8 @@
 	}
 }
 
+// acquireLease requests the planner lease, which goes to the first host that asks
+// after it has expired.
 func (s *simulation) acquireLease(h *simHost, a *AcquireLease, deliver func(func())) {
 	if s.now.Before(h.logUnreachableUntil) {
 		deliver(func() { h.planner.AcquireLeaseDone(a, false, metastore.ErrRejected, s.now) })
@@ -247,7 +258,7 @@
 	deliver(func() { h.planner.AcquireLeaseDone(a, held, nil, s.now) })
 }
 
-// retire asks another host. One that stands still does not answer.
+// retire asks another host to retire. A stalled host does not answer.
 func (s *simulation) retire(h *simHost, r *Retire, deliver func(func())) {
 	planner := h.planner
 	i := slices.IndexFunc(s.hosts, func(other *simHost) bool { return other.name == r.Host })
@@ -260,6 +271,7 @@
 	deliver(func() { planner.RetireDone(r, peer.name, retired, s.now) })
 }
 
+// append appends the table to the ownership stream, subject to the simulated faults.
 func (s *simulation) append(h *simHost, a *Append, deliver func(func())) {
 	planner := h.planner
 	write := func() error {
@@ -291,15 +303,15 @@
 	}
 }
 
-// mutedShare is how many answers of a mute upstream are lost.
+// answerOutageLossRate is the fraction of an upstream's answers lost during an answer outage.
 const answerOutageLossRate = 0.85
 
-// orderTimeout is how long a host waits for an order's answer.
+// callTimeout is how long a host waits for the answer to a call.
 const callTimeout = 300 * time.Millisecond
 
-// callUpstream delivers an order after a short way, or does not, and hands its
-// result to answered. The upstream carries it out on arrival and answers
-// after work.
+// callUpstream delivers a call after a short network delay, unless a fault prevents
+// it, and passes the result to done. The upstream executes the call on arrival and
+// answers after work.
 func (s *simulation) callUpstream(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayArriveLate bool, done func(error)) {
 	if s.now.Before(h.unreachableUntil[id]) || !s.upstream(id).up {
 		err := ownership.ErrNotSent
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -8,27 +8,27 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// faults are the chances of each fault, per call or per second.
+// faults holds the probability of each fault, per call or per second.
 type faults struct {
-	answerLost        float64 // order delivered, answer lost
-	callLate          float64 // order delivered, carried out 2 to 12 s later, no answer
-	answerOutage      float64 // a second: most of an upstream's answers are lost for a while
-	upstreamPartition float64 // a second: a host loses the way to an upstream for a while
-	appendAnswerLost  float64 // record written, answer lost
-	appendLate        float64 // record written 1 to 6 s later if its condition holds
-	logPartition      float64 // a second: a host is refused by the log for a while
-	leaseChange       float64 // a second: the seat is dealt anew
-	stall             float64 // a second: a host stands still for a while
-	crash             float64 // a second: an upstream dies; another life starts
-	restart           float64 // a second: an upstream starts again under its ID
-	leave             float64 // a second: an upstream starts to leave; another starts
-	hostRestart       float64 // a second: a host's planner starts anew
+	answerLost        float64 // per call: executed, answer lost
+	callLate          float64 // per grant: executed 2 to 12 s later, no answer
+	answerOutage      float64 // per second: most of an upstream's answers are lost for a while
+	upstreamPartition float64 // per second: a host cannot reach an upstream for a while
+	appendAnswerLost  float64 // per append: record written, answer lost
+	appendLate        float64 // per append: record written 1 to 6 s later if the stream still ends at the expected offset
+	logPartition      float64 // per second: the log service rejects a host's calls for a while
+	leaseChange       float64 // per second: the planner lease goes to a random host
+	stall             float64 // per second: a host stalls for a while
+	crash             float64 // per second: an upstream ends for good; a new one registers
+	restart           float64 // per second: an upstream restarts under its ID
+	leave             float64 // per second: an upstream starts to leave; a new one registers
+	hostRestart       float64 // per second: a host's planner restarts
 }
 
-// busyRegion is how many neighbouring keys take all the load.
+// busyRegionSize is the number of adjacent keys among which all load is placed.
 const busyRegionSize = 1024
 
-// injectFaults draws this step's faults.
+// injectFaults draws the faults of one step, and now and then a new load.
 func (s *simulation) injectFaults() {
 	f := s.faults
 	if s.faultOccurs(f.leaseChange, simStep) {
@@ -62,6 +62,7 @@
 	}
 }
 
+// injectUpstreamFaults draws the faults of the upstreams themselves.
 func (s *simulation) injectUpstreamFaults() {
 	for _, u := range slices.Clone(s.upstreams) {
 		if !u.up || !u.listed || u.leaving {
--- a/internal/planner/simupstream_test.go
+++ b/internal/planner/simupstream_test.go
@@ -9,6 +9,7 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
+// upstream returns the upstream with the ID. It panics if there is none.
 func (s *simulation) upstream(id string) *simUpstream {
 	for _, u := range s.upstreams {
 		if u.id == id {
@@ -18,8 +19,9 @@
 	panic("no upstream " + id)
 }
 
-// grant is the upstream's side of a grant: refused if a higher token was
-// seen; held from the arrival on, by a clock that runs 2% slow.
+// grant executes a grant at its upstream. It returns ErrFenced if the upstream
+// has seen a higher token. The TTL counts from the arrival, by a clock that runs
+// 2% slow.
 func (s *simulation) grant(g *Grant, arrived bootclock.Time) error {
 	u := s.upstream(g.Addr)
 	if !u.up {
@@ -40,6 +42,7 @@
 	return nil
 }
 
+// release executes a release at its upstream.
 func (s *simulation) release(r *Release) error {
 	u := s.upstream(r.Addr)
 	if !u.up {
@@ -49,6 +52,7 @@
 	return nil
 }
 
+// removeKeys removes the keys from..to from the grants.
 func removeKeys(grants []simGrant, from, to int) []simGrant {
 	var out []simGrant
 	for _, g := range grants {
@@ -70,11 +74,11 @@
 	return out
 }
 
-// checkExclusive is the oracle: no key is held by two upstreams that are up.
+// checkExclusive returns an error if two running upstreams own the same key.
 func (s *simulation) checkExclusive() error {
 	type ownedGrant struct {
 		simGrant
-		by string
+		owner string
 	}
 	var all []ownedGrant
 	for _, u := range s.upstreams {
@@ -89,9 +93,9 @@
 	slices.SortFunc(all, func(a, b ownedGrant) int { return a.from - b.from })
 	for i := 1; i < len(all); i++ {
 		a, b := all[i-1], all[i]
-		if b.from <= a.to && a.by != b.by {
-			return fmt.Errorf("after %v: keys %d to %d are held by %s (token %d, %v left) and %s (token %d, %v left)",
-				s.now.Sub(bootclock.Time(time.Hour)), b.from, min(a.to, b.to), a.by, a.fencingToken, a.expiresAt.Sub(s.now), b.by, b.fencingToken, b.expiresAt.Sub(s.now))
+		if b.from <= a.to && a.owner != b.owner {
+			return fmt.Errorf("after %v: keys %d to %d are owned by both %s (token %d, %v left) and %s (token %d, %v left)",
+				s.now.Sub(bootclock.Time(time.Hour)), b.from, min(a.to, b.to), a.owner, a.fencingToken, a.expiresAt.Sub(s.now), b.owner, b.fencingToken, b.expiresAt.Sub(s.now))
 		}
 	}
 	return nil
