--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -11,7 +11,7 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// harness drives one planner by hand.
+// harness drives a single planner and completes its calls.
 type harness struct {
 	t         *testing.T
 	p         *Planner
@@ -20,10 +20,11 @@
 	table     *ownership.Table
 	publisher *view.Publisher
 	streamEnd int64
-	// warmUp is how long keys are slow without a handover.
+	// warmUp is how long requests for keys are slow after a move without a handover.
 	warmUp time.Duration
 }
 
+// newHarness returns a harness with the given upstreams listed.
 func newHarness(t *testing.T, ids ...string) *harness {
 	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), upstreams: map[string]*catalogue.Upstream{}, publisher: view.NewPublisher()}
 	h.p.opts.Host = "me"
@@ -34,6 +35,7 @@
 	return h
 }
 
+// publishView publishes the harness's upstreams and table to the planner's view.
 func (h *harness) publishView() {
 	h.publisher.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true, WarmUp: h.warmUp}}, desired.Limits{})
@@ -44,7 +46,8 @@
 	})
 }
 
-// simulate ticks for d; answer gives each order's result, nil errors by default.
+// simulate ticks the planner for d, completes each call with the error that answer
+// returns for it, and returns the calls.
 func (h *harness) simulate(d time.Duration, answer func(Action) error) []Action {
 	var all []Action
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
@@ -56,6 +59,8 @@
 	return all
 }
 
+// complete passes the result of a call to the planner. Lease requests that succeed
+// get the lease.
 func (h *harness) complete(a Action, err error) {
 	switch a := a.(type) {
 	case *AcquireLease:
@@ -76,7 +81,7 @@
 
 func succeedAll(Action) error { return nil }
 
-// owns reports whether the table gives the owner any key.
+// owns reports whether the owner owns any key in the table.
 func owns(t *ownership.Table, owner string) bool {
 	for _, r := range t.Ranges {
 		if r.Owner == owner {
@@ -86,20 +91,20 @@
 	return false
 }
 
-// simulateUntilMoved plays until a owns nothing and returns how long that took.
+// simulateUntilMoved simulates until upstream a owns no key and returns how long that took.
 func (h *harness) simulateUntilMoved(answer func(Action) error) time.Duration {
 	h.t.Helper()
 	start := h.now
 	for owns(h.table, "a") {
 		if h.now.Sub(start) > 30*time.Second {
-			h.t.Fatal("a's keys never moved")
+			h.t.Fatal("upstream a still owns keys after 30 s")
 		}
 		h.simulate(simStep, answer)
 	}
 	return h.now.Sub(start)
 }
 
-// upstreamADown answers as a dead upstream a and healthy others would.
+// upstreamADown fails the grants to upstream a and all releases.
 func upstreamADown(a Action) error {
 	switch a := a.(type) {
 	case *Grant:
@@ -112,7 +117,7 @@
 	return nil
 }
 
-// tableOfOtherPlanner is the table as another host's next term would record it.
+// tableOfOtherPlanner returns the first record of a next term of another host.
 func (h *harness) tableOfOtherPlanner() *ownership.Table {
 	return h.table.TakeOver("other", "other:1")
 }
--- a/internal/planner/limiter_test.go
+++ b/internal/planner/limiter_test.go
@@ -8,9 +8,9 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// reassignedAfterLoss plays the loss of the first n of sixty owners, each asked for six tenths
-// of what it can do, for d, and returns the part of the lost owners' keys that have
-// another owner by then.
+// reassignedAfterLoss simulates the loss of the first n of sixty owners, each loaded to
+// 60% of its capacity, and returns the fraction of the lost owners' keys that have
+// another owner after d.
 func reassignedAfterLoss(t *testing.T, n int, d time.Duration) float64 {
 	t.Helper()
 	h, ids := newHarnessWithOwners(t, 60)
@@ -60,20 +60,19 @@
 	return float64(reassigned) / float64(keys)
 }
 
-// A cut takes a third of the owners away for some seconds. Their keys were placed
-// on the others at once, slow as keys are that come without a handover, and the
-// others were asked for twice what they could do. A part of the keys is placed
-// now, as much as the others can bear, and the rest within half a minute. The keys
-// of a few lost owners are all placed as soon as nobody can hold them.
+// A partition makes a third of the owners unreachable for some seconds. Their keys are
+// slow after a reassignment without a handover; when the other owners got all of them at
+// once, their load was twice their capacity. Only as many as fit that capacity may move
+// at once, the rest within 30 s. A few owners' keys move as soon as their grants expire.
 func TestManyLostOwnersKeysAreReassignedWithinCapacity(t *testing.T) {
 	const grantsExpired = 6 * time.Second
 	if reassigned := reassignedAfterLoss(t, 2, grantsExpired); reassigned < 1 {
-		t.Errorf("%.2f of the keys of two lost owners have another after %v", reassigned, grantsExpired)
+		t.Errorf("fraction %.2f of two lost owners' keys have another owner after %v, want all", reassigned, grantsExpired)
 	}
 	if reassigned := reassignedAfterLoss(t, 20, grantsExpired); reassigned < 0.1 || reassigned > 0.6 {
-		t.Errorf("%.2f of the keys of twenty lost owners have another after %v", reassigned, grantsExpired)
+		t.Errorf("fraction %.2f of twenty lost owners' keys have another owner after %v, want 0.1 to 0.6", reassigned, grantsExpired)
 	}
 	if reassigned := reassignedAfterLoss(t, 20, 30*time.Second); reassigned < 1 {
-		t.Errorf("%.2f of them have another after 30 s", reassigned)
+		t.Errorf("fraction %.2f of twenty lost owners' keys have another owner after 30 s, want all", reassigned)
 	}
 }
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -9,8 +9,8 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// newHarnessWithOwners is a harness with so many upstreams, which have their keys, and
-// samples enough for load to be looked at.
+// newHarnessWithOwners returns a harness with n upstreams among which all keys have
+// been assigned, and the upstreams' IDs.
 func newHarnessWithOwners(t *testing.T, n int) (*harness, []string) {
 	var ids []string
 	for i := range n {
@@ -21,8 +21,9 @@
 	return h, ids
 }
 
-// setBusyKeys makes the planner see equal load on all keys but those from first
-// on, which are asked for ten times as much.
+// setBusyKeys gives all keys the same load, except for a twentieth of the key space
+// from *first on, whose load is ten times as high. The estimate rests on enough
+// requests for load moves.
 func (h *harness) setBusyKeys(first *int) {
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		byKey := make([]float64, ownership.KeySpaceSize)
@@ -40,9 +41,9 @@
 	}
 }
 
-// A cut takes half of sixty owners away: their keys wait three seconds for
-// leases to run out. Callers of keys at an overloaded owner that lives must not
-// wait for that too: its keys move meanwhile.
+// A partition makes half of sixty owners unreachable, and the moves of their keys wait
+// 3 s until the grants have expired. These moves must not use up the budget for load
+// moves: an overloaded owner that is reachable must be relieved meanwhile.
 func TestLostOwnersDoNotBlockLoadMoves(t *testing.T) {
 	h, ids := newHarnessWithOwners(t, 60)
 	unreachable := map[string]bool{}
@@ -64,7 +65,7 @@
 	}
 	h.simulate(testOptions.GrantTTL*7/10, answer)
 	if lost := len(h.table.Lost); lost != 30 {
-		t.Fatalf("the play is wrong: %d owners are lost", lost)
+		t.Fatalf("setup: %d owners are lost, want 30", lost)
 	}
 	first := 0
 	for h.table.Find(first).Owner != ids[45] {
@@ -74,14 +75,14 @@
 	before := h.table
 	h.simulate(500*time.Millisecond, answer)
 	if moved := h.table.KeysMovedSince(before); moved == 0 {
-		t.Error("no key of an overloaded owner moved while others were lost")
+		t.Error("no key of an overloaded owner moved while other owners were lost")
 	}
 }
 
-// An owner is asked for half as much again as its share, and the answer to one
-// of its grants was lost. Taken from it now, its keys would have no owner until
-// that grant has run out, three seconds; callers are served, if late, while they
-// stay. Once the lost grant counts no more they move.
+// An owner has 1.5 times its share of the load, and the answer to one of its grants was
+// lost. Keys taken from it now would have no owner until that grant has expired, 3 s
+// later; while they stay, requests for them are slow but served. They must move only
+// once the grant has expired.
 func TestNoLoadMoveWhileOwnersGrantIsUnanswered(t *testing.T) {
 	h, ids := newHarnessWithOwners(t, 20)
 	overloaded := ids[7]
@@ -108,30 +109,30 @@
 		return nil
 	}
 	for !answerLost {
-		// A grant's answer is lost before load is looked at.
+		// Postpone the load check until a grant's answer has been lost.
 		h.p.services[simService].nextRebalance = h.now.Add(rebalanceInterval)
 		h.simulate(simStep, answer)
 	}
 	before := h.table
 	h.simulate(2*time.Second, answer)
 	if n := len(h.p.services[simService].moves); n > 0 {
-		t.Errorf("%d ranges were taken from their owner that no other may serve for seconds", n)
+		t.Errorf("%d moves started while the owner's grant was unanswered", n)
 	}
 	h.simulate(2*time.Second, answer)
 	if h.table.KeysMovedSince(before) == 0 {
-		t.Error("the overloaded owner is not relieved afterwards")
+		t.Error("no key moved off the overloaded owner after the unanswered grant had expired")
 	}
 }
 
-// Load shifts all the time. Each record of the table goes to every host of the
-// fleet: those for load alone come no closer than gatherMoves.
+// Each record of the table goes to every host of the fleet. When load shifts all the
+// time, records that contain only load moves must be at least loadRecordInterval apart.
 func TestLoadMoveRecordsAreBatched(t *testing.T) {
 	h, _ := newHarnessWithOwners(t, 60)
 	first := 0
 	h.setBusyKeys(&first)
 	records := 0
 	const duration = 2 * time.Second
-	var releases []Action // answered one a step, as the work under way ends
+	var releases []Action // one is answered per step, as requests in flight complete
 	for end := h.now.Add(duration); h.now.Before(end); h.now = h.now.Add(simStep) {
 		for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
 			if record, ok := a.(*Append); ok && record.Cause == causeLoad {
@@ -152,6 +153,6 @@
 		}
 	}
 	if maxRecords := int(duration/loadRecordInterval) + 1; records == 0 || records > maxRecords {
-		t.Errorf("%d records of moves for load in %v, want 1 to %d", records, duration, maxRecords)
+		t.Errorf("%d records of load moves in %v, want 1 to %d", records, duration, maxRecords)
 	}
 }
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -14,14 +14,12 @@
 
 var testOptions = Options{Candidate: true, GrantTTL: 3 * time.Second, MaxViewAge: 6 * time.Second, LeaseTTL: 1200 * time.Millisecond}
 
-var allFaults = faults{answerLost: 0.05, callLate: 0.05, answerOutage: 0.05, upstreamPartition: 0.01, appendAnswerLost: 0.1, appendLate: 0.1, logPartition: 0.05,
+var allFaults = faults{answerLost: 0.05, grantLate: 0.05, answerOutage: 0.05, upstreamPartition: 0.01, appendAnswerLost: 0.1, appendLate: 0.1, logPartition: 0.05,
 	leaseChange: 0.1, stall: 0.03, crash: 0.01, restart: 0.02, leave: 0.02, hostRestart: 0.03}
 
-// Callers of one key must never reach two upstreams that both believe they
-// own it. Three hosts plan in turn while orders and records get lost or take
-// effect late, hosts are cut off, frozen and restarted, the seat is dealt
-// anew, and upstreams die and leave; after every step no key may be held
-// twice.
+// No key may ever have two owners. Three hosts are planner in turn while calls and
+// records get lost or take effect late, hosts are partitioned, stalled and restarted,
+// the planner lease changes hands, and upstreams crash, restart and leave.
 func TestNoKeyHasTwoOwners(t *testing.T) {
 	params := gopter.DefaultTestParameters()
 	params.MinSuccessfulTests = 60
@@ -41,10 +39,10 @@
 	p.TestingRun(t)
 }
 
-// Planners follow each other quickly while each is cut off from some
-// upstreams and from the log: one that was replaced still reaches upstreams
-// that its successors take for lost, and goes on sending to them for as long
-// as it may.
+// Guards against two owners when the planner changes often and each planner is
+// partitioned from some upstreams and from the log. A replaced planner can then still
+// reach upstreams that its successors consider lost, and goes on sending them grants
+// for as long as it may.
 func TestNoKeyHasTwoOwnersWhilePlannersArePartitioned(t *testing.T) {
 	partitions := faults{answerLost: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
 	seeds := uint64(120)
@@ -61,11 +59,13 @@
 	}
 }
 
-// Planners that were cut off from the log go on renewing, while upstreams end
-// and start again under their IDs at any moment of a move: a restarted one has
-// forgotten that it refused the cut-off planner's tokens.
-var restartFaults = faults{answerLost: 0.02, callLate: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.05, logPartition: 0.25, leaseChange: 0.3, stall: 0.05, restart: 0.15}
+// restartFaults combines partitions between planners and the log with frequent
+// restarts of upstreams.
+var restartFaults = faults{answerLost: 0.02, grantLate: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.05, logPartition: 0.25, leaseChange: 0.3, stall: 0.05, restart: 0.15}
 
+// Guards against two owners when planners that are partitioned from the log go on
+// renewing grants while upstreams restart under the same ID at any point of a move. A
+// restarted upstream has forgotten the newer tokens that made it reject such grants.
 func TestNoKeyHasTwoOwnersWhileUpstreamsRestart(t *testing.T) {
 	seeds := uint64(40)
 	if testing.Short() {
@@ -81,12 +81,11 @@
 	}
 }
 
-// A planner stands still for 4.5 s and is cut off from the log. Its successor has a range's owner acknowledge
-// the new token, takes the range from it and gives it to another upstream. The
-// old owner then restarts under its ID and knows of no token. The first planner
-// wakes before its view has run out and renews what it had granted: the
-// restarted upstream must not get the range, which is another's. Where planners
-// open connections for grants at any time, it does.
+// A planner stalls for 4.5 s, partitioned from the log. The next planner gets its token
+// acknowledged by a range's owner and moves the range. The old owner restarts under the
+// same ID and has forgotten the token. The first planner resumes before MaxViewAge has
+// passed and renews its grants; the restarted upstream must not get the range back. It
+// does if planners may open connections for grants at any time.
 func TestRestartedUpstreamGetsNoGrantFromReplacedPlanner(t *testing.T) {
 	simulate := func(dialsAllowed bool) error {
 		s := newSimulation(1, faults{}, testOptions)
@@ -114,7 +113,7 @@
 			}
 		}
 		if nextTerm.table.Find(moved.From).Owner != newOwner {
-			t.Fatal("the range has not moved")
+			t.Fatal("setup: the range has not moved")
 		}
 		oldOwner := s.upstream(moved.Owner)
 		oldOwner.incarnation++
@@ -125,22 +124,22 @@
 		t.Error(err)
 	}
 	if simulate(true) == nil {
-		t.Error("the play does not need the safeguard")
+		t.Error("no key had two owners although planners opened connections at any time: the test does not exercise the restriction")
 	}
 }
 
-// currentPlanner returns the host that holds the seat.
+// currentPlanner returns the host that holds the planner lease.
 func (s *simulation) currentPlanner() *simHost {
 	for _, h := range s.hosts {
 		if h.name == s.leaseHolder && s.now.Before(s.leaseUntil) {
 			return h
 		}
 	}
-	panic("nobody plans")
+	panic("no host holds the planner lease")
 }
 
-// Without faults the play must be a real one: keys get owners, grants are
-// kept up, and load moves keys.
+// Guards against a simulation that passes because nothing happens in it: without
+// faults every key must have an owner, grants must be renewed, and load must move keys.
 func TestFaultFreeSimulationAssignsEveryKey(t *testing.T) {
 	s := newSimulation(1, faults{}, testOptions)
 	if err := s.run(20 * time.Second); err != nil {
@@ -160,12 +159,12 @@
 		}
 	}
 	if covered != ownership.KeySpaceSize {
-		t.Fatalf("%d of %d keys are held", covered, ownership.KeySpaceSize)
+		t.Fatalf("%d of %d keys have an owner", covered, ownership.KeySpaceSize)
 	}
 }
 
-// The oracle itself must notice: upstreams that hold keys three times as long
-// as they are told are given successors too soon, and some seed shows it.
+// Checks that the simulation detects two owners of a key: if upstreams keep grants for
+// three times the TTL, keys are reassigned too early, and some seed must show it.
 func TestOracleDetectsEarlyMoves(t *testing.T) {
 	for seed := range uint64(40) {
 		s := newSimulation(seed, allFaults, testOptions)
@@ -174,5 +173,5 @@
 			return
 		}
 	}
-	t.Fatal("no seed of 40 showed two owners though upstreams overstay their leases")
+	t.Fatal("none of 40 seeds showed two owners although upstreams keep grants for three times the TTL")
 }
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -328,7 +328,7 @@
 		case x < s.faults.answerLost, x < answerOutageLossRate && s.now.Before(s.upstream(id).answersLostUntil):
 			_ = do(arrived)
 			s.after(callTimeout, func() { done(ownership.ErrNoAnswer) })
-		case mayArriveLate && x < s.faults.answerLost+s.faults.callLate:
+		case mayArriveLate && x < s.faults.answerLost+s.faults.grantLate:
 			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
 			s.after(callTimeout, func() { done(ownership.ErrNoAnswer) })
 		default:
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -11,7 +11,7 @@
 // faults holds the probability of each fault, per call or per second.
 type faults struct {
 	answerLost        float64 // per call: executed, answer lost
-	callLate          float64 // per grant: executed 2 to 12 s later, no answer
+	grantLate         float64 // per grant: executed 2 to 12 s later, no answer
 	answerOutage      float64 // per second: most of an upstream's answers are lost for a while
 	upstreamPartition float64 // per second: a host cannot reach an upstream for a while
 	appendAnswerLost  float64 // per append: record written, answer lost
