--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -11,9 +11,8 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// The planner's host is stopped as planned. Until its successor has renewed
-// them, its grants are kept up, but no keys are taken back that it could not
-// give to anybody.
+// A planner whose host is being shut down must go on renewing its grants until the next
+// planner does. It must not release keys, because it could not assign them to another owner.
 func TestResignedPlannerRenewsGrants(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
@@ -28,22 +27,22 @@
 		case *Grant:
 			grants++
 		case *AcquireLease, *Release, *Append:
-			t.Fatalf("a resigned planner sends %T", a)
+			t.Fatalf("a resigned planner made a call of type %T", a)
 		}
 	}
 	if grants == 0 {
-		t.Error("the grants are not renewed")
+		t.Error("a resigned planner does not renew its grants")
 	}
 }
 
-// An append is carried out and its answer lost; sent again it is refused, as
-// the stream has moved on. The planner must read the stream then, or every
-// later change of ownership would be refused too.
+// An append is executed but its answer is lost, so the retry fails because the stream
+// no longer ends at the expected offset. The planner must then read the stream, or every
+// later append would fail too.
 func TestPlannerReadsStreamAfterLostAppendAnswer(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	if !h.p.SoleWriter(h.now) {
-		t.Fatal("a calm planner reads what only it writes")
+		t.Fatal("a planner without failed calls is not the sole writer")
 	}
 	leaving := *h.upstreams["a"]
 	leaving.Leaving = true
@@ -56,18 +55,18 @@
 		return nil
 	})
 	if h.p.SoleWriter(h.now) {
-		t.Error("after a lost answer the stream is not read")
+		t.Error("the planner still relies on being the sole writer after a lost answer")
 	}
 	h.p.AdvanceStreamEnd(h.streamEnd + 1)
 	if !h.p.SoleWriter(h.now) {
-		t.Error("the stream is still read once its end is known")
+		t.Error("the planner is not the sole writer again once the end of the stream is known")
 	}
 }
 
-// The seat is lost while grants are under way, and regained with no other planner in
-// between. Their results came while the service had no term and were dropped: the
-// owners counted as having a grant under way for ever, and their keys could never be
-// taken back, nor moved once they had ended.
+// The lease is lost while grants are in flight and regained without another planner in
+// between. Their results arrived while the service had no term and were dropped: their
+// owners counted as having a grant in flight for good, so their keys could neither be
+// released nor moved once the owner had ended.
 func TestGrantResultsBetweenTermsAreCounted(t *testing.T) {
 	for _, result := range []error{nil, ownership.ErrNotSent, ownership.ErrNoAnswer} {
 		h := newHarness(t, "a", "b")
@@ -88,54 +87,54 @@
 			h.p.GrantDone(g, result, h.now)
 		}
 		if !h.p.Retire(simService, h.table.Term+1, h.now) {
-			t.Errorf("result %v: a grant still counts as under way", result)
+			t.Errorf("result %v: a completed grant still counts as in flight", result)
 		}
 		h.simulate(2*time.Second, succeedAll)
 		h.simulateUntilMoved(upstreamADown)
 	}
 }
 
-// A host with a weak link leaves the seat to others while one of them plans,
-// and takes it once none is seen any more.
+// A host that is not a candidate must not request the lease while another host is the
+// planner, and must acquire it once it sees no planner any more.
 func TestNonCandidatePlansOnlyWithoutOtherPlanner(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.p.opts.Candidate = false
 	for range 50 {
 		h.p.PlannerSeen(h.now)
 		if got := h.simulate(100*time.Millisecond, succeedAll); len(got) > 0 {
-			t.Fatalf("sends %T though another host plans", got[0])
+			t.Fatalf("a non-candidate made a call of type %T although another host is the planner", got[0])
 		}
 	}
 	h.simulate(noPlannerTimeout+5*time.Second, succeedAll)
 	if h.table == nil || !owns(h.table, "a") {
-		t.Error("nobody plans")
+		t.Error("no host is the planner")
 	}
 }
 
-// A fleet starts: the strong hosts' first table takes its time while the
-// upstreams register. A weak host that sought the seat meanwhile would get it
-// and plan for everybody.
+// When a fleet starts, the candidates publish no table until the upstreams have
+// registered. A non-candidate must not request the lease meanwhile: it would get it and
+// plan for the whole fleet.
 func TestNonCandidateWaitsDuringFleetStart(t *testing.T) {
 	h := newHarness(t)
 	h.p.opts.Candidate = false
 	if got := h.simulate(2*noPlannerTimeout, succeedAll); len(got) > 0 {
-		t.Fatalf("sends %T though no upstream is there to plan for", got[0])
+		t.Fatalf("a non-candidate made a call of type %T although no upstream is listed", got[0])
 	}
 	h.upstreams["a"] = &catalogue.Upstream{ID: "a", Service: simService, Addr: "a", Slots: 3}
 	h.publishView()
 	if got := h.simulate(noPlannerTimeout+minRegistrationWait-simStep, succeedAll); len(got) > 0 {
-		t.Fatalf("sends %T before a planner could have shown itself", got[0])
+		t.Fatalf("a non-candidate made a call of type %T before a planner could have published a table", got[0])
 	}
 	h.simulate(noPlannerTimeout, succeedAll)
 	if h.table == nil || !owns(h.table, "a") {
-		t.Error("nobody plans")
+		t.Error("no host is the planner")
 	}
 }
 
-// A weak host has the seat when a strong one is there again: it gives way, but
-// only after the other weak hosts have followed it for long enough to seek the
-// seat no more. Giving it up at once handed it to the next of them, and on,
-// with a term every half a second. If nobody takes it, it plans again.
+// A non-candidate that is the planner must step down, but only after the memberships of
+// the other non-candidates have lapsed. Stepping down at once passed the lease from one
+// of them to the next, with a new term every 0.5 s. If no host takes the lease over, the
+// non-candidate must acquire it again.
 func TestNonCandidatePlannerStepsDown(t *testing.T) {
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
@@ -144,35 +143,35 @@
 	}
 	for acquiredAt := h.now; h.now.Sub(acquiredAt) < 2*testOptions.LeaseTTL; h.simulate(simStep, succeedAll) {
 		if h.p.ShouldStepDown(h.now) {
-			t.Fatalf("gives way after %v", h.now.Sub(acquiredAt))
+			t.Fatalf("the planner steps down after only %v", h.now.Sub(acquiredAt))
 		}
 	}
 	h.simulate(time.Second, succeedAll)
 	if !h.p.ShouldStepDown(h.now) {
-		t.Fatal("does not give way")
+		t.Fatal("a non-candidate planner does not step down")
 	}
 	h.p.StepDown(h.now)
 	got := h.simulate(noPlannerTimeout-simStep, succeedAll)
 	if len(got) != 1 {
-		t.Fatalf("sends %v, want the end of its membership", got)
+		t.Fatalf("calls %v, want one ReleaseLease", got)
 	}
 	if _, ok := got[0].(*ReleaseLease); !ok {
-		t.Fatalf("sends %T, want the end of its membership", got[0])
+		t.Fatalf("call of type %T, want a ReleaseLease", got[0])
 	}
 	h.simulate(noPlannerTimeout, succeedAll)
 	if !h.p.HoldsLease(h.now) {
-		t.Error("nobody plans")
+		t.Error("no host is the planner")
 	}
 	h.p.opts.Candidate = true
 	h.simulate(5*time.Second, succeedAll)
 	if h.p.ShouldStepDown(h.now) {
-		t.Error("a strong planner gives way")
+		t.Error("a candidate steps down")
 	}
 }
 
-// A weak host sought the seat and did not get it; then it sees the planner. It
-// leaves the group: a member that stops its proofs may be dealt the seat until
-// its membership lapses, and nobody plans meanwhile.
+// A non-candidate that requested the lease without success and then sees the planner
+// must leave the election. A member that merely stops its requests can be assigned the
+// lease until its membership lapses, which leaves the fleet without a planner.
 func TestNonCandidateLeavesElectionOncePlannerIsSeen(t *testing.T) {
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
@@ -189,16 +188,16 @@
 	h.p.PlannerSeen(h.now)
 	got := h.simulate(noPlannerTimeout/2, succeedAll)
 	if len(got) != 1 {
-		t.Fatalf("sends %v, want the end of its membership", got)
+		t.Fatalf("calls %v, want one ReleaseLease", got)
 	}
 	if _, ok := got[0].(*ReleaseLease); !ok {
-		t.Errorf("sends %T, want the end of its membership", got[0])
+		t.Errorf("call of type %T, want a ReleaseLease", got[0])
 	}
 }
 
-// A weak host was cut off for ten seconds and saw no planner. When the cut
-// ends there is one all along: the host looks for it before it seeks the
-// seat, which would take it from the planner.
+// A non-candidate that was partitioned for 10 s has seen no planner meanwhile, although
+// there may be one. After the partition it must wait for the planner before it requests
+// the lease, because the request could take the lease from the planner.
 func TestNonCandidateWaitsForPlannerAfterPartition(t *testing.T) {
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
@@ -207,32 +206,31 @@
 	h.p.LogReconnected(h.now)
 	for _, a := range h.simulate(noPlannerTimeout/2, succeedAll) {
 		if _, ok := a.(*AcquireLease); ok {
-			t.Fatal("seeks the seat right after the cut")
+			t.Fatal("requests the lease right after the partition")
 		}
 	}
 }
 
-// The planner's host ends and the group gives its seat to this one, which
-// learns of it with its next proof only. The planner's silence makes that
-// proof come soon; without it keys would be planned for by nobody the longer.
+// After a crash of the planner's host the election assigns the lease to this host, which
+// learns that only from its next lease request. PlannerLost must bring that request
+// forward; until then there is no planner.
 func TestPlannerLostBringsLeaseRequestForward(t *testing.T) {
 	h := newHarness(t, "a")
 	h.simulate(simStep, func(Action) error { return metastore.ErrRejected })
 	if got := h.simulate(minAcquireInterval+simStep, succeedAll); len(got) > 0 {
-		t.Fatalf("sends %T while the planner is well", got[0])
+		t.Fatalf("made a call of type %T before the planner was lost", got[0])
 	}
 	h.p.PlannerLost()
 	h.simulate(simStep, succeedAll)
 	if !h.p.HoldsLease(h.now) {
-		t.Error("the seat is not sought")
+		t.Error("the lease was not requested and acquired after the planner was lost")
 	}
 }
 
-// A planner is cut off from the log for five seconds, and another gets its
-// seat. The first one reads of it as soon as the cut ends, when its own proof
-// of the seat is still younger than the time for which it may renew grants.
-// If it took over on that proof, the two would supersede each other and the
-// keys of lost upstreams would wait for what either may have sent.
+// A planner is partitioned from the log for 5 s and another host replaces it. When the
+// first one reads the new table, its last lease renewal is still younger than MaxViewAge.
+// It must not start a term on that renewal: the two planners would supersede each other,
+// and the keys of lost upstreams would wait for the grants of both to expire.
 func TestStaleLeaseRenewalStartsNoTerm(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(10*time.Second, succeedAll)
@@ -247,24 +245,24 @@
 	h.publishView()
 	for _, a := range h.simulate(500*time.Millisecond, logDown) {
 		if appended, ok := a.(*Append); ok {
-			t.Fatalf("records term %d on a proof of the seat from before the other planner's term", appended.Table.Term)
+			t.Fatalf("appends term %d on a lease renewal from before the other planner's term", appended.Table.Term)
 		}
 	}
 	h.simulate(500*time.Millisecond, succeedAll)
 	if h.table.Planner != "me" {
-		t.Error("does not take over once the seat is proved again")
+		t.Error("does not take over after the lease has been renewed")
 	}
 }
 
-// A planner's orders are refused because an upstream has seen a later one's
-// token. The planner reads the stream that it otherwise need not read, to
-// learn who plans; and upstreams that refuse are not lost: if they counted as
-// lost, all keys would stand without an owner once it plans again.
+// Upstreams reject a planner's grants because they have seen the token of a newer
+// planner. The planner must read the stream, which it otherwise need not, to find that
+// planner. The upstreams must not count as lost: no key would have an owner once the
+// host plans again.
 func TestFencedGrantsMakePlannerReadStream(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(10*time.Second, succeedAll)
 	if !h.p.SoleWriter(h.now) {
-		t.Fatal("a planner in peace reads the stream")
+		t.Fatal("a planner without fenced grants is not the sole writer")
 	}
 	lost := 0
 	h.p.OnEvent = func(e Event) {
@@ -279,33 +277,33 @@
 		return nil
 	})
 	if h.p.SoleWriter(h.now) {
-		t.Error("the stream is not read though another planner's token was seen")
+		t.Error("the planner still relies on being the sole writer although grants were fenced")
 	}
 	if lost > 0 {
-		t.Errorf("%d upstreams that answer are taken for lost", lost)
+		t.Errorf("%d upstreams that answered are considered lost", lost)
 	}
 }
 
-// The seat's holder writes a record before any key is divided: it shows the
-// other hosts whom to follow. The keys are divided once the upstreams had time
-// to register; the first one alone must not get them all.
+// The planner must write a record before it assigns any key: the record tells the other
+// hosts which planner to follow. Keys must be assigned only after the upstreams had time
+// to register, or the first one would get them all.
 func TestFirstRecordPrecedesFirstAssignment(t *testing.T) {
 	h := newHarness(t, "a")
 	h.simulate(minRegistrationWait/2, succeedAll)
 	if h.table == nil || owns(h.table, "a") {
-		t.Fatalf("after half the time to register the table is %+v", h.table)
+		t.Fatalf("want a table without owners after half of minRegistrationWait, got %+v", h.table)
 	}
 	h.upstreams["b"] = &catalogue.Upstream{ID: "b", Service: simService, Addr: "b", Slots: 3}
 	h.publishView()
 	h.simulate(minRegistrationWait, succeedAll)
 	if !owns(h.table, "a") || !owns(h.table, "b") || owns(h.table, "") {
-		t.Errorf("the keys are not divided among both: %+v", h.table.Ranges)
+		t.Errorf("the keys are not assigned to both upstreams: %+v", h.table.Ranges)
 	}
 }
 
-// A large fleet starts: its upstreams register over two seconds. Callers of
-// keys that lie with the first few would be refused for want of room while the
-// others own nothing, so the division waits until no more come.
+// The upstreams of a large fleet register over 2 s. The first assignment must wait until
+// no more register. Otherwise the first few would get all keys and, for lack of capacity,
+// requests for these would be refused while the other upstreams own nothing.
 func TestFirstAssignmentWaitsForLargeFleetToRegister(t *testing.T) {
 	h := newHarness(t)
 	h.simulate(registrationQuiet, succeedAll)
@@ -319,13 +317,13 @@
 	h.simulate(minRegistrationWait, succeedAll)
 	for id := range h.upstreams {
 		if !owns(h.table, id) {
-			t.Errorf("%s owns nothing", id)
+			t.Errorf("%s owns no keys", id)
 		}
 	}
 }
 
-// Upstreams go on registering without an end. Callers must be served all the
-// same: the keys are divided among those that are there after settleMost.
+// Upstreams that keep registering must not delay the first assignment forever: after
+// maxRegistrationWait the keys are assigned to those that have registered.
 func TestFirstAssignmentWaitIsBounded(t *testing.T) {
 	h := newHarness(t)
 	for elapsed := time.Duration(0); elapsed < maxRegistrationWait+registrationQuiet; elapsed += registrationQuiet / 2 {
@@ -335,13 +333,13 @@
 		h.simulate(registrationQuiet/2, succeedAll)
 	}
 	if h.table == nil || owns(h.table, "") {
-		t.Error("the keys are not divided while upstreams still come")
+		t.Error("the keys are not assigned while upstreams keep registering")
 	}
 }
 
-// A planner that was cut off from the log is told by an upstream that a
-// later planner is at work. It must send no further orders: they would all be
-// refused, hundreds a second, until its own view ends.
+// A planner that is partitioned from the log learns from a fenced grant that there is a
+// newer planner. It must make no further calls to upstreams: they would all be rejected,
+// hundreds per second, until its last lease renewal is older than MaxViewAge.
 func TestSupersededPlannerMakesNoCalls(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
@@ -357,7 +355,7 @@
 	fencedAt := bootclock.Time(0)
 	h.simulate(2*time.Second, func(a Action) error {
 		if _, ok := a.(*AcquireLease); !ok && fencedAt != 0 && fencedAt != h.now {
-			t.Errorf("%v after it was told, the superseded planner sends %T", h.now.Sub(fencedAt), a)
+			t.Errorf("%v after a grant was fenced, the superseded planner made a call of type %T", h.now.Sub(fencedAt), a)
 		}
 		err := logDown(a)
 		if _, ok := a.(*Grant); ok && fencedAt == 0 {
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -10,29 +10,28 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// The seat goes to another host and back while an upstream is dead. This
-// host's own term before knows when its last grant was sent; the dead
-// upstream's keys must not wait again for what an earlier planner may have
-// sent, ten seconds in which nobody serves them.
+// A host loses the planner lease and regains it while an upstream is down. Its past
+// term knows when the last grant was sent, so the upstream's keys must not wait for
+// grants that another planner may have sent: they would have no owner for 10 s.
 func TestOwnPastTermGivesExactGrantBounds(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	h.simulate(2*time.Second, upstreamADown)
-	// The seat is lost and won back without another planner in between.
+	// The lease is lost and regained without another planner in between.
 	h.p.dropTerms()
 	if took := h.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
-		t.Errorf("moved only %v after the second term began", took)
+		t.Errorf("keys moved %v after the start of the second term, want at most 1.5 grant TTLs", took)
 	}
 }
 
-// A planner marks a dead upstream as lost and is killed ten seconds into its
-// term. Its successor saw the mark: nothing was sent to that upstream since,
-// and its keys need not wait for the whole time that a planner may send.
+// A planner marks an upstream as lost and then crashes, more than 10 s into its term.
+// The next planner saw the mark, after which no grant was sent to the upstream, so the
+// upstream's keys must not wait for as long as the crashed planner might have sent grants.
 func TestNextPlannerUsesLostOwnerMark(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	next := New(testOptions)
 	next.opts.Host = "other"
-	// The other host follows the log all the while.
+	// The next planner's host follows the log throughout.
 	run := func(d time.Duration, answer func(Action) error) {
 		for end := h.now.Add(d); h.now.Before(end); {
 			h.simulate(simStep, answer)
@@ -42,19 +41,18 @@
 	run(12*time.Second, succeedAll)
 	run(1900*time.Millisecond, upstreamADown)
 	if !h.table.IsLost("a") || !owns(h.table, "a") {
-		t.Fatal("the play is wrong: a should be marked and still own keys")
+		t.Fatal("setup: upstream a should be marked as lost and still own keys")
 	}
 	h.p = next
 	next.AdvanceStreamEnd(h.streamEnd)
 	if took := h.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
-		t.Errorf("moved only %v after the successor took over", took)
+		t.Errorf("keys moved %v after the change of planner, want at most 1.5 grant TTLs", took)
 	}
 }
 
-// A caller whose key's owner goes silent waits until its lease has surely
-// run out, and no longer: the upstream stops answering, its grants stop being
-// renewed, and the record that gives its keys away comes between one lease
-// and a lease and a half later.
+// The keys of an owner that stops answering must move once its grants are certain to
+// have expired, and no later: at least one grant TTL after the last grant that may have
+// arrived, and at most 1.5 grant TTLs after the owner's last answer.
 func TestSilentOwnersKeysMoveOnceGrantsExpire(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
@@ -76,22 +74,21 @@
 		return nil
 	})
 	if movedAt == 0 {
-		t.Fatal("the keys never moved")
+		t.Fatal("the keys have not moved after 10 s")
 	}
-	// The last grant that arrived was sent up to a renewal before.
+	// The last grant that arrived was sent up to a renewal interval earlier.
 	waited := movedAt.Sub(silentSince)
 	if minWait := testOptions.GrantTTL - testOptions.GrantTTL/renewalsPerTTL; waited < minWait {
-		t.Errorf("moved %v after the owner went silent, within its lease", waited)
+		t.Errorf("keys moved %v after the owner stopped answering, before its grants had expired", waited)
 	}
 	if maxWait := testOptions.GrantTTL * 3 / 2; waited > maxWait {
-		t.Errorf("moved only %v after the owner went silent", waited)
+		t.Errorf("keys moved %v after the owner stopped answering, want at most 1.5 grant TTLs", waited)
 	}
 }
 
-// An upstream runs all it is told but its answers get lost for two seconds.
-// It is taken for lost; when it answers a release it gets its keys back
-// rather than leaving them without an owner until every lease that anyone may
-// have given it has run out.
+// An upstream executes all calls, but its answers get lost for 2 s, so it is considered
+// lost. When it answers a release it must get its keys back: moved elsewhere, they would
+// have no owner until all grants that it may have received have expired.
 func TestOwnerThatAnswersAgainKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
@@ -112,22 +109,21 @@
 		}
 	}
 	if owned == 0 {
-		t.Fatal("the upstream lost its keys though it answers")
+		t.Fatal("the upstream lost its keys although it answers again")
 	}
 	for _, a := range h.simulate(time.Second+testOptions.GrantTTL/renewalsPerTTL, succeedAll) {
 		if g, ok := a.(*Grant); ok && g.Addr == "a" {
 			return
 		}
 	}
-	t.Fatal("the upstream's grants are not renewed")
+	t.Fatal("the upstream's grants are not renewed after it answered again")
 }
 
-// An upstream is taken for lost and two of its ranges are being taken back.
-// One release is answered, so it gets its keys back, the other range too.
-// Later that range is to move for load. The answer to the first play's
-// release must not count for the second one's: the upstream has been granted
-// the range since, and its callers would have two owners.
-func TestAnswerToCancelledReleaseIsIgnored(t *testing.T) {
+// Guards against two owners after a late answer to a release. An upstream is considered
+// lost and two of its ranges are being released. It answers one release, so it may keep
+// its keys. Later, load requires moves off the upstream, and the answer to the other
+// release arrives. It must not move a range that the upstream has been granted again.
+func TestAnswerToEarlierReleaseIsIgnored(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	var releases []*Release
@@ -156,16 +152,16 @@
 		step(simStep)
 	}
 	answersLost = false
-	cancelling, cancelled := releases[0], releases[1]
+	firstRelease, secondRelease := releases[0], releases[1]
 	regranted := false
 	onGrant = func(g *Grant) {
-		if g.Addr == "a" && g.Range.From <= cancelled.Range.To && g.Range.To >= cancelled.Range.From {
+		if g.Addr == "a" && g.Range.From <= secondRelease.Range.To && g.Range.To >= secondRelease.Range.From {
 			regranted = true
 		}
 	}
-	h.p.ReleaseDone(cancelling, "token", nil, h.now)
+	h.p.ReleaseDone(firstRelease, "token", nil, h.now)
 	step(testOptions.GrantTTL + 2*time.Second)
-	// The load now asks for the second range to leave a.
+	// The load is now such that keys must move off a.
 	byKey := make([]float64, ownership.KeySpaceSize)
 	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
@@ -176,15 +172,15 @@
 		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
 	step(500 * time.Millisecond)
-	h.p.ReleaseDone(cancelled, "token", nil, h.now)
+	h.p.ReleaseDone(secondRelease, "token", nil, h.now)
 	step(100 * time.Millisecond)
-	if got := h.table.Find(cancelled.Range.From).Owner; regranted && got != "a" {
-		t.Fatalf("keys %d to %d went to %q on the answer to a release sent before a was granted them again", cancelled.Range.From, cancelled.Range.To, got)
+	if got := h.table.Find(secondRelease.Range.From).Owner; regranted && got != "a" {
+		t.Fatalf("keys %d to %d moved to %q on the answer to a release that was sent before they were granted to a again", secondRelease.Range.From, secondRelease.Range.To, got)
 	}
 }
 
-// The log service refuses this host while keys would move for load. Keys
-// taken back now could not be given to anybody, so none may be.
+// Guards against load moves while the log service rejects this host's calls: keys
+// released then cannot be assigned to another owner.
 func TestNoLoadMovesWithoutRecentLeaseRenewal(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
@@ -206,14 +202,14 @@
 	}
 	for _, a := range h.simulate(3*time.Second, logDown) {
 		if r, ok := a.(*Release); ok {
-			t.Fatalf("keys %d to %d were taken back", r.Range.From, r.Range.To)
+			t.Fatalf("keys %d to %d were released", r.Range.From, r.Range.To)
 		}
 	}
 }
 
-// The address of an upstream that ended was given to another service's. It
-// refuses the release, which no owner does: the owner has ended, and its keys
-// need not wait for its lease.
+// The address of an upstream that ended is reused by an upstream of another service,
+// which rejects the release. Owners never reject releases, so the owner must have ended,
+// and its keys must move without waiting for its grants to expire.
 func TestRejectedReleaseProvesOwnerEnded(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
@@ -230,15 +226,15 @@
 	})
 	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
-			t.Fatalf("keys %d to %d still have no owner %v later", r.From, r.To, h.now.Sub(start))
+			t.Fatalf("keys %d to %d still belong to the ended owner %v later", r.From, r.To, h.now.Sub(start))
 		}
 	}
 }
 
-// A planner is replaced while an upstream is dead. The one before it answers
-// that it sends no more grants, so that the dead upstream's keys wait for one
-// lease only; the answer of a host of another name at its address does not
-// count, and they wait for all that a planner may send: 9.2 s.
+// The planner changes while an upstream is down. If the previous planner confirms that
+// it sends no more grants, the upstream's keys must wait for one grant TTL only. A
+// confirmation by a host of another name at its address must not count; the keys then
+// wait for all grants that the previous planner may send, 9.2 s.
 func TestDeadOwnersKeysDoNotWaitForRetiredPlanner(t *testing.T) {
 	timeUntilMoved := func(answeringHost string) time.Duration {
 		h := newHarness(t, "a", "b")
@@ -257,17 +253,17 @@
 		})
 	}
 	if took := timeUntilMoved("other"); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
-		t.Errorf("moved only %v after the change of planner", took)
+		t.Errorf("keys moved %v after the change of planner, want at most 1.5 grant TTLs", took)
 	}
 	if took := timeUntilMoved("somebody"); took < testOptions.MaxViewAge+testOptions.GrantTTL {
-		t.Errorf("moved %v after the change of planner on a stranger's word", took)
+		t.Errorf("keys moved %v after the change of planner on the confirmation of another host", took)
 	}
 }
 
-// A new planner knows the load already when its term starts, and an upstream
-// has too much of it. The upstream's answers to grants take half a second. Its
-// keys are not taken back before it has acknowledged the new term: they would
-// stay without an owner until every earlier planner's grants had run out.
+// When a term starts, the new planner already knows that an upstream is overloaded. The
+// upstream takes 0.5 s to answer grants. Its keys must not be released before it has
+// acknowledged the term's token: they would have no owner until all grants of previous
+// planners have expired.
 func TestNoReleaseBeforeOwnerAcknowledgesTerm(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
@@ -305,25 +301,25 @@
 			case *Release:
 				released++
 				if h.now.Sub(start) < 500*time.Millisecond {
-					t.Fatalf("keys %d to %d are taken back before any grant was acknowledged", a.Range.From, a.Range.To)
+					t.Fatalf("keys %d to %d are released before any grant was acknowledged", a.Range.From, a.Range.To)
 				}
 			}
 			h.complete(a, nil)
 		}
 	}
 	if released == 0 {
-		t.Error("no key moved for load at all")
+		t.Error("no key was released for load")
 	}
 }
 
-// A data centre is cut off for five seconds: its upstream answers nothing and
-// its entry lapses. When the cut heals it answers first and is listed again
-// half a second later. Its keys stay with it; nobody else was given them.
+// A partition of some seconds cuts off a data centre: its upstream does not answer, and
+// its entry lapses. After the partition it answers 0.5 s before it is listed again. It
+// must keep its keys, because no other upstream has been granted them.
 func TestOwnerBackFromPartitionKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
-	// An order that may have arrived keeps the keys where they are for a
-	// lease; the cut heals before that is over.
+	// Unanswered grants keep the keys at their owner until they expire; the
+	// partition ends before that.
 	answersLost := func(a Action) error {
 		switch a := a.(type) {
 		case *Grant:
@@ -348,9 +344,9 @@
 	h.publishView()
 	h.simulate(2*time.Second, succeedAll)
 	if !owns(h.table, "a") {
-		t.Error("the keys have moved")
+		t.Error("upstream a lost its keys")
 	}
 	if remaining := h.p.services[simService].moves; len(remaining) != 0 {
-		t.Errorf("%d moves are left", len(remaining))
+		t.Errorf("%d moves are still in progress", len(remaining))
 	}
 }
