--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -60,7 +60,7 @@
 }
 
 // complete passes the result of a call to the planner. Lease requests that succeed
-// get the lease.
+// get the lease; Retire calls stay unanswered.
 func (h *harness) complete(a Action, err error) {
 	switch a := a.(type) {
 	case *AcquireLease:
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -343,7 +343,7 @@
 func TestSupersededPlannerMakesNoCalls(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
-	logDown := func(a Action) error {
+	answer := func(a Action) error {
 		switch a.(type) {
 		case *AcquireLease:
 			return metastore.ErrRejected
@@ -357,7 +357,7 @@
 		if _, ok := a.(*AcquireLease); !ok && fencedAt != 0 && fencedAt != h.now {
 			t.Errorf("%v after a grant was fenced, the superseded planner made a call of type %T", h.now.Sub(fencedAt), a)
 		}
-		err := logDown(a)
+		err := answer(a)
 		if _, ok := a.(*Grant); ok && fencedAt == 0 {
 			fencedAt = h.now
 		}
--- a/internal/planner/limiter_test.go
+++ b/internal/planner/limiter_test.go
@@ -67,12 +67,12 @@
 func TestManyLostOwnersKeysAreReassignedWithinCapacity(t *testing.T) {
 	const grantsExpired = 6 * time.Second
 	if reassigned := reassignedAfterLoss(t, 2, grantsExpired); reassigned < 1 {
-		t.Errorf("fraction %.2f of two lost owners' keys have another owner after %v, want all", reassigned, grantsExpired)
+		t.Errorf("reassigned fraction of two lost owners' keys is %.2f after %v, want 1", reassigned, grantsExpired)
 	}
 	if reassigned := reassignedAfterLoss(t, 20, grantsExpired); reassigned < 0.1 || reassigned > 0.6 {
-		t.Errorf("fraction %.2f of twenty lost owners' keys have another owner after %v, want 0.1 to 0.6", reassigned, grantsExpired)
+		t.Errorf("reassigned fraction of twenty lost owners' keys is %.2f after %v, want 0.1 to 0.6", reassigned, grantsExpired)
 	}
 	if reassigned := reassignedAfterLoss(t, 20, 30*time.Second); reassigned < 1 {
-		t.Errorf("fraction %.2f of twenty lost owners' keys have another owner after 30 s, want all", reassigned)
+		t.Errorf("reassigned fraction of twenty lost owners' keys is %.2f after 30 s, want 1", reassigned)
 	}
 }
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -41,8 +41,8 @@
 
 // Guards against two owners when the planner changes often and each planner is
 // partitioned from some upstreams and from the log. A replaced planner can then still
-// reach upstreams that its successors consider lost, and goes on sending them grants
-// for as long as it may.
+// reach upstreams that later planners consider lost, and sends them grants until
+// MaxViewAge after its last lease renewal.
 func TestNoKeyHasTwoOwnersWhilePlannersArePartitioned(t *testing.T) {
 	partitions := faults{answerLost: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
 	seeds := uint64(120)
@@ -81,11 +81,10 @@
 	}
 }
 
-// A planner stalls for 4.5 s, partitioned from the log. The next planner gets its token
-// acknowledged by a range's owner and moves the range. The old owner restarts under the
-// same ID and has forgotten the token. The first planner resumes before MaxViewAge has
-// passed and renews its grants; the restarted upstream must not get the range back. It
-// does if planners may open connections for grants at any time.
+// While a planner stalls for 4.5 s, the next one moves a range off an owner that has
+// acknowledged its token. The owner restarts and forgets the token. When the first planner
+// resumes, still within MaxViewAge, it must not renew the grant of that range. It does if
+// planners may open connections for grants at any time.
 func TestRestartedUpstreamGetsNoGrantFromReplacedPlanner(t *testing.T) {
 	simulate := func(dialsAllowed bool) error {
 		s := newSimulation(1, faults{}, testOptions)
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -200,7 +200,7 @@
 	})
 }
 
-// execute makes the call that a planner asked for and delivers its result.
+// execute makes a call that the host's planner returned and delivers its result.
 func (s *simulation) execute(h *simHost, a Action) {
 	starts, planner := h.starts, h.planner
 	// deliver passes a result back unless the host has restarted. A stalled
