--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -11,44 +11,47 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// harness drives one planner by hand.
+// harness drives a single planner and completes its calls.
 type harness struct {
-	t     *testing.T
-	p     *Planner
-	now   bootclock.Time
-	ups   map[string]*catalogue.Upstream
-	table *ownership.Table
-	v     *view.Publisher
-	end   int64
-	// warmUp is how long keys are slow without a handover.
+	t         *testing.T
+	p         *Planner
+	now       bootclock.Time
+	upstreams map[string]*catalogue.Upstream
+	table     *ownership.Table
+	publisher *view.Publisher
+	streamEnd int64
+	// warmUp is how long requests for keys are slow after a move without a handover.
 	warmUp time.Duration
 }
 
+// newHarness returns a harness with the given upstreams listed.
 func newHarness(t *testing.T, ids ...string) *harness {
-	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), ups: map[string]*catalogue.Upstream{}, v: view.NewPublisher()}
+	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), upstreams: map[string]*catalogue.Upstream{}, publisher: view.NewPublisher()}
 	h.p.opts.Host = "me"
 	for _, id := range ids {
-		h.ups[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
+		h.upstreams[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: id, Slots: 3}
 	}
-	h.publish()
+	h.publishView()
 	return h
 }
 
-func (h *harness) publish() {
-	h.v.Publish(func(v *view.View) {
+// publishView publishes the harness's upstreams and table to the planner's view.
+func (h *harness) publishView() {
+	h.publisher.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true, WarmUp: h.warmUp}}, desired.Limits{})
-		v.Upstreams = catalogue.NewSnapshot(h.ups)
+		v.Upstreams = catalogue.NewSnapshot(h.upstreams)
 		if h.table != nil {
 			v.Tables = map[string]*ownership.Table{simService: h.table}
 		}
 	})
 }
 
-// simulate ticks for d; answer gives each order's result, nil errors by default.
+// simulate ticks the planner for d, completes each call with the error that answer
+// returns for it, and returns the calls.
 func (h *harness) simulate(d time.Duration, answer func(Action) error) []Action {
 	var all []Action
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
-		for _, a := range h.p.Tick(h.now, h.v.Load()) {
+		for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
 			all = append(all, a)
 			h.complete(a, answer(a))
 		}
@@ -56,17 +59,19 @@
 	return all
 }
 
+// complete passes the result of a call to the planner. Lease requests that succeed
+// get the lease; Retire calls stay unanswered.
 func (h *harness) complete(a Action, err error) {
 	switch a := a.(type) {
 	case *AcquireLease:
 		h.p.AcquireLeaseDone(a, true, err, h.now)
 	case *Append:
 		if err == nil {
-			h.end++
+			h.streamEnd++
 			h.table = a.Table
 		}
-		h.p.AppendDone(a, h.end, err, h.now)
-		h.publish()
+		h.p.AppendDone(a, h.streamEnd, err, h.now)
+		h.publishView()
 	case *Grant:
 		h.p.GrantDone(a, err, h.now)
 	case *Release:
@@ -76,7 +81,7 @@
 
 func succeedAll(Action) error { return nil }
 
-// owns reports whether the table gives the owner any key.
+// owns reports whether the owner owns any key in the table.
 func owns(t *ownership.Table, owner string) bool {
 	for _, r := range t.Ranges {
 		if r.Owner == owner {
@@ -86,20 +91,20 @@
 	return false
 }
 
-// simulateUntilMoved plays until a owns nothing and returns how long that took.
+// simulateUntilMoved simulates until upstream a owns no key and returns how long that took.
 func (h *harness) simulateUntilMoved(answer func(Action) error) time.Duration {
 	h.t.Helper()
 	start := h.now
 	for owns(h.table, "a") {
 		if h.now.Sub(start) > 30*time.Second {
-			h.t.Fatal("a's keys never moved")
+			h.t.Fatal("upstream a still owns keys after 30 s")
 		}
 		h.simulate(simStep, answer)
 	}
 	return h.now.Sub(start)
 }
 
-// upstreamADown answers as a dead upstream a and healthy others would.
+// upstreamADown fails the grants to upstream a and all releases.
 func upstreamADown(a Action) error {
 	switch a := a.(type) {
 	case *Grant:
@@ -112,7 +117,7 @@
 	return nil
 }
 
-// tableOfOtherPlanner is the table as another host's next term would record it.
+// tableOfOtherPlanner returns the first record of a next term of another host.
 func (h *harness) tableOfOtherPlanner() *ownership.Table {
 	return h.table.TakeOver("other", "other:1")
 }
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -9,75 +9,76 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// free reports whether the move's old owner can no longer hold its keys; see
-// the package comment for why.
-func (t *term) free(m *move, now bootclock.Time) bool {
+// safeToReassign reports whether the move's old owner can no longer hold its
+// keys; the package comment explains the conditions.
+func (t *term) safeToReassign(m *move, now bootclock.Time) bool {
 	if m.old.Owner == "" {
 		return true
 	}
-	if m.release == nil && catalogue.IsLaterIncarnation(m.dest, m.old.Owner) {
+	if m.releaseInFlight == nil && catalogue.IsLaterIncarnation(m.dest, m.old.Owner) {
 		return true
 	}
-	bound := t.p.opts.maxGrantTTL()
-	h := t.server(m.old.Owner)
-	if h.inFlight > 0 || m.release != nil || now.Before(m.relistUntil) {
+	maxTTL := t.p.opts.maxGrantTTL()
+	srv := t.server(m.old.Owner)
+	if srv.grantsInFlight > 0 || m.releaseInFlight != nil || now.Before(m.relistUntil) {
 		return false
 	}
-	if m.old.FencingToken <= t.firstFencingToken && !t.foreignOver(m, now) {
+	if m.old.FencingToken <= t.firstFencingToken && !t.previousGrantsExpired(m, now) {
 		return false
 	}
-	if h.unanswered && now.Sub(h.unansweredAt) <= bound {
+	if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= maxTTL {
 		return false
 	}
-	return m.released || !h.sentAny || now.Sub(h.maybeGrantedAt) > bound
+	return m.released || !srv.grantSent || now.Sub(srv.maybeGrantedAt) > maxTTL
 }
 
-// foreignOver reports whether no grant of an earlier planner can keep the
-// move's keys at their old owner.
-func (t *term) foreignOver(m *move, now bootclock.Time) bool {
-	bound := t.p.opts.maxGrantTTL()
-	if now.Sub(t.previousGrants.grantsUntilFor(m.old.Owner)) > bound {
+// previousGrantsExpired reports whether no grant of a previous planner can keep
+// the move's keys at their old owner.
+func (t *term) previousGrantsExpired(m *move, now bootclock.Time) bool {
+	maxTTL := t.p.opts.maxGrantTTL()
+	if now.Sub(t.previousGrants.grantsUntilFor(m.old.Owner)) > maxTTL {
 		return true
 	}
-	h := t.server(m.old.Owner)
-	if h.incarnation != m.old.Owner || !h.acknowledgedTerm(m.span) {
+	srv := t.server(m.old.Owner)
+	if srv.incarnation != m.old.Owner || !srv.acknowledgedTerm(m.span) {
 		return false
 	}
-	return m.released || now.Sub(t.previousGrants.dialsUntil()) > bound
+	return m.released || now.Sub(t.previousGrants.dialsUntil()) > maxTTL
 }
 
-// mayRelease reports whether a release now would end what earlier planners
-// granted too: none of their grants reaches a later life of the owner's server
-// after it.
+// mayRelease reports whether a release sent now would also end the grants of
+// previous planners. It would not if one of them could still reach a later
+// incarnation of the owner's server.
 func (t *term) mayRelease(m *move, now bootclock.Time) bool {
 	return m.old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
 }
 
-// record returns the append of the moves that are ready, if any.
-func (t *term) record(now bootclock.Time) Action {
-	if t.appending != nil {
-		if again := t.retryAppend(now); len(again) > 0 {
-			return again[0]
+// dueAppend returns the append to make now, or nil: a retry of the pending one,
+// or a new record of the moves that are ready and of changes to the lost owners.
+func (t *term) dueAppend(now bootclock.Time) Action {
+	if t.pendingAppend != nil {
+		if retry := t.dueAppendRetry(now); len(retry) > 0 {
+			return retry[0]
 		}
 		return nil
 	}
-	if now.Before(t.nextAppend) {
+	if now.Before(t.nextAppendAt) {
 		return nil
 	}
 	var ready []ownership.Move
 	cause, urgent := "", false
 	for _, m := range t.moves {
-		if !t.free(m, now) || (m.lacksHandover() && !t.limiter.allow(m.span, now)) {
+		if !t.safeToReassign(m, now) || (m.lacksHandover() && !t.limiter.allow(m.span, now)) {
 			continue
 		}
-		if u := t.ups[m.dest]; u == nil || t.ineligible(u) || t.excluded(m.dest, now) {
+		if u := t.upstreams[m.dest]; u == nil || t.ineligible(u) || t.excluded(m.dest, now) {
 			t.redirect(m, now)
 		}
 		ready = append(ready, ownership.Move{From: m.from, To: m.to, NewOwner: m.dest, HandoverToken: m.handover})
 		cause = m.cause
 		urgent = urgent || m.cause != causeLoad
 	}
-	if len(ready) > 0 && !urgent && now.Sub(t.recordedAt) < loadRecordInterval {
+	if len(ready) > 0 && !urgent && now.Sub(t.lastRecordAt) < loadRecordInterval {
 		return nil
 	}
 	next := t.table
@@ -93,20 +94,20 @@
 	}
 	next.Cause = cause
 	next.PreviousPlanners = t.activePreviousPlanners(now)
-	t.appending = &Append{Table: next, ExpectedOffset: t.p.end, Cause: cause}
-	t.recordedAt = now
-	return t.appending
+	t.pendingAppend = &Append{Table: next, ExpectedOffset: t.p.streamEnd, Cause: cause}
+	t.lastRecordAt = now
+	return t.pendingAppend
 }
 
-// lostOwners returns the owners in the table that get no grants: those that
-// are not listed or do not answer. An owner with a grant under way is not
-// marked yet, as its mark says that nothing is sent any more.
+// lostOwners returns the owners in the table that get no grants, because they
+// are not listed or do not answer. An owner with a grant in flight is not
+// marked as lost yet: the mark promises that no more grants are sent to it.
 func (t *term) lostOwners(table *ownership.Table) []string {
 	var out []string
 	for _, r := range table.Ranges {
-		h := t.server(r.Owner)
-		silent := t.ups[r.Owner] == nil || h.lost
-		if r.Owner != "" && silent && h.inFlight == 0 {
+		srv := t.server(r.Owner)
+		unreachable := t.upstreams[r.Owner] == nil || srv.lost
+		if r.Owner != "" && unreachable && srv.grantsInFlight == 0 {
 			out = append(out, r.Owner)
 		}
 	}
@@ -114,22 +115,22 @@
 	return slices.Compact(out)
 }
 
-// redirect gives a move whose new owner is no candidate any more another
-// one: the one with the fewest keys.
+// redirect gives a move whose new owner is no longer eligible the eligible
+// owner with the fewest keys instead.
 func (t *term) redirect(m *move, now bootclock.Time) {
-	keys := map[string]int{}
+	keyCount := map[string]int{}
 	for _, r := range t.table.Ranges {
-		keys[r.Owner] += r.To - r.From + 1
+		keyCount[r.Owner] += r.To - r.From + 1
 	}
 	m.dest = ""
 	for _, u := range t.eligibleOwners(now) {
-		if m.dest == "" || keys[u.ID] < keys[m.dest] || (keys[u.ID] == keys[m.dest] && u.ID < m.dest) {
+		if m.dest == "" || keyCount[u.ID] < keyCount[m.dest] || (keyCount[u.ID] == keyCount[m.dest] && u.ID < m.dest) {
 			m.dest = u.ID
 		}
 	}
 }
 
-// dropFinishedMoves forgets the moves that the table in force contains.
+// dropFinishedMoves removes the moves that the table in force contains.
 func (t *term) dropFinishedMoves() {
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return t.table.Find(m.from).FencingToken > m.old.FencingToken })
 }
--- /dev/null
+++ b/internal/planner/server.go
@@ -0,0 +1,98 @@
+package planner
+
+import (
+	"errors"
+
+	"github.com/papayatide/papayatide/internal/bootclock"
+	"github.com/papayatide/papayatide/internal/catalogue"
+	"github.com/papayatide/papayatide/internal/ownership"
+)
+
+// serverState tracks the grants sent to one server. Its incarnations share the
+// state, because a grant sent to one may reach the next.
+type serverState struct {
+	// incarnation is the newest one that was listed or sent a grant.
+	// Acknowledgements by earlier ones do not count for it.
+	incarnation    string
+	grantsInFlight int
+	// maybeGrantedAt is when the last grant that may have reached the server completed.
+	maybeGrantedAt bootclock.Time
+	grantSent      bool
+	// unansweredAt is when the last grant without an answer was given up. It
+	// may take effect late, even after a release.
+	unansweredAt  bootclock.Time
+	hasUnanswered bool
+	// answeredAt is when the server last answered, or was first sent a grant.
+	answeredAt bootclock.Time
+	// ackedSpans are the spans for which the server has acknowledged this term's token.
+	ackedSpans []span
+	// throttles limits the events for failed calls.
+	throttles     map[EventKind]eventThrottle
+	losses        int
+	excludedUntil bootclock.Time
+	lost          bool
+}
+
+// eventThrottle records when an event of one kind was last emitted, and how
+// many were suppressed since.
+type eventThrottle struct {
+	emittedAt  bootclock.Time
+	suppressed int
+}
+
+// recordResult records a grant's result. It must be called once for each grant
+// sent, on the state that counted the grant, even after the term has ended: a
+// later term may continue to use the state.
+func (srv *serverState) recordResult(g *Grant, err error, now bootclock.Time) {
+	srv.grantsInFlight--
+	if !errors.Is(err, ownership.ErrNotSent) {
+		srv.maybeGrantedAt = now
+	}
+	switch {
+	case errors.Is(err, ownership.ErrNoAnswer):
+		srv.hasUnanswered = true
+		srv.unansweredAt = now
+	case errors.Is(err, ownership.ErrFenced):
+		srv.answeredAt = now
+	case err == nil && !srv.forPastIncarnation(g):
+		srv.answeredAt = now
+		srv.losses = 0
+		srv.ackedSpans = append(srv.ackedSpans, span{g.Range.From, g.Range.To})
+		if len(srv.ackedSpans) > maxAckedSpans {
+			srv.ackedSpans = srv.ackedSpans[len(srv.ackedSpans)-maxAckedSpans:]
+		}
+	}
+}
+
+// forPastIncarnation reports whether the grant was meant for an incarnation
+// that has ended. Its result says nothing about the current one.
+func (srv *serverState) forPastIncarnation(g *Grant) bool {
+	return catalogue.IsLaterIncarnation(srv.incarnation, g.Range.Owner)
+}
+
+// startIncarnation switches to a newer incarnation. It has forgotten the tokens that
+// the old one acknowledged, and the old one's failures do not count against it.
+func (srv *serverState) startIncarnation(incarnation string, now bootclock.Time) {
+	srv.incarnation = incarnation
+	srv.ackedSpans = nil
+	srv.lost, srv.losses, srv.excludedUntil = false, 0, 0
+	srv.answeredAt = now
+}
+
+// maxAckedSpans bounds the spans kept per server; as many as it owns ranges are enough.
+const maxAckedSpans = 256
+
+// acknowledgedTerm reports whether the server has acknowledged this term's
+// token for every key of s, so that it rejects the grants of previous planners.
+func (srv *serverState) acknowledgedTerm(s span) bool {
+	from := s.from
+	for advanced := true; advanced && from <= s.to; {
+		advanced = false
+		for _, acked := range srv.ackedSpans {
+			if acked.from <= from && from <= acked.to {
+				from, advanced = acked.to+1, true
+			}
+		}
+	}
+	return from > s.to
+}
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -14,56 +14,62 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// simulation plays several hosts' planners against one log and a set of upstreams in
-// virtual time, with faults drawn from a seed. After every step it checks
-// that no key is held by two upstreams that are up.
+// simulation runs the planners of several hosts in virtual time against one
+// ownership stream and a set of upstreams, with random faults. After each new
+// grant it checks that no two running upstreams own the same key.
 type simulation struct {
-	rng   *rand.Rand
-	now   bootclock.Time
-	start time.Time
-	queue []event
-	hosts []*simHost
-	ups   []*simUpstream
-	log   []*ownership.Table
-	// seat is the group's state.
+	rng       *rand.Rand
+	now       bootclock.Time
+	start     time.Time
+	queue     []simEvent
+	hosts     []*simHost
+	upstreams []*simUpstream
+	// log is the ownership stream.
+	log []*ownership.Table
+	// leaseHolder holds the planner lease until leaseUntil.
 	leaseHolder string
 	leaseUntil  bootclock.Time
 
-	opts   Options
-	faults faults
-	byKey  []float64
-	// steadyLoad keeps the load as it is.
+	opts      Options
+	faults    faults
+	loadByKey []float64
+	// steadyLoad disables random changes of loadByKey.
 	steadyLoad bool
-	// allowDials makes hosts open connections for grants whenever they like.
+	// allowDials makes hosts ignore Grant.ExistingConnOnly.
 	allowDials bool
-	// overstayFactor is how much longer than told upstreams hold, as a factor.
+	// overstayFactor multiplies the time for which upstreams keep a grant.
 	overstayFactor float64
-	// granted is set by each grant that an upstream takes.
+	// granted is set when an upstream accepts a grant.
 	granted bool
 }
 
-type event struct {
+// simEvent is a call of do scheduled for time at.
+type simEvent struct {
 	at bootclock.Time
 	do func()
 }
 
+// simHost is a host that runs a planner.
 type simHost struct {
-	name             string
-	p                *Planner
-	v                *view.Publisher
-	read             int // records of the log seen
-	frozenUntil      bootclock.Time
-	logCutUntil      bootclock.Time // from the log
+	name                string
+	planner             *Planner
+	publisher           *view.Publisher
+	recordsRead         int
+	stalledUntil        bootclock.Time
+	logUnreachableUntil bootclock.Time
+	// unreachableUntil is when each upstream can be reached again.
 	unreachableUntil map[string]bootclock.Time
-	// kept are the lives of upstreams to which a connection is open.
-	kept map[string]int
-	life int
+	// connectedTo is the incarnation of each upstream to which a connection is open.
+	connectedTo map[string]int
+	// starts counts the starts of the host's planner.
+	starts int
 }
 
+// simGrant is a grant that an upstream has accepted.
 type simGrant struct {
-	from, to int
-	fence    int64
-	until    bootclock.Time
+	from, to     int
+	fencingToken int64
+	expiresAt    bootclock.Time
 }
 
 type simUpstream struct {
@@ -71,63 +77,65 @@
 	up      bool
 	listed  bool
 	leaving bool
-	// incarnation counts its starts. Each forgets the holds and tokens of the one
-	// before.
+	// incarnation counts its restarts. Each one forgets all grants and tokens.
 	incarnation int
-	// muteUntil is until when most of its answers are lost.
-	muteUntil  bootclock.Time
-	grants     []simGrant
-	tokensSeen []simGrant // highest token seen, by run of keys
+	// answersLostUntil is when most of its answers stop getting lost.
+	answersLostUntil bootclock.Time
+	grants           []simGrant
+	// tokensSeen holds the highest fencing token seen for each span of keys.
+	tokensSeen []simGrant
 }
 
 const simService = "svc"
 
 func newSimulation(seed uint64, f faults, opts Options) *simulation {
 	s := &simulation{rng: rand.New(rand.NewPCG(seed, 17)), now: bootclock.Time(time.Hour), start: time.Unix(1000, 0), opts: opts, faults: f,
-		byKey: make([]float64, ownership.KeySpaceSize), overstayFactor: 1}
+		loadByKey: make([]float64, ownership.KeySpaceSize), overstayFactor: 1}
 	for i := range 6 {
 		s.addUpstream(fmt.Sprintf("u%d", i))
 	}
 	for i := range 3 {
-		h := &simHost{name: fmt.Sprintf("h%d", i), unreachableUntil: map[string]bootclock.Time{}, kept: map[string]int{}}
+		h := &simHost{name: fmt.Sprintf("h%d", i), unreachableUntil: map[string]bootclock.Time{}, connectedTo: map[string]int{}}
 		s.hosts = append(s.hosts, h)
-		s.restart(h)
+		s.restartHost(h)
 	}
 	return s
 }
 
 func (s *simulation) addUpstream(id string) {
-	s.ups = append(s.ups, &simUpstream{id: id, up: true, listed: true})
+	s.upstreams = append(s.upstreams, &simUpstream{id: id, up: true, listed: true})
 }
 
-// restart gives the host a planner that knows nothing.
-func (s *simulation) restart(h *simHost) {
-	h.life++
-	h.read = 0
-	h.v = view.NewPublisher()
+// restartHost replaces the host's planner and view by new ones.
+func (s *simulation) restartHost(h *simHost) {
+	h.starts++
+	h.recordsRead = 0
+	h.publisher = view.NewPublisher()
 	opts := s.opts
 	opts.Host, opts.PeerAddr = h.name, h.name+":1"
-	h.p = New(opts)
-	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-		return ownership.Load{ByKey: s.byKey, Capacity: slotsOf(owners)}, 1000
+	h.planner = New(opts)
+	h.planner.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
+		return ownership.Load{ByKey: s.loadByKey, Capacity: slotsByID(owners)}, 1000
 	}
-	h.v.Publish(func(v *view.View) {
+	h.publisher.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true}}, desired.Limits{})
 	})
 }
 
+// after schedules do. Calls that are due at the same time run in the order of scheduling.
 func (s *simulation) after(d time.Duration, do func()) {
 	at := s.now.Add(d)
-	i, _ := slices.BinarySearchFunc(s.queue, at, func(e event, at bootclock.Time) int {
+	i, _ := slices.BinarySearchFunc(s.queue, at, func(e simEvent, at bootclock.Time) int {
 		if e.at <= at {
 			return -1
 		}
 		return 1
 	})
-	s.queue = slices.Insert(s.queue, i, event{at, do})
+	s.queue = slices.Insert(s.queue, i, simEvent{at, do})
 }
 
-func (s *simulation) chance(perSecond float64, step time.Duration) bool {
+// faultOccurs draws whether a fault with the given rate occurs within step.
+func (s *simulation) faultOccurs(perSecond float64, step time.Duration) bool {
 	return s.rng.Float64() < perSecond*step.Seconds()
 }
 
@@ -137,7 +145,7 @@
 
 const simStep = 20 * time.Millisecond
 
-// run plays for d and returns the first breach of ownership.
+// run simulates d and returns an error once a key has two owners.
 func (s *simulation) run(d time.Duration) error {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simStep) {
 		for len(s.queue) > 0 && s.queue[0].at <= s.now {
@@ -145,7 +153,7 @@
 			s.queue = s.queue[1:]
 			do()
 			if !s.granted {
-				continue // without a new grant no key gets a second holder
+				continue // only a new grant can give a key a second owner
 			}
 			s.granted = false
 			if err := s.checkExclusive(); err != nil {
@@ -161,21 +169,21 @@
 }
 
 func (s *simulation) tickHost(h *simHost) {
-	if s.now.Before(h.frozenUntil) {
+	if s.now.Before(h.stalledUntil) {
 		return
 	}
-	if !s.now.Before(h.logCutUntil) {
-		s.follow(h)
+	if !s.now.Before(h.logUnreachableUntil) {
+		s.updateView(h)
 	}
-	for _, a := range h.p.Tick(s.now, h.v.Load()) {
-		s.carryOut(h, a)
+	for _, a := range h.planner.Tick(s.now, h.publisher.Load()) {
+		s.execute(h, a)
 	}
 }
 
-// follow brings the host's view up to date.
-func (s *simulation) follow(h *simHost) {
+// updateView updates the host's view with the listed upstreams and the latest table.
+func (s *simulation) updateView(h *simHost) {
 	all := map[string]*catalogue.Upstream{}
-	for _, u := range s.ups {
+	for _, u := range s.upstreams {
 		if u.listed {
 			id := catalogue.IncarnationID(u.id, int64(u.incarnation))
 			all[id] = &catalogue.Upstream{ID: id, Service: simService, Addr: u.id, Slots: 3, Leaving: u.leaving}
@@ -185,22 +193,23 @@
 	if len(s.log) > 0 {
 		tables[simService] = s.log[len(s.log)-1]
 	}
-	h.p.AdvanceStreamEnd(int64(len(s.log)))
-	h.v.Publish(func(v *view.View) {
+	h.planner.AdvanceStreamEnd(int64(len(s.log)))
+	h.publisher.Publish(func(v *view.View) {
 		v.Upstreams = catalogue.NewSnapshot(all)
 		v.Tables = tables
 	})
 }
 
-func (s *simulation) carryOut(h *simHost, a Action) {
-	life, p := h.life, h.p
-	// deliver hands a result back unless the host has restarted; a frozen
-	// host gets it when it wakes.
+// execute makes a call that the host's planner returned and delivers its result.
+func (s *simulation) execute(h *simHost, a Action) {
+	starts, planner := h.starts, h.planner
+	// deliver passes a result back unless the host has restarted. A stalled
+	// host gets it after the stall.
 	deliver := func(f func()) {
 		s.after(s.randomDuration(time.Millisecond, 30*time.Millisecond), func() {
-			wait := max(h.frozenUntil.Sub(s.now), 0)
+			wait := max(h.stalledUntil.Sub(s.now), 0)
 			s.after(wait, func() {
-				if h.life == life && h.p == p {
+				if h.starts == starts && h.planner == planner {
 					f()
 				}
 			})
@@ -208,7 +217,7 @@
 	}
 	switch a := a.(type) {
 	case *AcquireLease:
-		s.join(h, a, deliver)
+		s.acquireLease(h, a, deliver)
 	case *Retire:
 		s.retire(h, a, deliver)
 	case *ReleaseLease:
@@ -218,22 +227,24 @@
 	case *Append:
 		s.append(h, a, deliver)
 	case *Grant:
-		if a.ExistingConnOnly && !s.allowDials && h.kept[a.Addr] != s.upstream(a.Addr).incarnation {
-			deliver(func() { p.GrantDone(a, ownership.ErrNotSent, s.now) })
+		if a.ExistingConnOnly && !s.allowDials && h.connectedTo[a.Addr] != s.upstream(a.Addr).incarnation {
+			deliver(func() { planner.GrantDone(a, ownership.ErrNotSent, s.now) })
 			return
 		}
-		h.kept[a.Addr] = s.upstream(a.Addr).incarnation
-		s.order(h, a.Addr, func(arrived bootclock.Time) error { return s.grant(a, arrived) }, 0, true,
-			func(err error) { deliver(func() { p.GrantDone(a, err, s.now) }) })
+		h.connectedTo[a.Addr] = s.upstream(a.Addr).incarnation
+		s.callUpstream(h, a.Addr, func(arrived bootclock.Time) error { return s.grant(a, arrived) }, 0, true,
+			func(err error) { deliver(func() { planner.GrantDone(a, err, s.now) }) })
 	case *Release:
-		s.order(h, a.Addr, func(bootclock.Time) error { return s.release(a) }, s.randomDuration(0, 1500*time.Millisecond), false,
-			func(err error) { deliver(func() { p.ReleaseDone(a, "token", err, s.now) }) })
+		s.callUpstream(h, a.Addr, func(bootclock.Time) error { return s.release(a) }, s.randomDuration(0, 1500*time.Millisecond), false,
+			func(err error) { deliver(func() { planner.ReleaseDone(a, "token", err, s.now) }) })
 	}
 }
 
-func (s *simulation) join(h *simHost, j *AcquireLease, deliver func(func())) {
-	if s.now.Before(h.logCutUntil) {
-		deliver(func() { h.p.AcquireLeaseDone(j, false, metastore.ErrRejected, s.now) })
+// acquireLease requests the planner lease, which goes to the first host that asks
+// after it has expired.
+func (s *simulation) acquireLease(h *simHost, a *AcquireLease, deliver func(func())) {
+	if s.now.Before(h.logUnreachableUntil) {
+		deliver(func() { h.planner.AcquireLeaseDone(a, false, metastore.ErrRejected, s.now) })
 		return
 	}
 	if !s.now.Before(s.leaseUntil) {
@@ -242,26 +253,27 @@
 	}
 	held := s.leaseHolder == h.name
 	if held {
-		s.leaseUntil = s.now.Add(j.TTL)
+		s.leaseUntil = s.now.Add(a.TTL)
 	}
-	deliver(func() { h.p.AcquireLeaseDone(j, held, nil, s.now) })
+	deliver(func() { h.planner.AcquireLeaseDone(a, held, nil, s.now) })
 }
 
-// retire asks another host. One that stands still does not answer.
+// retire asks another host to retire. A stalled host does not answer.
 func (s *simulation) retire(h *simHost, r *Retire, deliver func(func())) {
-	p := h.p
-	i := slices.IndexFunc(s.hosts, func(o *simHost) bool { return o.name == r.Host })
-	asked := s.hosts[i]
-	if s.now.Before(asked.frozenUntil) || s.rng.Float64() < s.faults.orderLost {
-		s.after(orderTimeout, func() { deliver(func() { p.RetireDone(r, "", false, s.now) }) })
+	planner := h.planner
+	i := slices.IndexFunc(s.hosts, func(other *simHost) bool { return other.name == r.Host })
+	peer := s.hosts[i]
+	if s.now.Before(peer.stalledUntil) || s.rng.Float64() < s.faults.answerLost {
+		s.after(callTimeout, func() { deliver(func() { planner.RetireDone(r, "", false, s.now) }) })
 		return
 	}
-	retired := asked.p.Retire(r.Service, r.Term, s.now)
-	deliver(func() { p.RetireDone(r, asked.name, retired, s.now) })
+	retired := peer.planner.Retire(r.Service, r.Term, s.now)
+	deliver(func() { planner.RetireDone(r, peer.name, retired, s.now) })
 }
 
+// append appends the table to the ownership stream, subject to the simulated faults.
 func (s *simulation) append(h *simHost, a *Append, deliver func(func())) {
-	p := h.p
+	planner := h.planner
 	write := func() error {
 		if int64(len(s.log)) != a.ExpectedOffset {
 			return metastore.ErrConflict
@@ -272,18 +284,18 @@
 	done := func(err error) {
 		end := int64(len(s.log))
 		deliver(func() {
-			if t := p.AppendDone(a, end, err, s.now); t != nil {
-				h.v.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{simService: t} })
+			if t := planner.AppendDone(a, end, err, s.now); t != nil {
+				h.publisher.Publish(func(v *view.View) { v.Tables = map[string]*ownership.Table{simService: t} })
 			}
 		})
 	}
 	switch x := s.rng.Float64(); {
-	case s.now.Before(h.logCutUntil):
+	case s.now.Before(h.logUnreachableUntil):
 		done(metastore.ErrRejected)
-	case x < s.faults.appendLost:
+	case x < s.faults.appendAnswerLost:
 		_ = write()
 		done(metastore.ErrNoAnswer)
-	case x < s.faults.appendLost+s.faults.appendLate:
+	case x < s.faults.appendAnswerLost+s.faults.appendLate:
 		s.after(s.randomDuration(time.Second, 6*time.Second), func() { _ = write() })
 		done(metastore.ErrNoAnswer)
 	default:
@@ -291,37 +303,37 @@
 	}
 }
 
-// mutedShare is how many answers of a mute upstream are lost.
-const mutedShare = 0.85
+// answerOutageLossRate is the fraction of an upstream's answers lost during an answer outage.
+const answerOutageLossRate = 0.85
 
-// orderTimeout is how long a host waits for an order's answer.
-const orderTimeout = 300 * time.Millisecond
+// callTimeout is how long a host waits for the answer to a call.
+const callTimeout = 300 * time.Millisecond
 
-// order delivers an order after a short way, or does not, and hands its
-// result to answered. The upstream carries it out on arrival and answers
-// after work.
-func (s *simulation) order(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayBeLate bool, answered func(error)) {
+// callUpstream delivers a call after a short network delay, unless a fault prevents
+// it, and passes the result to done. The upstream executes the call on arrival and
+// answers after work.
+func (s *simulation) callUpstream(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayArriveLate bool, done func(error)) {
 	if s.now.Before(h.unreachableUntil[id]) || !s.upstream(id).up {
 		err := ownership.ErrNotSent
 		if s.rng.IntN(3) == 0 {
 			err = ownership.ErrNoAnswer
 		}
-		s.after(orderTimeout, func() { answered(err) })
+		s.after(callTimeout, func() { done(err) })
 		return
 	}
 	x := s.rng.Float64()
 	s.after(s.randomDuration(time.Millisecond, 40*time.Millisecond), func() {
 		arrived := s.now
 		switch {
-		case x < s.faults.orderLost, x < mutedShare && s.now.Before(s.upstream(id).muteUntil):
+		case x < s.faults.answerLost, x < answerOutageLossRate && s.now.Before(s.upstream(id).answersLostUntil):
 			_ = do(arrived)
-			s.after(orderTimeout, func() { answered(ownership.ErrNoAnswer) })
-		case mayBeLate && x < s.faults.orderLost+s.faults.orderLate:
+			s.after(callTimeout, func() { done(ownership.ErrNoAnswer) })
+		case mayArriveLate && x < s.faults.answerLost+s.faults.grantLate:
 			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
-			s.after(orderTimeout, func() { answered(ownership.ErrNoAnswer) })
+			s.after(callTimeout, func() { done(ownership.ErrNoAnswer) })
 		default:
 			err := do(arrived)
-			s.after(work, func() { answered(err) })
+			s.after(work, func() { done(err) })
 		}
 	})
 }
--- a/internal/planner/simupstream_test.go
+++ b/internal/planner/simupstream_test.go
@@ -9,8 +9,9 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
+// upstream returns the upstream with the ID. It panics if there is none.
 func (s *simulation) upstream(id string) *simUpstream {
-	for _, u := range s.ups {
+	for _, u := range s.upstreams {
 		if u.id == id {
 			return u
 		}
@@ -18,51 +19,54 @@
 	panic("no upstream " + id)
 }
 
-// grant is the upstream's side of a grant: refused if a higher token was
-// seen; held from the arrival on, by a clock that runs 2% slow.
+// grant executes a grant at its upstream. It returns ErrFenced if the upstream
+// has seen a higher token. The TTL counts from the arrival, by a clock that runs
+// 2% slow.
 func (s *simulation) grant(g *Grant, arrived bootclock.Time) error {
 	u := s.upstream(g.Addr)
 	if !u.up {
 		return ownership.ErrNoAnswer
 	}
 	r := g.Range
-	for _, h := range u.tokensSeen {
-		if h.from <= r.To && r.From <= h.to && h.fence > r.FencingToken {
+	for _, seen := range u.tokensSeen {
+		if seen.from <= r.To && r.From <= seen.to && seen.fencingToken > r.FencingToken {
 			return ownership.ErrFenced
 		}
 	}
-	until := arrived.Add(time.Duration(float64(g.TTL) * 1.02 * s.overstayFactor))
-	u.tokensSeen = cutOut(u.tokensSeen, r.From, r.To)
+	expiresAt := arrived.Add(time.Duration(float64(g.TTL) * 1.02 * s.overstayFactor))
+	u.tokensSeen = removeKeys(u.tokensSeen, r.From, r.To)
 	u.tokensSeen = append(u.tokensSeen, simGrant{r.From, r.To, r.FencingToken, 0})
-	u.grants = cutOut(u.grants, r.From, r.To)
-	u.grants = append(u.grants, simGrant{r.From, r.To, r.FencingToken, until})
+	u.grants = removeKeys(u.grants, r.From, r.To)
+	u.grants = append(u.grants, simGrant{r.From, r.To, r.FencingToken, expiresAt})
 	s.granted = true
 	return nil
 }
 
+// release executes a release at its upstream.
 func (s *simulation) release(r *Release) error {
 	u := s.upstream(r.Addr)
 	if !u.up {
 		return ownership.ErrNoAnswer
 	}
-	u.grants = cutOut(u.grants, r.Range.From, r.Range.To)
+	u.grants = removeKeys(u.grants, r.Range.From, r.Range.To)
 	return nil
 }
 
-func cutOut(hs []simGrant, from, to int) []simGrant {
+// removeKeys removes the keys from..to from the grants.
+func removeKeys(grants []simGrant, from, to int) []simGrant {
 	var out []simGrant
-	for _, h := range hs {
-		if h.to < from || h.from > to {
-			out = append(out, h)
+	for _, g := range grants {
+		if g.to < from || g.from > to {
+			out = append(out, g)
 			continue
 		}
-		if h.from < from {
-			left := h
+		if g.from < from {
+			left := g
 			left.to = from - 1
 			out = append(out, left)
 		}
-		if h.to > to {
-			right := h
+		if g.to > to {
+			right := g
 			right.from = to + 1
 			out = append(out, right)
 		}
@@ -70,28 +74,28 @@
 	return out
 }
 
-// checkExclusive is the oracle: no key is held by two upstreams that are up.
+// checkExclusive returns an error if two running upstreams own the same key.
 func (s *simulation) checkExclusive() error {
-	type held struct {
+	type ownedGrant struct {
 		simGrant
-		by string
+		owner string
 	}
-	var all []held
-	for _, u := range s.ups {
+	var all []ownedGrant
+	for _, u := range s.upstreams {
 		if !u.up {
 			continue
 		}
-		u.grants = slices.DeleteFunc(u.grants, func(h simGrant) bool { return h.until <= s.now })
-		for _, h := range u.grants {
-			all = append(all, held{h, u.id})
+		u.grants = slices.DeleteFunc(u.grants, func(g simGrant) bool { return g.expiresAt <= s.now })
+		for _, g := range u.grants {
+			all = append(all, ownedGrant{g, u.id})
 		}
 	}
-	slices.SortFunc(all, func(a, b held) int { return a.from - b.from })
+	slices.SortFunc(all, func(a, b ownedGrant) int { return a.from - b.from })
 	for i := 1; i < len(all); i++ {
 		a, b := all[i-1], all[i]
-		if b.from <= a.to && a.by != b.by {
-			return fmt.Errorf("after %v: keys %d to %d are held by %s (token %d, %v left) and %s (token %d, %v left)",
-				s.now.Sub(bootclock.Time(time.Hour)), b.from, min(a.to, b.to), a.by, a.fence, a.until.Sub(s.now), b.by, b.fence, b.until.Sub(s.now))
+		if b.from <= a.to && a.owner != b.owner {
+			return fmt.Errorf("after %v: keys %d to %d are owned by both %s (token %d, %v left) and %s (token %d, %v left)",
+				s.now.Sub(bootclock.Time(time.Hour)), b.from, min(a.to, b.to), a.owner, a.fencingToken, a.expiresAt.Sub(s.now), b.owner, b.fencingToken, b.expiresAt.Sub(s.now))
 		}
 	}
 	return nil
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -11,111 +11,113 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// span is a run of keys, both ends inclusive.
+// span is a contiguous run of keys, both ends inclusive.
 type span struct{ from, to int }
 
-// term is one service's state while this host is the planner.
+// term is the state of one service while this host is the planner.
 type term struct {
 	p    *Planner
 	name string
-	// table is the one in force; nil before any is known.
+	// table is the table in force, or nil if none is known.
 	table *ownership.Table
-	// started is set once this host's first record is in force; number is
-	// that term's and startFence the token it put on every range.
+	// started is set once this host's first record is in force. number is the
+	// number of the term and firstFencingToken the token that its first record
+	// put on every range.
 	started           bool
 	number            int64
 	firstFencingToken int64
-	// base is the table that the term's first record was made from, foreign
-	// bounds what earlier planners may still send.
+	// base is the table that the term's first record was made from.
+	// previousGrants bounds what previous planners may still send.
 	base           *ownership.Table
 	previousGrants previousGrants
-	// baseSeenAt is when the term of base was first seen.
-	baseSeenAt bootclock.Time
-	// foreignAt is when a table of another planner's was last adopted.
-	foreignAt bootclock.Time
+	// baseTermSeenAt is when the term of base was first seen.
+	baseTermSeenAt bootclock.Time
+	// otherPlannerSeenAt is when a table of another planner was last adopted.
+	otherPlannerSeenAt bootclock.Time
 
-	appending      *Append
+	pendingAppend  *Append
 	appendRetryDue bool
-	nextAppend     bootclock.Time
-	// recordedAt is when the last record was begun.
-	recordedAt bootclock.Time
+	nextAppendAt   bootclock.Time
+	// lastRecordAt is when the last append other than the term's first was started.
+	lastRecordAt bootclock.Time
 
-	// supersededAt is when an upstream showed that it has seen a later
-	// planner's token. Until the seat is proved anew this host sends no
-	// orders: each would only be refused.
+	// superseded is set while an upstream is known to have seen a newer planner's
+	// token, supersededAt is when it last showed that. Until the lease is renewed
+	// this host makes no calls for the service: all would be rejected.
 	superseded   bool
 	supersededAt bootclock.Time
 
-	// ups are the lives that are listed, byServer the same by their servers.
-	ups      map[string]*catalogue.Upstream
-	byServer map[string]*catalogue.Upstream
-	// warmUp is how long keys are slow that come without a handover.
+	// upstreams holds the listed upstreams by ID, upstreamByServer by server ID.
+	upstreams        map[string]*catalogue.Upstream
+	upstreamByServer map[string]*catalogue.Upstream
+	// warmUp is how long requests for keys are slow after a move without a handover.
 	warmUp time.Duration
-	// sparing is set while those in their slow start get no keys.
-	sparing bool
-	// servers are by server.
+	// excludeCold is set while upstreams in their slow start get no keys.
+	excludeCold bool
+	// servers is keyed by server ID.
 	servers      map[string]*serverState
 	activeGrants map[span]*activeGrant
-	// limiter holds the keys of lost owners back.
+	// limiter delays the reassignment of lost owners' keys.
 	limiter placementLimiter
-	// moves are under way, in the order of their keys.
+	// moves are the moves in progress, in the order of their keys.
 	moves []*move
-	// nextRebalance is when load is looked at next, nextUrgent keys without owners.
+	// nextRebalance is when load is checked next, nextOwnerlessCheck when keys
+	// without an owner are.
 	nextRebalance, nextOwnerlessCheck bootclock.Time
 }
 
-// activeGrant is one grant that is kept up.
+// activeGrant is a grant that is renewed for as long as it is wanted.
 type activeGrant struct {
-	r        ownership.Range
-	next     bootclock.Time
-	inFlight bool
+	rng        ownership.Range
+	nextSendAt bootclock.Time
+	inFlight   bool
 }
 
 func newTerm(p *Planner, name string) *term {
-	return &term{p: p, name: name, ups: map[string]*catalogue.Upstream{}, byServer: map[string]*catalogue.Upstream{},
+	return &term{p: p, name: name, upstreams: map[string]*catalogue.Upstream{}, upstreamByServer: map[string]*catalogue.Upstream{},
 		servers: map[string]*serverState{}, activeGrants: map[span]*activeGrant{}}
 }
 
-// server returns the account of the life's server.
-func (t *term) server(life string) *serverState {
-	server := catalogue.ServerID(life)
-	h := t.servers[server]
-	if h == nil {
-		h = &serverState{incarnation: life}
-		t.servers[server] = h
-	}
-	return h
+// server returns the state of the incarnation's server.
+func (t *term) server(incarnation string) *serverState {
+	id := catalogue.ServerID(incarnation)
+	srv := t.servers[id]
+	if srv == nil {
+		srv = &serverState{incarnation: incarnation}
+		t.servers[id] = srv
+	}
+	return srv
 }
 
-// successor returns the newer life of the owner's server, if one is listed:
-// the owner has ended then.
-func (t *term) successor(owner string) *catalogue.Upstream {
-	u := t.byServer[catalogue.ServerID(owner)]
+// newerIncarnation returns the listed newer incarnation of the owner's server,
+// or nil. If there is one, the owner has ended.
+func (t *term) newerIncarnation(owner string) *catalogue.Upstream {
+	u := t.upstreamByServer[catalogue.ServerID(owner)]
 	if u != nil && catalogue.IsLaterIncarnation(u.ID, owner) {
 		return u
 	}
 	return nil
 }
 
-// adopt takes the table that the log has now.
-func (t *term) adopt(latest *ownership.Table, now bootclock.Time) {
+// adoptTable puts the latest table from the log into force if it is newer.
+func (t *term) adoptTable(latest *ownership.Table, now bootclock.Time) {
 	if latest == nil || (t.table != nil && latest.MaxFencingToken <= t.table.MaxFencingToken) {
 		return
 	}
 	if t.started && latest.Term != t.number {
-		// Another planner has written: this host's term is over, though it
-		// may hold the seat again.
+		// Another planner has written: this host's term has ended, even if the
+		// host holds the lease again.
 		t.p.OnEvent(Event{Kind: TermEnded, Service: t.name, Table: latest})
-		ended := *t
-		t.p.pastTerms[t.name] = &ended
+		past := *t
+		t.p.pastTerms[t.name] = &past
 		*t = *newTerm(t.p, t.name)
 	}
 	t.table = latest
 	if latest.Planner != t.p.opts.Host {
-		t.foreignAt = now
+		t.otherPlannerSeenAt = now
 	}
-	if a := t.appending; a != nil && a.Table.MaxFencingToken <= latest.MaxFencingToken {
-		t.appending = nil
+	if pending := t.pendingAppend; pending != nil && pending.Table.MaxFencingToken <= latest.MaxFencingToken {
+		t.pendingAppend = nil
 		t.appendRetryDue = false
 	}
 	if !t.started && latest.Planner == t.p.opts.Host && t.number != 0 && latest.Term == t.number {
@@ -130,79 +132,78 @@
 	t.firstFencingToken = t.table.MaxFencingToken
 	t.previousGrants.planners = t.previousPlanners(now)
 	if past := t.p.pastTerms[t.name]; past != nil && t.base != nil && past.number == t.base.Term {
-		// No other planner was in between: those before are bounded as they
-		// were, and this host's own grants are on the holders' accounts.
+		// This host was also the last planner: the bounds of its past term still
+		// hold, and the servers' states count the grants that it sent itself.
 		t.previousGrants = past.previousGrants
 		t.servers = past.servers
 	}
 	t.p.OnEvent(Event{Kind: TermStarted, Service: t.name, Table: t.table})
 }
 
-// takeOver returns the record that starts this host's term.
+// takeOver returns the append that starts this host's term, if it is due.
 func (t *term) takeOver(now bootclock.Time) []Action {
-	if t.appending != nil {
-		return t.retryAppend(now)
+	if t.pendingAppend != nil {
+		return t.dueAppendRetry(now)
 	}
-	if now.Before(t.nextAppend) {
+	if now.Before(t.nextAppendAt) {
 		return nil
 	}
-	if t.p.lease.renewedAt.Before(t.foreignAt) {
-		// Another host has planned since the seat was proved. A host that
-		// comes back from a cut may hold such a proof; a term started on it
-		// would supersede the planner's, and be superseded in turn.
-		t.p.lease.nextRenewal = min(t.p.lease.nextRenewal, now)
+	if t.p.lease.renewedAt.Before(t.otherPlannerSeenAt) {
+		// Another host has planned since the last lease renewal. A host that
+		// was partitioned may still hold such a renewal; a term started on it
+		// would supersede the current planner's and be superseded in turn.
+		t.p.lease.nextRequestAt = min(t.p.lease.nextRequestAt, now)
 		return nil
 	}
 	base := t.table
 	if base == nil {
-		// The first record divides nothing yet. It shows the other hosts whom
-		// to follow, before each of them has read the log for itself.
+		// The first record assigns no keys yet. It tells the other hosts which
+		// planner to follow before each of them has read the log for itself.
 		base = ownership.NewTable(t.name)
 	}
 	next := base.TakeOver(t.p.opts.Host, t.p.opts.PeerAddr)
 	t.number = next.Term
 	t.base = t.table
 	if t.base != nil {
-		t.baseSeenAt = t.p.histories[t.name].termSeenAt(t.base, now)
+		t.baseTermSeenAt = t.p.histories[t.name].termSeenAt(t.base, now)
 	}
 	t.previousGrants.lostBounds = t.p.histories[t.name].lostBounds(t.base, &t.p.opts)
 	next.Cause = "new planner"
-	t.appending = &Append{Table: next, ExpectedOffset: t.p.end, Cause: next.Cause}
-	return []Action{t.appending}
+	t.pendingAppend = &Append{Table: next, ExpectedOffset: t.p.streamEnd, Cause: next.Cause}
+	return []Action{t.pendingAppend}
 }
 
-// retryAppend repeats an append whose outcome is not known.
-func (t *term) retryAppend(now bootclock.Time) []Action {
-	if !t.appendRetryDue || now.Before(t.nextAppend) {
+// dueAppendRetry returns the pending append if its outcome is unknown and a retry is due.
+func (t *term) dueAppendRetry(now bootclock.Time) []Action {
+	if !t.appendRetryDue || now.Before(t.nextAppendAt) {
 		return nil
 	}
 	t.appendRetryDue = false
-	return []Action{t.appending}
+	return []Action{t.pendingAppend}
 }
 
-// observe takes in the upstreams that are listed.
-func (t *term) observe(v *view.View, now bootclock.Time) {
-	clear(t.ups)
-	clear(t.byServer)
+// updateUpstreams reads the listed upstreams from the view.
+func (t *term) updateUpstreams(v *view.View, now bootclock.Time) {
+	clear(t.upstreams)
+	clear(t.upstreamByServer)
 	for _, u := range v.Upstreams.ForService(t.name) {
-		t.ups[u.ID] = u
-		t.byServer[catalogue.ServerID(u.ID)] = u
-		if h := t.server(u.ID); catalogue.IsLaterIncarnation(u.ID, h.incarnation) {
-			h.startIncarnation(u.ID, now)
+		t.upstreams[u.ID] = u
+		t.upstreamByServer[catalogue.ServerID(u.ID)] = u
+		if srv := t.server(u.ID); catalogue.IsLaterIncarnation(u.ID, srv.incarnation) {
+			srv.startIncarnation(u.ID, now)
 		}
 	}
-	t.sparing = t.enoughWarm()
+	t.excludeCold = t.enoughWarm()
 	t.warmUp = v.Desired.Services[t.name].WarmUp
 }
 
-// enoughWarm reports whether at least half of the upstreams that may own keys
-// are through with their slow start. A cold one is asked for what its keys are
-// asked for, which hosts that do not hear of each other cannot divide among
-// them as they do requests that any upstream serves: they could only refuse
-// most. So keys wait with others until it is warm.
+// enoughWarm reports whether at least half of the upstreams that are not
+// draining have finished their slow start; cold ones then get no keys. A cold
+// owner would receive every request for its keys, and hosts, which do not
+// coordinate its limited capacity, would have to refuse most of them.
 func (t *term) enoughWarm() bool {
 	warm, cold := 0, 0
-	for _, u := range t.ups {
+	for _, u := range t.upstreams {
 		switch {
 		case u.Draining():
 		case t.p.Cold(u):
@@ -214,16 +215,15 @@
 	return warm >= cold
 }
 
-// ineligible reports whether an upstream that is listed may own no keys now, however
-// well it answers.
+// ineligible reports whether a listed upstream may own no keys now, even if it answers.
 func (t *term) ineligible(u *catalogue.Upstream) bool {
-	return u.Draining() || (t.sparing && t.p.Cold(u))
+	return u.Draining() || (t.excludeCold && t.p.Cold(u))
 }
 
 // eligibleOwners returns the upstreams that may own keys.
 func (t *term) eligibleOwners(now bootclock.Time) []*catalogue.Upstream {
 	var out []*catalogue.Upstream
-	for _, u := range t.ups {
+	for _, u := range t.upstreams {
 		if !t.ineligible(u) && !t.excluded(u.ID, now) {
 			out = append(out, u)
 		}
@@ -232,12 +232,12 @@
 }
 
 func (t *term) excluded(id string, now bootclock.Time) bool {
-	h := t.server(id)
-	return h.lost || now.Before(h.excludedUntil)
+	srv := t.server(id)
+	return srv.lost || now.Before(srv.excludedUntil)
 }
 
-// syncGrants makes the leases cover the owned ranges of the table less the
-// spans that are being moved.
+// syncGrants makes the active grants cover the owned ranges of the table,
+// except the spans that are being moved.
 func (t *term) syncGrants(now bootclock.Time) {
 	if !t.started {
 		return
@@ -247,26 +247,26 @@
 		if r.Owner == "" {
 			continue
 		}
-		for _, s := range t.withoutMoves(span{r.From, r.To}) {
-			part := r
-			part.From, part.To = s.from, s.to
-			wanted[s] = part
+		for _, s := range t.subtractMoves(span{r.From, r.To}) {
+			rng := r
+			rng.From, rng.To = s.from, s.to
+			wanted[s] = rng
 		}
 	}
-	for s, l := range t.activeGrants {
-		if w, ok := wanted[s]; !ok || w.Owner != l.r.Owner || w.FencingToken != l.r.FencingToken {
+	for s, ag := range t.activeGrants {
+		if w, ok := wanted[s]; !ok || w.Owner != ag.rng.Owner || w.FencingToken != ag.rng.FencingToken {
 			delete(t.activeGrants, s)
 		}
 	}
 	for s, r := range wanted {
 		if t.activeGrants[s] == nil {
-			t.activeGrants[s] = &activeGrant{r: r, next: now}
+			t.activeGrants[s] = &activeGrant{rng: r, nextSendAt: now}
 		}
 	}
 }
 
-// withoutMoves cuts the spans that are being moved out of s.
-func (t *term) withoutMoves(s span) []span {
+// subtractMoves returns the parts of s that are not being moved.
+func (t *term) subtractMoves(s span) []span {
 	var out []span
 	from := s.from
 	first := sort.Search(len(t.moves), func(i int) bool { return t.moves[i].to >= s.from })
@@ -285,89 +285,89 @@
 	return out
 }
 
-// grants returns the grants and renewals that are due.
-func (t *term) grants(now bootclock.Time) []Action {
+// dueGrants returns the grants and renewals to send now.
+func (t *term) dueGrants(now bootclock.Time) []Action {
 	var out []Action
 	for _, s := range sortedKeys(t.activeGrants) {
-		l := t.activeGrants[s]
-		u := t.ups[l.r.Owner]
-		if l.inFlight || now.Before(l.next) || u == nil || t.server(l.r.Owner).lost || t.table.IsLost(l.r.Owner) {
+		ag := t.activeGrants[s]
+		u := t.upstreams[ag.rng.Owner]
+		if ag.inFlight || now.Before(ag.nextSendAt) || u == nil || t.server(ag.rng.Owner).lost || t.table.IsLost(ag.rng.Owner) {
 			continue
 		}
-		h := t.server(u.ID)
-		if h.inFlight == 0 && !h.sentAny {
-			h.answeredAt = now
+		srv := t.server(u.ID)
+		if srv.grantsInFlight == 0 && !srv.grantSent {
+			srv.answeredAt = now
 		}
-		h.inFlight++
-		h.sentAny = true
-		l.inFlight = true
-		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: l.r, TTL: t.p.opts.GrantTTL, SentAt: now,
-			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > maxLeaseAge, server: h})
+		srv.grantsInFlight++
+		srv.grantSent = true
+		ag.inFlight = true
+		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: ag.rng, TTL: t.p.opts.GrantTTL, SentAt: now,
+			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > maxLeaseAge, server: srv})
 	}
 	return out
 }
 
-// grantDone takes in the result of a grant, which may be one of an earlier term; its
-// holder's account has it already.
+// grantDone handles the result of a grant, possibly of an earlier term. Its
+// server's state already includes the result.
 func (t *term) grantDone(g *Grant, err error, now bootclock.Time) {
-	h := g.server
+	srv := g.server
 	s := span{g.Range.From, g.Range.To}
-	l := t.activeGrants[s]
-	if l != nil && l.r.FencingToken == g.Range.FencingToken {
-		l.inFlight = false
-		l.next = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
+	ag := t.activeGrants[s]
+	if ag != nil && ag.rng.FencingToken == g.Range.FencingToken {
+		ag.inFlight = false
+		ag.nextSendAt = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
 	}
 	switch {
 	case err == nil:
 		return
 	case errors.Is(err, ownership.ErrFenced):
-		t.fenced(g.Range, now, err)
+		t.markSuperseded(g.Range, now, err)
 	case errors.Is(err, ownership.ErrRejected):
 		t.emitFailure(GrantRejected, g.Range.Owner, err, now)
 	}
-	if l != nil {
-		l.next = now.Add(grantRetryDelay)
+	if ag != nil {
+		ag.nextSendAt = now.Add(grantRetryDelay)
 	}
-	if !h.lost && !h.forPastIncarnation(g) && now.Sub(h.answeredAt) > time.Duration(lostAfter*float64(t.p.opts.GrantTTL)) {
-		h.lost = true
-		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(h.answeredAt), Err: err})
+	if !srv.lost && !srv.forPastIncarnation(g) && now.Sub(srv.answeredAt) > time.Duration(lostAfterFraction*float64(t.p.opts.GrantTTL)) {
+		srv.lost = true
+		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(srv.answeredAt), Err: err})
 	}
 }
 
-// emitFailure tells of an order that failed, once in noteEvery for each
-// upstream and kind: an owner of a hundred ranges fails a hundred orders at
-// once, and again with each retry.
+// emitFailure emits an event for a failed call, at most once per
+// failureEventInterval for each upstream and kind: an owner of a hundred ranges
+// fails a hundred calls at once, and again with each retry.
 func (t *term) emitFailure(k EventKind, upstream string, err error, now bootclock.Time) {
-	h := t.server(upstream)
-	n := h.throttles[k]
-	if n.at != 0 && now.Sub(n.at) < failureEventInterval {
-		n.suppressed++
-		h.throttles[k] = n
+	srv := t.server(upstream)
+	throttle := srv.throttles[k]
+	if throttle.emittedAt != 0 && now.Sub(throttle.emittedAt) < failureEventInterval {
+		throttle.suppressed++
+		srv.throttles[k] = throttle
 		return
 	}
-	t.p.OnEvent(Event{Kind: k, Service: t.name, Upstream: upstream, Err: err, Suppressed: n.suppressed})
-	if h.throttles == nil {
-		h.throttles = map[EventKind]eventThrottle{}
+	t.p.OnEvent(Event{Kind: k, Service: t.name, Upstream: upstream, Err: err, Suppressed: throttle.suppressed})
+	if srv.throttles == nil {
+		srv.throttles = map[EventKind]eventThrottle{}
 	}
-	h.throttles[k] = eventThrottle{at: now}
+	srv.throttles[k] = eventThrottle{emittedAt: now}
 }
 
-// fenced takes note that an upstream has seen a higher token than that of a
-// grant in force: another planner is at work, whose record has not reached
-// this host. It must read the ownership stream again to learn of it.
-func (t *term) fenced(r ownership.Range, now bootclock.Time, err error) {
+// markSuperseded handles a grant that an upstream rejected because it has seen
+// a higher token. If the grant is in force, there is a newer planner whose
+// record has not reached this host, so the ownership stream must be read again.
+func (t *term) markSuperseded(r ownership.Range, now bootclock.Time, err error) {
 	if t.table.Find(r.From).FencingToken != r.FencingToken {
-		return // a grant from before a move of this host's own
+		return // the grant predates one of this host's own moves
 	}
 	if !t.superseded {
 		t.emitFailure(GrantRejected, r.Owner, err, now)
 	}
 	t.superseded, t.supersededAt = true, now
-	t.p.endUncertain = true
+	t.p.streamEndUncertain = true
 }
 
-// isSuperseded reports whether the term is superseded and the seat has not
-// been proved since.
+// isSuperseded reports whether the term is superseded and the lease has not
+// been renewed since.
 func (t *term) isSuperseded() bool {
 	if t.superseded && t.supersededAt.Before(t.p.lease.renewedAt) {
 		t.superseded = false
