--- a/internal/standin/hostlist/server.go
+++ b/internal/standin/hostlist/server.go
@@ -11,8 +11,8 @@
 )
 
 type change struct {
-	host hl.Host
-	at   time.Time
+	host      hl.Host
+	visibleAt time.Time
 }
 
 // Server serves GET /hosts and takes POST /hosts (a JSON hostlist.Host).
@@ -58,7 +58,7 @@
 	defer s.mu.Unlock()
 	keep := s.pending[:0]
 	for _, c := range s.pending {
-		if now.Before(c.at) {
+		if now.Before(c.visibleAt) {
 			keep = append(keep, c)
 			continue
 		}
--- a/internal/standin/logsvc/server.go
+++ b/internal/standin/logsvc/server.go
@@ -70,7 +70,7 @@
 	return mux
 }
 
-func (s *Server) inject(ctx context.Context) (Faults, error) {
+func (s *Server) applyFaults(ctx context.Context) (Faults, error) {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
@@ -98,7 +98,7 @@
 
 // Append implements logsvcpb.Log.
 func (s *Server) Append(ctx context.Context, req *logsvcpb.AppendRequest) (*logsvcpb.AppendResponse, error) {
-	f, err := s.inject(ctx)
+	f, err := s.applyFaults(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 
 // Read implements logsvcpb.Log.
 func (s *Server) Read(ctx context.Context, req *logsvcpb.ReadRequest) (*logsvcpb.ReadResponse, error) {
-	if _, err := s.inject(ctx); err != nil {
+	if _, err := s.applyFaults(ctx); err != nil {
 		return nil, err
 	}
 	max := int(req.Max)
--- a/internal/standin/loopback/fleet.go
+++ b/internal/standin/loopback/fleet.go
@@ -56,10 +56,10 @@
 	// Server is the current incarnation.
 	Server *target.Server
 	opts   target.Options
-	srv    *server
-	// past are earlier incarnations, kept so that counts of work run
+	srv    *httpServer
+	// previousIncarnations are earlier incarnations, kept so that counts of work run
 	// survive a restart.
-	past []*target.Server
+	previousIncarnations []*target.Server
 }
 
 // Host is one running entry host.
@@ -76,19 +76,19 @@
 // Fleet is a running whole path.
 type Fleet struct {
 	// HostList is nil unless Spec.HostListLag was set.
-	HostList *hostlist.Server
-	Log      *logsvc.Server
-	LogURL   string
-	Manifest *manifest.Manifest
-	Targets  map[string]*Target
-	Hosts    []*Host
-	spec     Spec
-	logSrv   *server
-	hostSrv  *server
+	HostList       *hostlist.Server
+	Log            *logsvc.Server
+	LogURL         string
+	Manifest       *manifest.Manifest
+	Targets        map[string]*Target
+	Hosts          []*Host
+	spec           Spec
+	logServer      *httpServer
+	hostListServer *httpServer
 }
 
-// server is an HTTP server whose Close frees its address at once.
-type server struct {
+// httpServer is an HTTP server whose Close frees its address at once.
+type httpServer struct {
 	*http.Server
 	ln net.Listener
 }
@@ -96,18 +96,18 @@
 // Close ends the server. The listener is closed by itself: a server that was
 // not serving yet does not know it, and would keep the address until its
 // goroutine ran.
-func (s *server) Close() error {
+func (s *httpServer) Close() error {
 	err := s.Server.Close()
 	_ = s.ln.Close() // the server may have closed it
 	return err
 }
 
-func serve(addr string, h http.Handler, connContext func(context.Context, net.Conn) context.Context) (*server, error) {
+func serve(addr string, h http.Handler, connContext func(context.Context, net.Conn) context.Context) (*httpServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen %s", addr)
 	}
-	srv := &server{Server: &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, ConnContext: connContext}, ln: ln}
+	srv := &httpServer{Server: &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, ConnContext: connContext}, ln: ln}
 	go func() { _ = srv.Serve(ln) }()
 	return srv, nil
 }
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if f.logSrv, err = serve(addr, f.Log.Handler(), nil); err != nil {
+	if f.logServer, err = serve(addr, f.Log.Handler(), nil); err != nil {
 		return nil, err
 	}
 	f.LogURL = "http://" + addr
@@ -133,7 +133,7 @@
 		if addr, err = ports.FreeAddr(); err != nil {
 			return nil, err
 		}
-		if f.hostSrv, err = serve(addr, f.HostList.Handler(), nil); err != nil {
+		if f.hostListServer, err = serve(addr, f.HostList.Handler(), nil); err != nil {
 			return nil, err
 		}
 		hostListAddr = "http://" + addr
@@ -174,7 +174,7 @@
 		return nil
 	}
 	if t.Server != nil {
-		t.past = append(t.past, t.Server)
+		t.previousIncarnations = append(t.previousIncarnations, t.Server)
 	}
 	t.Server = target.NewServer(t.opts)
 	srv, err := serve(t.Upstream.Addr, t.Server.Handler(), t.Server.ConnContext)
@@ -195,7 +195,7 @@
 // on service/key in every incarnation of the target.
 func (t *Target) Runs(service, key, ik string) int64 {
 	n := t.Server.Runs(service, key, ik)
-	for _, s := range t.past {
+	for _, s := range t.previousIncarnations {
 		n += s.Runs(service, key, ik)
 	}
 	return n
@@ -220,8 +220,8 @@
 	return h, nil
 }
 
-// ended returns why the entry host ended by itself, or nil if it runs.
-func (h *Host) ended() error {
+// exitError returns why the entry host ended by itself, or nil if it runs.
+func (h *Host) exitError() error {
 	select {
 	case err := <-h.done:
 		h.done <- err // for Stop
@@ -254,11 +254,11 @@
 // request for every service.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, h := range f.Hosts {
-		if err := h.ended(); err != nil {
+		if err := h.exitError(); err != nil {
 			return eris.Wrapf(err, "host %s ended", h.Name)
 		}
 		for _, s := range f.Manifest.Services {
-			if err := waitServed(ctx, h.URL+"/"+s.Name+"/ready-probe"); err != nil {
+			if err := waitForOK(ctx, h.URL+"/"+s.Name+"/ready-probe"); err != nil {
 				return eris.Wrapf(err, "host %s service %s", h.Name, s.Name)
 			}
 		}
@@ -266,7 +266,7 @@
 	return nil
 }
 
-func waitServed(ctx context.Context, url string) error {
+func waitForOK(ctx context.Context, url string) error {
 	for {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		resp, err := http.DefaultClient.Do(req)
@@ -292,10 +292,10 @@
 	for _, t := range f.Targets {
 		t.Kill()
 	}
-	if f.logSrv != nil {
-		_ = f.logSrv.Close()
+	if f.logServer != nil {
+		_ = f.logServer.Close()
 	}
-	if f.hostSrv != nil {
-		_ = f.hostSrv.Close()
+	if f.hostListServer != nil {
+		_ = f.hostListServer.Close()
 	}
 }
--- a/internal/standin/loopback/fleet_test.go
+++ b/internal/standin/loopback/fleet_test.go
@@ -10,7 +10,7 @@
 // A stand-in is killed right after its start and started again at the same
 // address. A server that was not serving yet when it was closed would keep the
 // address until its goroutine runs, and the restart would find it in use.
-func TestAddressIsFreeOnceAServerIsClosed(t *testing.T) {
+func TestCloseFreesAddressImmediately(t *testing.T) {
 	addr, err := ports.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -11,9 +11,9 @@
 )
 
 type stream struct {
-	records []metastore.Record
-	first   int64
-	newest  map[string]metastore.Record
+	records     []metastore.Record
+	first       int64
+	newestByKey map[string]metastore.Record
 }
 
 // Log is the stand-in. Its zero value is not usable; see New.
@@ -25,9 +25,9 @@
 	// calls counts calls by name.
 	calls map[string]int
 
-	holder     string
-	holderTill time.Time
-	generation int64
+	leaseHolder     string
+	leaseExpiresAt  time.Time
+	leaseGeneration int64
 }
 
 // New returns an empty log.
@@ -35,10 +35,10 @@
 	return &Log{streams: map[metastore.Stream]*stream{}, changed: make(chan struct{}), calls: map[string]int{}}
 }
 
-func (l *Log) of(s metastore.Stream) *stream {
+func (l *Log) stream(s metastore.Stream) *stream {
 	st := l.streams[s]
 	if st == nil {
-		st = &stream{newest: map[string]metastore.Record{}}
+		st = &stream{newestByKey: map[string]metastore.Record{}}
 		l.streams[s] = st
 	}
 	return st
@@ -53,13 +53,13 @@
 }
 
 func (l *Log) put(s metastore.Stream, key string, value []byte) int64 {
-	st := l.of(s)
+	st := l.stream(s)
 	r := metastore.Record{Key: key, Value: value, Offset: st.first + int64(len(st.records))}
 	st.records = append(st.records, r)
 	if value == nil {
-		delete(st.newest, key)
+		delete(st.newestByKey, key)
 	} else {
-		st.newest[key] = r
+		st.newestByKey[key] = r
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -100,7 +100,7 @@
 }
 
 // joinPrice is what a join counts beside other calls.
-const joinPrice = 0.1
+const joinCallWeight = 0.1
 
 // WeightedCalls returns how many calls were made, as the service counts them.
 func (l *Log) WeightedCalls() float64 {
@@ -109,7 +109,7 @@
 	sum := 0.0
 	for name, n := range l.calls {
 		if name == "join" {
-			sum += joinPrice * float64(n)
+			sum += joinCallWeight * float64(n)
 			continue
 		}
 		sum += float64(n)
@@ -117,8 +117,8 @@
 	return sum
 }
 
-// enter counts a call and reports whether the service is up.
-func (l *Log) enter(name string) error {
+// beginCall counts a call and reports whether the service is up.
+func (l *Log) beginCall(name string) error {
 	l.calls[name]++
 	if l.down {
 		return metastore.ErrRejected
@@ -130,12 +130,12 @@
 func (l *Log) Newest(_ context.Context, s metastore.Stream) ([]metastore.Record, int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("newest"); err != nil {
+	if err := l.beginCall("newest"); err != nil {
 		return nil, 0, err
 	}
-	st := l.of(s)
+	st := l.stream(s)
 	var out []metastore.Record
-	for _, r := range st.newest {
+	for _, r := range st.newestByKey {
 		out = append(out, r)
 	}
 	return out, st.first + int64(len(st.records)), nil
@@ -146,13 +146,13 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	l.mu.Lock()
-	err := l.enter("read")
+	err := l.beginCall("read")
 	for {
 		if err != nil || l.down {
 			l.mu.Unlock()
 			return metastore.Batch{}, metastore.ErrRejected
 		}
-		st := l.of(s)
+		st := l.stream(s)
 		end := st.first + int64(len(st.records))
 		if from < st.first {
 			l.mu.Unlock()
@@ -180,10 +180,10 @@
 func (l *Log) AppendAt(_ context.Context, s metastore.Stream, key string, value []byte, at int64) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("append"); err != nil {
+	if err := l.beginCall("append"); err != nil {
 		return 0, err
 	}
-	if st := l.of(s); st.first+int64(len(st.records)) != at {
+	if st := l.stream(s); st.first+int64(len(st.records)) != at {
 		return 0, metastore.ErrConflict
 	}
 	return l.put(s, key, value), nil
@@ -193,7 +193,7 @@
 func (l *Log) Append(_ context.Context, s metastore.Stream, recs []metastore.Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("append"); err != nil {
+	if err := l.beginCall("append"); err != nil {
 		return err
 	}
 	for _, r := range recs {
@@ -206,28 +206,28 @@
 func (l *Log) JoinElection(_ context.Context, member string, ttl time.Duration, _ int64) (metastore.Lease, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("join"); err != nil {
+	if err := l.beginCall("join"); err != nil {
 		return metastore.Lease{}, err
 	}
-	if l.holder == "" || time.Now().After(l.holderTill) {
-		l.holder = member
-		l.generation++
+	if l.leaseHolder == "" || time.Now().After(l.leaseExpiresAt) {
+		l.leaseHolder = member
+		l.leaseGeneration++
 	}
-	if l.holder == member {
-		l.holderTill = time.Now().Add(ttl)
+	if l.leaseHolder == member {
+		l.leaseExpiresAt = time.Now().Add(ttl)
 	}
-	return metastore.Lease{Generation: l.generation, Held: l.holder == member}, nil
+	return metastore.Lease{Generation: l.leaseGeneration, Held: l.leaseHolder == member}, nil
 }
 
 // LeaveElection implements metastore.Store.
 func (l *Log) LeaveElection(_ context.Context, member string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("leave"); err != nil {
+	if err := l.beginCall("leave"); err != nil {
 		return err
 	}
-	if l.holder == member {
-		l.holder = ""
+	if l.leaseHolder == member {
+		l.leaseHolder = ""
 	}
 	return nil
 }
@@ -236,5 +236,5 @@
 func (l *Log) LeaseHolder() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.holder
+	return l.leaseHolder
 }
--- a/internal/standin/pipenet/pipenet.go
+++ b/internal/standin/pipenet/pipenet.go
@@ -12,22 +12,22 @@
 
 // Network connects the listeners that it has opened.
 type Network struct {
-	mu sync.Mutex
-	by map[string]*listener
+	mu        sync.Mutex
+	listeners map[string]*listener
 }
 
 // New returns a network without listeners.
-func New() *Network { return &Network{by: map[string]*listener{}} }
+func New() *Network { return &Network{listeners: map[string]*listener{}} }
 
 // Listen opens a listener at addr, any text that no other listener has.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.by[addr] != nil {
+	if n.listeners[addr] != nil {
 		return nil, syscall.EADDRINUSE
 	}
 	l := &listener{net: n, addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
-	n.by[addr] = l
+	n.listeners[addr] = l
 	return l, nil
 }
 
@@ -35,7 +35,7 @@
 // does that nobody listens for.
 func (n *Network) Dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
-	l := n.by[addr]
+	l := n.listeners[addr]
 	n.mu.Unlock()
 	if l == nil {
 		return nil, syscall.ECONNREFUSED
@@ -44,7 +44,7 @@
 	select {
 	case l.conns <- far:
 		n.mu.Lock()
-		l.open = append(l.open, far)
+		l.accepted = append(l.accepted, far)
 		n.mu.Unlock()
 		return near, nil
 	case <-l.closed:
@@ -60,12 +60,12 @@
 func (n *Network) Kill(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.by[addr]
+	l := n.listeners[addr]
 	if l == nil {
 		return
 	}
-	delete(n.by, addr)
-	for _, c := range l.open {
+	delete(n.listeners, addr)
+	for _, c := range l.accepted {
 		_ = c.Close()
 	}
 }
@@ -76,8 +76,8 @@
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
-	// open are the connections that it has taken.
-	open []net.Conn
+	// accepted are the connections that it has taken.
+	accepted []net.Conn
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -94,7 +94,7 @@
 		close(l.closed)
 		l.net.mu.Lock()
 		defer l.net.mu.Unlock()
-		delete(l.net.by, l.addr)
+		delete(l.net.listeners, l.addr)
 	})
 	return nil
 }
--- a/internal/standin/ports/ports.go
+++ b/internal/standin/ports/ports.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// first and last lie below the range from which the kernel picks ports
+	// firstPort and last lie below the range from which the kernel picks ports
 	// for outgoing connections and for listeners on port 0. A port of that
 	// range, found free and closed again, may be another process's when it
 	// is listened on: a host then failed to start, and its callers reached
 	// somebody else's server.
-	first, last = 10000, 32000
-	// block is how many ports a process takes at once. It holds a block by
+	firstPort, lastPort = 10000, 32000
+	// blockSize is how many ports a process takes at once. It holds a block by
 	// listening on its first port, so that no other process is handed a port
 	// of it, even while a stand-in that is being restarted has closed its own.
-	block = 1000
+	blockSize = 1000
 )
 
 var (
-	mu     sync.Mutex
-	next   int
-	end    int
-	guards []net.Listener // kept open for the life of the process
+	mu          sync.Mutex
+	nextPort    int
+	blockEnd    int
+	blockGuards []net.Listener // kept open for the life of the process
 )
 
 // FreeAddr returns a loopback address on which nobody listens, and which is not
@@ -38,13 +38,13 @@
 	mu.Lock()
 	defer mu.Unlock()
 	for {
-		if next >= end {
-			if err := takeBlock(); err != nil {
+		if nextPort >= blockEnd {
+			if err := reserveBlock(); err != nil {
 				return "", err
 			}
 		}
-		addr := address(next)
-		next++
+		addr := address(nextPort)
+		nextPort++
 		ln, err := net.Listen("tcp4", addr)
 		if err != nil {
 			continue
@@ -56,26 +56,26 @@
 	}
 }
 
-// takeBlock takes a block that no process holds.
-func takeBlock() error {
-	for start := first; start+block <= last; start += block {
+// reserveBlock takes a block that no process holds.
+func reserveBlock() error {
+	for start := firstPort; start+blockSize <= lastPort; start += blockSize {
 		guard, err := net.Listen("tcp4", address(start))
 		if err != nil {
 			continue
 		}
-		guards = append(guards, guard)
-		next, end = start+1, start+block
+		blockGuards = append(blockGuards, guard)
+		nextPort, blockEnd = start+1, start+blockSize
 		return nil
 	}
-	return eris.Errorf("no free block of ports from %d to %d", first, last)
+	return eris.Errorf("no free block of ports from %d to %d", firstPort, lastPort)
 }
 
 func address(port int) string { return fmt.Sprint("127.0.0.1:", port) }
 
 const (
-	// listenTries and listenPause bound how long Listen waits for an address.
-	listenTries = 50
-	listenPause = 20 * time.Millisecond
+	// maxListenRetries and listenPause bound how long Listen waits for an address.
+	maxListenRetries = 50
+	listenRetryDelay = 20 * time.Millisecond
 )
 
 // Listen listens on an address that Free returned. A process that is being
@@ -84,9 +84,9 @@
 func Listen(addr string) (net.Listener, error) {
 	for try := 0; ; try++ {
 		ln, err := net.Listen("tcp4", addr)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || try >= listenTries {
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || try >= maxListenRetries {
 			return ln, eris.Wrapf(err, "listen %s", addr)
 		}
-		time.Sleep(listenPause)
+		time.Sleep(listenRetryDelay)
 	}
 }
--- a/internal/standin/ports/ports_test.go
+++ b/internal/standin/ports/ports_test.go
@@ -9,18 +9,18 @@
 // While a stand-in is restarted its port is closed for a moment. No other
 // process may be handed a port of this one's block then: its restart would
 // find the address in use.
-func TestBlockIsHeldWhilePortsAreClosed(t *testing.T) {
+func TestPortBlockStaysReservedWhilePortsAreClosed(t *testing.T) {
 	addr, err := FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	mine := guards[len(guards)-1].Addr().String()
+	mine := blockGuards[len(blockGuards)-1].Addr().String()
 	if ln, err := net.Listen("tcp4", mine); err == nil {
 		_ = ln.Close()
 		t.Fatalf("the block of %s can be taken by another process", addr)
 	}
 	seen := map[string]bool{addr: true}
-	for range 2 * block {
+	for range 2 * blockSize {
 		addr, err := FreeAddr()
 		if err != nil {
 			t.Fatal(err)
@@ -34,7 +34,7 @@
 
 // A process that is being started holds a copy of a listener for a moment
 // after it was closed; who is to listen there next waits for it.
-func TestListenWaitsForACopyToGo(t *testing.T) {
+func TestListenRetriesWhileAddressIsInUse(t *testing.T) {
 	addr, err := FreeAddr()
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(5*listenPause, func() { _ = copied.Close() })
+	time.AfterFunc(5*listenRetryDelay, func() { _ = copied.Close() })
 	ln, err := Listen(addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/rangeowner/rules.go
+++ b/internal/standin/rangeowner/bounds.go
@@ -13,14 +13,14 @@
 	BackoffSlack = 2
 	// LimitWindow, limitFactor and limitSlack bound the requests to an upstream with
 	// a rate limit.
-	RateLimitWindow         = 4 * time.Second
-	limitFactor, limitSlack = 1.5, 5.0
+	RateLimitWindow                 = 4 * time.Second
+	rateLimitFactor, rateLimitSlack = 1.5, 5.0
 )
 
 // MaxRequests returns how many requests may come within LimitWindow to an upstream
 // that takes perSecond.
 func MaxRequests(perSecond float64) int {
-	return int(perSecond*RateLimitWindow.Seconds()*limitFactor + limitSlack)
+	return int(perSecond*RateLimitWindow.Seconds()*rateLimitFactor + rateLimitSlack)
 }
 
 // BackoffViolation returns how many requests of one host came within a rest that an answer of
--- a/internal/standin/rangeowner/ranged.go
+++ b/internal/standin/rangeowner/upstream.go
@@ -13,30 +13,30 @@
 	"github.com/papayatide/papayatide/internal/protocol"
 )
 
-type hold struct {
-	from, to int
-	fence    int64
-	until    time.Time
+type grant struct {
+	from, to     int
+	fencingToken int64
+	expiresAt    time.Time
 }
 
 // Upstream is the stand-in.
 type Upstream struct {
-	ID      string
-	headers protocol.Headers
-	work    time.Duration
-	ln      net.Listener
-	srv     *http.Server
+	ID       string
+	headers  protocol.Headers
+	workTime time.Duration
+	ln       net.Listener
+	srv      *http.Server
 	// Fatal, if set, is asked as each request begins to run; true means that
 	// it has ended the upstream.
 	CrashOn func(*http.Request) bool
 
-	mu    sync.Mutex
-	holds []hold
-	seen  []hold
-	runs  map[string]int
-	// arrived are the requests that were not misdirected, in order.
-	arrived []Arrival
-	says    Report
+	mu         sync.Mutex
+	grants     []grant
+	lastGrants []grant
+	runs       map[string]int
+	// arrivals are the requests that were not misdirected, in order.
+	arrivals []Arrival
+	report   Report
 }
 
 // Report is what the upstream says of itself in its answers.
@@ -54,7 +54,7 @@
 func (u *Upstream) SetReport(s Report) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.says = s
+	u.report = s
 }
 
 // Arrival is a request's coming, and what its answer said.
@@ -67,7 +67,7 @@
 // New returns an upstream whose requests take work. It serves them as an
 // http.Handler.
 func New(id string, h protocol.Headers, work time.Duration) *Upstream {
-	return &Upstream{ID: id, headers: h, work: work, runs: map[string]int{}}
+	return &Upstream{ID: id, headers: h, workTime: work, runs: map[string]int{}}
 }
 
 // Start starts an upstream on loopback whose requests take work.
@@ -110,7 +110,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var out []Arrival
-	for _, a := range u.arrived {
+	for _, a := range u.arrivals {
 		if !a.At.Before(from) && a.At.Before(to) {
 			out = append(out, a)
 		}
@@ -146,8 +146,8 @@
 }
 
 func (u *Upstream) fenced(r ownership.Range) bool {
-	for _, h := range u.seen {
-		if h.from <= r.To && r.From <= h.to && h.fence > r.FencingToken {
+	for _, h := range u.lastGrants {
+		if h.from <= r.To && r.From <= h.to && h.fencingToken > r.FencingToken {
 			return true
 		}
 	}
@@ -161,8 +161,8 @@
 	if u.fenced(r) {
 		return ownership.ErrFenced
 	}
-	u.seen = append(without(u.seen, r), hold{r.From, r.To, r.FencingToken, time.Time{}})
-	u.holds = append(without(u.holds, r), hold{r.From, r.To, r.FencingToken, time.Now().Add(d)})
+	u.lastGrants = append(subtractRange(u.lastGrants, r), grant{r.From, r.To, r.FencingToken, time.Time{}})
+	u.grants = append(subtractRange(u.grants, r), grant{r.From, r.To, r.FencingToken, time.Now().Add(d)})
 	return nil
 }
 
@@ -170,7 +170,7 @@
 func (u *Upstream) Release(r ownership.Range) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.holds = without(u.holds, r)
+	u.grants = subtractRange(u.grants, r)
 	return "token-" + u.ID
 }
 
@@ -181,17 +181,17 @@
 func (u *Upstream) HoldsAny(r ownership.Range) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, h := range u.holds {
-		if h.from <= r.To && r.From <= h.to && time.Now().Before(h.until) {
+	for _, h := range u.grants {
+		if h.from <= r.To && r.From <= h.to && time.Now().Before(h.expiresAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// without cuts r out of hs.
-func without(hs []hold, r ownership.Range) []hold {
-	var out []hold
+// subtractRange cuts r out of hs.
+func subtractRange(hs []grant, r ownership.Range) []grant {
+	var out []grant
 	for _, h := range hs {
 		if h.to < r.From || h.from > r.To {
 			out = append(out, h)
@@ -225,13 +225,13 @@
 		}
 	}
 	u.mu.Lock()
-	says := u.says
+	says := u.report
 	if says.Backoff == 0 {
 		u.runs[id]++
 	}
-	u.arrived = append(u.arrived, Arrival{id, time.Now(), says})
+	u.arrivals = append(u.arrivals, Arrival{id, time.Now(), says})
 	u.mu.Unlock()
-	u.write(w.Header(), says)
+	u.writeReport(w.Header(), says)
 	if says.Backoff > 0 {
 		u.refuse(w, http.StatusServiceUnavailable)
 		return
@@ -239,13 +239,13 @@
 	if u.CrashOn != nil && u.CrashOn(r) {
 		panic(http.ErrAbortHandler)
 	}
-	time.Sleep(u.work)
+	time.Sleep(u.workTime)
 	w.Header().Set(u.headers.Signature, "signed by "+u.ID)
 	_, _ = w.Write([]byte(u.ID + " ran " + id))
 }
 
-// write puts what the upstream says into an answer's headers.
-func (u *Upstream) write(h http.Header, s Report) {
+// writeReport puts what the upstream says into an answer's headers.
+func (u *Upstream) writeReport(h http.Header, s Report) {
 	if s.RateLimit > 0 {
 		h.Set(u.headers.RateLimit, strconv.FormatFloat(s.RateLimit, 'f', -1, 64))
 	}
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -57,29 +57,29 @@
 
 // Server is one stand-in target.
 type Server struct {
-	opts     Options
-	started  time.Time
-	inflight atomic.Int64
-	draining atomic.Bool
-	drainAt  atomic.Int64
+	opts       Options
+	started    time.Time
+	inflight   atomic.Int64
+	draining   atomic.Bool
+	drainStart atomic.Int64
 
-	// gate is held for writing while the target is paused, so every
+	// pauseMu is held for writing while the target is paused, so every
 	// handler stalls at entry the way a frozen process would.
-	gate sync.RWMutex
+	pauseMu sync.RWMutex
 
-	mu     sync.Mutex
-	grants map[string]*grantState
-	ops    map[string]int64
-	idem   map[string]Answer
+	mu                      sync.Mutex
+	grants                  map[string]*grantState
+	opCounts                map[string]int64
+	answersByIdempotencyKey map[string]Answer
 	// Executed counts operations actually run, by service/key; tests read it.
 	executed map[string]int64
-	// byIdem counts runs per service/key/idempotency key; tests read it.
-	byIdem map[string]int64
+	// runsByIdempotencyKey counts runs per service/key/idempotency key; tests read it.
+	runsByIdempotencyKey map[string]int64
 	// silentBefore, when set, is a UnixNano time: connections accepted
 	// before it get no answers, as if a middlebox lost track of them.
-	silentBefore atomic.Int64
-	// previous is the last answer given, for CrossAnswers.
-	previous *Answer
+	blackholedBefore atomic.Int64
+	// previousAnswer is the last answer given, for CrossAnswers.
+	previousAnswer *Answer
 }
 
 // NewServer returns a stand-in target.
@@ -88,7 +88,7 @@
 		opts.Slots = 1
 	}
 	return &Server{opts: opts, started: time.Now(), grants: map[string]*grantState{},
-		ops: map[string]int64{}, idem: map[string]Answer{}, executed: map[string]int64{}, byIdem: map[string]int64{}}
+		opCounts: map[string]int64{}, answersByIdempotencyKey: map[string]Answer{}, executed: map[string]int64{}, runsByIdempotencyKey: map[string]int64{}}
 }
 
 // Handler serves grants, work and health.
@@ -99,7 +99,7 @@
 	mux.HandleFunc(tp.PathWork+"{service}/{key...}", s.handleWork)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.awaitResume()
-		if s.silent(r) {
+		if s.blackholed(r) {
 			<-r.Context().Done()
 			return
 		}
@@ -109,39 +109,39 @@
 
 // awaitResume stalls while the target is paused.
 func (s *Server) awaitResume() {
-	s.gate.RLock()
-	defer s.gate.RUnlock()
+	s.pauseMu.RLock()
+	defer s.pauseMu.RUnlock()
 }
 
-type connAcceptedKey struct{}
+type connAcceptTimeKey struct{}
 
 // ConnContext stamps each connection with its accept time; pass it as
 // http.Server.ConnContext so that Silence can tell old connections apart.
 func (s *Server) ConnContext(ctx context.Context, _ net.Conn) context.Context {
-	return context.WithValue(ctx, connAcceptedKey{}, time.Now().UnixNano())
+	return context.WithValue(ctx, connAcceptTimeKey{}, time.Now().UnixNano())
 }
 
 // BlackholeConns makes every connection open now go silent for good: requests on
 // them get no answer and nothing runs, while new connections work.
-func (s *Server) BlackholeConns() { s.silentBefore.Store(time.Now().UnixNano()) }
+func (s *Server) BlackholeConns() { s.blackholedBefore.Store(time.Now().UnixNano()) }
 
-// silent reports whether r came on a connection that was silenced.
-func (s *Server) silent(r *http.Request) bool {
-	at, ok := r.Context().Value(connAcceptedKey{}).(int64)
-	return ok && at < s.silentBefore.Load()
+// blackholed reports whether r came on a connection that was silenced.
+func (s *Server) blackholed(r *http.Request) bool {
+	at, ok := r.Context().Value(connAcceptTimeKey{}).(int64)
+	return ok && at < s.blackholedBefore.Load()
 }
 
 // Pause freezes the target: requests stall until Resume, and its grants
 // age meanwhile, as they would for a process stopped by the kernel.
-func (s *Server) Pause() { s.gate.Lock() }
+func (s *Server) Pause() { s.pauseMu.Lock() }
 
 // Resume ends a Pause; the target still believes in the grants it held.
-func (s *Server) Resume() { s.gate.Unlock() }
+func (s *Server) Resume() { s.pauseMu.Unlock() }
 
 // Drain marks the target as leaving: new work is refused as not run.
 func (s *Server) Drain() {
 	s.draining.Store(true)
-	s.drainAt.Store(time.Now().UnixNano())
+	s.drainStart.Store(time.Now().UnixNano())
 }
 
 // Executed returns how many times a non-idempotent operation ran on key.
@@ -156,7 +156,7 @@
 func (s *Server) Runs(service, key, ik string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.byIdem[service+"/"+key+"\x00"+ik]
+	return s.runsByIdempotencyKey[service+"/"+key+"\x00"+ik]
 }
 
 func (s *Server) handleGrant(w http.ResponseWriter, r *http.Request) {
@@ -189,7 +189,7 @@
 }
 
 func (s *Server) handleHealth(w http.ResponseWriter, r *http.Request) {
-	at := s.drainAt.Load()
+	at := s.drainStart.Load()
 	if s.draining.Load() && time.Since(time.Unix(0, at)) >= s.opts.HealthLag {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
@@ -203,8 +203,8 @@
 	http.Error(w, why, code)
 }
 
-// fenced reports why a request must be refused under the grants held, or "".
-func (s *Server) fenced(service string, r *http.Request) string {
+// fencingRefusal reports why a request must be refused under the grants held, or "".
+func (s *Server) fencingRefusal(service string, r *http.Request) string {
 	if !s.opts.CheckFencing {
 		return ""
 	}
@@ -235,7 +235,7 @@
 		refuse(w, http.StatusServiceUnavailable, "draining")
 		return
 	}
-	if why := s.fenced(service, r); why != "" {
+	if why := s.fencingRefusal(service, r); why != "" {
 		refuse(w, http.StatusConflict, why)
 		return
 	}
@@ -248,33 +248,33 @@
 	if s.opts.CrashOn != nil && s.opts.CrashOn(s.opts.Name, key) {
 		panic(http.ErrAbortHandler)
 	}
-	if !s.work(r) {
+	if !s.waitWorkTime(r) {
 		return // cancelled: the caller is gone, nothing ran
 	}
 	ans := s.apply(r, service, key)
 	if s.opts.CrossAnswers {
-		ans = s.cross(ans)
+		ans = s.swapWithPrevious(ans)
 	}
 	w.Header().Set(tp.HeaderRequestID, ans.RequestID)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(ans)
 }
 
-// cross returns the previous answer in place of ans (ans itself the first
+// swapWithPrevious returns the previous answer in place of ans (ans itself the first
 // time) and keeps ans for the next request.
-func (s *Server) cross(ans Answer) Answer {
+func (s *Server) swapWithPrevious(ans Answer) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	prev := s.previous
-	s.previous = &ans
+	prev := s.previousAnswer
+	s.previousAnswer = &ans
 	if prev == nil {
 		return ans
 	}
 	return *prev
 }
 
-// work waits out the request's processing time; false if it was cancelled.
-func (s *Server) work(r *http.Request) bool {
+// waitWorkTime waits out the request's processing time; false if it was cancelled.
+func (s *Server) waitWorkTime(r *http.Request) bool {
 	d := s.opts.WorkTime
 	if time.Since(s.started) < s.opts.ColdStart {
 		d = s.opts.ColdWorkTime
@@ -301,20 +301,20 @@
 	defer s.mu.Unlock()
 	ans := Answer{Upstream: s.opts.Name, Service: service, Key: key, RequestID: id}
 	if r.Method == http.MethodGet {
-		ans.Ops = s.ops[sk]
+		ans.Ops = s.opCounts[sk]
 		return ans
 	}
 	ik := r.Header.Get(tp.HeaderIdempotencyKey)
-	if prev, ok := s.idem[sk+"\x00"+ik]; ok && ik != "" {
+	if prev, ok := s.answersByIdempotencyKey[sk+"\x00"+ik]; ok && ik != "" {
 		prev.Replayed, prev.RequestID = true, id
 		return prev
 	}
-	s.ops[sk]++
+	s.opCounts[sk]++
 	s.executed[sk]++
-	s.byIdem[sk+"\x00"+ik]++
-	ans.Ops = s.ops[sk]
+	s.runsByIdempotencyKey[sk+"\x00"+ik]++
+	ans.Ops = s.opCounts[sk]
 	if ik != "" {
-		s.idem[sk+"\x00"+ik] = ans
+		s.answersByIdempotencyKey[sk+"\x00"+ik] = ans
 	}
 	return ans
 }
