--- a/internal/standin/hostlist/doc.go
+++ b/internal/standin/hostlist/doc.go
@@ -1,4 +1,4 @@
-// Package hostlist is papayatide's stand-in for the platform's list of live
-// and leaving hosts. Changes show in the list only after a set lag, as the
-// brief says the real list lags.
+// Package hostlist is a stand-in for the platform's list of live and leaving
+// hosts. It shows each change only after a configured lag, because the platform's
+// list lags too.
 package hostlist
--- a/internal/standin/hostlist/server.go
+++ b/internal/standin/hostlist/server.go
@@ -10,12 +10,14 @@
 	hl "github.com/papayatide/papayatide/internal/hostlist"
 )
 
+// change is a host's new state, which the list shows from visibleAt on.
 type change struct {
 	host      hl.Host
 	visibleAt time.Time
 }
 
-// Server serves GET /hosts and takes POST /hosts (a JSON hostlist.Host).
+// Server serves the list at GET /hosts and accepts changes at POST /hosts (a JSON
+// hostlist.Host).
 type Server struct {
 	lag     time.Duration
 	mu      sync.Mutex
@@ -23,19 +25,19 @@
 	hosts   map[string]hl.State
 }
 
-// NewServer returns a host list whose changes show after lag.
+// NewServer returns an empty host list that shows each change after lag.
 func NewServer(lag time.Duration) *Server {
 	return &Server{lag: lag, hosts: map[string]hl.State{}}
 }
 
-// Set records a host's state; it shows in the list after the lag.
+// Set sets a host's state; the list shows it after the lag.
 func (s *Server) Set(addr string, st hl.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending = append(s.pending, change{hl.Host{Addr: addr, State: st}, time.Now().Add(s.lag)})
 }
 
-// Handler serves the list.
+// Handler serves GET and POST /hosts.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) {
@@ -53,18 +55,20 @@
 	return mux
 }
 
+// list applies the changes whose lag is over at now, and returns the hosts sorted
+// by address.
 func (s *Server) list(now time.Time) hl.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	keep := s.pending[:0]
+	remaining := s.pending[:0]
 	for _, c := range s.pending {
 		if now.Before(c.visibleAt) {
-			keep = append(keep, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		s.hosts[c.host.Addr] = c.host.State
 	}
-	s.pending = keep
+	s.pending = remaining
 	l := hl.List{}
 	for a, st := range s.hosts {
 		l.Hosts = append(l.Hosts, hl.Host{Addr: a, State: st})
--- a/internal/standin/logsvc/doc.go
+++ b/internal/standin/logsvc/doc.go
@@ -1,5 +1,5 @@
-// Package logsvc is papayatide's stand-in for the platform's append-only log
-// service: named streams of records with offsets, compare-and-append, a
-// retention limit, and injectable faults (outage, slowness, and an answer
-// lost after its write took effect). It keeps everything in memory.
+// Package logsvc is a stand-in for the platform's append-only log service: named
+// streams of records with offsets, conditional appends, a retention limit, and
+// injectable faults (an outage, slow calls, and appends that take effect but return
+// an error). It keeps everything in memory.
 package logsvc
--- a/internal/standin/logsvc/server.go
+++ b/internal/standin/logsvc/server.go
@@ -14,17 +14,17 @@
 	"github.com/papayatide/papayatide/rpc/logsvcpb"
 )
 
-// MaxRead bounds the records one Read returns.
+// MaxRead is the most records that one Read returns.
 const MaxRead = 1000
 
-// Faults are the failures the stand-in injects. The zero value injects none.
+// Faults configures the faults to inject. The zero value injects none.
 type Faults struct {
 	// Outage makes every call fail with twirp.Unavailable.
 	Outage bool `json:"outage"`
 	// DelayMs delays every call by this many milliseconds.
 	DelayMs int `json:"delay_ms"`
-	// LoseAckRate is the probability in [0,1] that an append takes effect
-	// but its answer is replaced by an Unavailable error.
+	// LoseAckRate is the probability in [0,1] that an append takes effect but
+	// returns twirp.Unavailable.
 	LoseAckRate float64 `json:"lose_ack_rate"`
 }
 
@@ -41,8 +41,8 @@
 	faults    Faults
 }
 
-// NewServer returns a log service that drops records older than retention
-// (0 keeps everything).
+// NewServer returns a log service that drops records older than retention; 0 keeps
+// all records.
 func NewServer(retention time.Duration) *Server {
 	return &Server{streams: map[string]*stream{}, retention: retention}
 }
@@ -70,6 +70,7 @@
 	return mux
 }
 
+// applyFaults delays or fails a call as the current faults demand, and returns them.
 func (s *Server) applyFaults(ctx context.Context) (Faults, error) {
 	s.mu.Lock()
 	f := s.faults
@@ -87,6 +88,7 @@
 	return f, nil
 }
 
+// stream returns a stream and creates it on first use. s.mu must be locked.
 func (s *Server) stream(name string) *stream {
 	st := s.streams[name]
 	if st == nil {
@@ -123,8 +125,8 @@
 	return &logsvcpb.AppendResponse{Offset: next}, nil
 }
 
-// trim drops records past retention but always keeps the newest one, so a
-// stream's latest state survives however old it is.
+// trim drops records older than the retention. It always keeps the newest record,
+// so a stream's latest state survives at any age. s.mu must be locked.
 func (s *Server) trim(st *stream, now time.Time) {
 	if s.retention <= 0 {
 		return
--- a/internal/standin/loopback/fleet.go
+++ b/internal/standin/loopback/fleet.go
@@ -28,20 +28,23 @@
 	Services    []manifest.ServiceSize
 	Slots       int
 	HostsPerDC  int
-	// Settings is the template for every entry host; host name, data
-	// centre, addresses and log address are filled in.
+	// Settings is the template for every entry host. The host name, the data
+	// centre and all addresses are filled in.
 	Settings settings.Daemon
-	// Target is the template for every target; name, slots and fencing
+	// Target is the template for every target. Name, Slots and CheckFencing
 	// are filled in from the manifest.
 	Target target.Options
 	Logger *zap.Logger
-	// Retention is the log stand-in's retention (0 keeps everything).
+	// Retention is how long the log service stand-in keeps records; 0 keeps
+	// all of them.
 	Retention time.Duration
-	// HostListLag, when set, starts a host-list stand-in with that lag.
+	// HostListLag, if positive, starts a host list stand-in that shows each
+	// change after this lag.
 	HostListLag time.Duration
 }
 
-// DefaultSettings are entry-host settings fast enough for tests.
+// DefaultSettings returns entry host settings with intervals short enough for
+// tests.
 func DefaultSettings() settings.Daemon {
 	return settings.Daemon{LogLevel: "info", PollInterval: 20 * time.Millisecond, RequestTimeout: 2 * time.Second, AttemptTimeout: 200 * time.Millisecond,
 		MaxViewAge: time.Second, RetryAfter: time.Second, GrantTTL: 300 * time.Millisecond,
@@ -50,22 +53,22 @@
 		LatencyObjective: 16 * time.Millisecond}
 }
 
-// Target is one target stand-in that can be killed and restarted.
+// Target is a target stand-in that can be killed and restarted.
 type Target struct {
 	Upstream manifest.Upstream
 	// Server is the current incarnation.
 	Server *target.Server
 	opts   target.Options
 	srv    *httpServer
-	// previousIncarnations are earlier incarnations, kept so that counts of work run
-	// survive a restart.
+	// previousIncarnations keeps the servers of earlier incarnations, so that
+	// Runs counts their work too.
 	previousIncarnations []*target.Server
 }
 
-// Host is one running entry host.
+// Host is a running entry host.
 type Host struct {
 	Name, DataCentre string
-	// URL and AdminURL are the caller and admin base URLs.
+	// URL and AdminURL are the base URLs for callers and for the admin API.
 	URL, AdminURL string
 	cancel        context.CancelFunc
 	done          chan error
@@ -73,7 +76,7 @@
 	stopErr       error
 }
 
-// Fleet is a running whole path.
+// Fleet is a running deployment.
 type Fleet struct {
 	// HostList is nil unless Spec.HostListLag was set.
 	HostList       *hostlist.Server
@@ -87,18 +90,18 @@
 	hostListServer *httpServer
 }
 
-// httpServer is an HTTP server whose Close frees its address at once.
+// httpServer is an HTTP server whose Close frees its address before it returns.
 type httpServer struct {
 	*http.Server
 	ln net.Listener
 }
 
-// Close ends the server. The listener is closed by itself: a server that was
-// not serving yet does not know it, and would keep the address until its
-// goroutine ran.
+// Close stops the server. It closes the listener explicitly: http.Server learns
+// of its listener in Serve, so a Close before Serve would leave the address in
+// use until the server's goroutine runs.
 func (s *httpServer) Close() error {
 	err := s.Server.Close()
-	_ = s.ln.Close() // the server may have closed it
+	_ = s.ln.Close() // http.Server.Close may have closed it already
 	return err
 }
 
@@ -112,8 +115,8 @@
 	return srv, nil
 }
 
-// Start starts the log, the targets and the entry hosts, but publishes no
-// manifest; call Publish.
+// Start starts the log service, the targets and the entry hosts. It publishes no
+// manifest; call Publish for that.
 func Start(spec Spec) (*Fleet, error) {
 	if spec.Logger == nil {
 		spec.Logger = zap.NewNop()
@@ -167,8 +170,8 @@
 	return f, nil
 }
 
-// Start (re)starts the target on its address with fresh state, as a new
-// process would; it does nothing if the target is running.
+// Start starts the target, or restarts it on the same address with empty state,
+// as a new process would. It does nothing if the target is running.
 func (t *Target) Start() error {
 	if t.srv != nil {
 		return nil
@@ -182,7 +185,7 @@
 	return err
 }
 
-// Kill stops the target at once, cutting requests in flight; it does
+// Kill stops the target at once and aborts its requests in flight. It does
 // nothing if the target is not running.
 func (t *Target) Kill() {
 	if t.srv != nil {
@@ -191,8 +194,8 @@
 	}
 }
 
-// Runs returns how many times the operation with idempotency key ik ran
-// on service/key in every incarnation of the target.
+// Runs returns how often the operation with idempotency key ik ran on
+// service/key, over all incarnations of the target.
 func (t *Target) Runs(service, key, ik string) int64 {
 	n := t.Server.Runs(service, key, ik)
 	for _, s := range t.previousIncarnations {
@@ -201,7 +204,7 @@
 	return n
 }
 
-// AddHost starts one more entry host in data centre dc.
+// AddHost starts another entry host in data centre dc.
 func (f *Fleet) AddHost(name, dc string) (*Host, error) {
 	cfg := f.spec.Settings
 	cfg.Host, cfg.DataCentre, cfg.LogAddr = name, dc, f.LogURL
@@ -220,18 +223,19 @@
 	return h, nil
 }
 
-// exitError returns why the entry host ended by itself, or nil if it runs.
+// exitError returns the daemon's error if the entry host has stopped, and nil
+// while it runs.
 func (h *Host) exitError() error {
 	select {
 	case err := <-h.done:
-		h.done <- err // for Stop
+		h.done <- err // Stop receives it again
 		return err
 	default:
 		return nil
 	}
 }
 
-// Stop is a planned stop of the entry host; it returns the daemon's error.
+// Stop shuts the entry host down gracefully and returns the daemon's error.
 func (h *Host) Stop() error {
 	h.stopOnce.Do(func() {
 		h.cancel()
@@ -250,12 +254,12 @@
 	return err
 }
 
-// WaitReady waits until every entry host answers ready and serves a
-// request for every service.
+// WaitReady waits until every entry host has served a request for every service.
+// It fails if a host has stopped with an error.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, h := range f.Hosts {
 		if err := h.exitError(); err != nil {
-			return eris.Wrapf(err, "host %s ended", h.Name)
+			return eris.Wrapf(err, "host %s exited", h.Name)
 		}
 		for _, s := range f.Manifest.Services {
 			if err := waitForOK(ctx, h.URL+"/"+s.Name+"/ready-probe"); err != nil {
@@ -284,7 +288,7 @@
 	}
 }
 
-// Close stops everything.
+// Close stops the entry hosts, the targets, the log service and the host list.
 func (f *Fleet) Close() {
 	for _, h := range f.Hosts {
 		_ = h.Stop()
--- a/internal/standin/loopback/fleet_test.go
+++ b/internal/standin/loopback/fleet_test.go
@@ -7,9 +7,9 @@
 	"github.com/papayatide/papayatide/internal/standin/ports"
 )
 
-// A stand-in is killed right after its start and started again at the same
-// address. A server that was not serving yet when it was closed would keep the
-// address until its goroutine runs, and the restart would find it in use.
+// Guards against a restart that fails with the address in use. A stand-in may be
+// killed right after its start: if Close runs before Serve, http.Server does not
+// know the listener and leaves it open until the server's goroutine runs.
 func TestCloseFreesAddressImmediately(t *testing.T) {
 	addr, err := ports.FreeAddr()
 	if err != nil {
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -1,5 +1,6 @@
-// Package memstore is an in-memory stand-in for the platform's log service,
-// as package metastore describes it, with the failures that the service has.
+// Package memstore is an in-memory stand-in for the platform's log service, as
+// package metastore defines it. Tests can make it unavailable and have it drop its
+// history, as the service does.
 package memstore
 
 import (
@@ -10,21 +11,27 @@
 	"github.com/papayatide/papayatide/internal/metastore"
 )
 
+// stream is a stream's history from offset first on, and the newest record of each
+// key that was not deleted.
 type stream struct {
 	records     []metastore.Record
 	first       int64
 	newestByKey map[string]metastore.Record
 }
 
-// Log is the stand-in. Its zero value is not usable; see New.
+// Log is an in-memory metastore.Store. Create it with New.
 type Log struct {
 	mu      sync.Mutex
 	streams map[metastore.Stream]*stream
+	// changed is closed and replaced on every append and every SetDown, to wake
+	// waiting reads.
 	changed chan struct{}
 	down    bool
-	// calls counts calls by name.
+	// calls counts calls by name: newest, read, append, join and leave.
 	calls map[string]int
 
+	// The planner lease: its holder, or "" if it was given up; its expiry; and
+	// how often it was acquired.
 	leaseHolder     string
 	leaseExpiresAt  time.Time
 	leaseGeneration int64
@@ -35,6 +42,7 @@
 	return &Log{streams: map[metastore.Stream]*stream{}, changed: make(chan struct{}), calls: map[string]int{}}
 }
 
+// stream returns a stream and creates it on first use. l.mu must be locked.
 func (l *Log) stream(s metastore.Stream) *stream {
 	st := l.streams[s]
 	if st == nil {
@@ -44,14 +52,15 @@
 	return st
 }
 
-// Put appends a record as an operator or an upstream would; a nil value
-// deletes the key.
+// Put appends a record on behalf of an operator or an upstream. A nil value deletes
+// the key. Put is not counted as a call and works while the service is down.
 func (l *Log) Put(s metastore.Stream, key string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.put(s, key, value)
 }
 
+// put appends a record and returns the stream's new end. l.mu must be locked.
 func (l *Log) put(s metastore.Stream, key string, value []byte) int64 {
 	st := l.stream(s)
 	r := metastore.Record{Key: key, Value: value, Offset: st.first + int64(len(st.records))}
@@ -66,7 +75,7 @@
 	return r.Offset + 1
 }
 
-// SetDown makes every call fail, or work again.
+// SetDown sets whether every call fails with metastore.ErrRejected.
 func (l *Log) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,14 +84,14 @@
 	l.changed = make(chan struct{})
 }
 
-// Down reports whether every call fails.
+// Down reports whether SetDown makes every call fail.
 func (l *Log) Down() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.down
 }
 
-// Compact drops the history of all streams; the newest of each key stays.
+// Compact drops the history of all streams and keeps the newest record of each key.
 func (l *Log) Compact() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,17 +101,18 @@
 	}
 }
 
-// Calls returns how many calls of a name were made.
+// Calls returns how many calls of one name were made, failed ones included.
 func (l *Log) Calls(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls[name]
 }
 
-// joinPrice is what a join counts beside other calls.
+// joinCallWeight is what the service counts for a join; any other call counts 1.
 const joinCallWeight = 0.1
 
-// WeightedCalls returns how many calls were made, as the service counts them.
+// WeightedCalls returns how many calls were made, weighted as the service counts
+// them.
 func (l *Log) WeightedCalls() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +127,8 @@
 	return sum
 }
 
-// beginCall counts a call and reports whether the service is up.
+// beginCall counts a call. It returns metastore.ErrRejected while the service is
+// down.
 func (l *Log) beginCall(name string) error {
 	l.calls[name]++
 	if l.down {
@@ -232,7 +243,8 @@
 	return nil
 }
 
-// LeaseHolder returns the member that holds the seat.
+// LeaseHolder returns the member that last acquired the planner lease, or "" if it
+// gave the lease up. The lease may have expired.
 func (l *Log) LeaseHolder() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -13,76 +13,79 @@
 	tp "github.com/papayatide/papayatide/internal/target"
 )
 
-// Options shape the stand-in's behaviour.
+// Options configures a Server.
 type Options struct {
-	// Name is the upstream's name, echoed in answers.
+	// Name is the upstream's name, repeated in every answer.
 	Name string
-	// Slots is how many requests run at once; more are shed.
+	// Slots is how many requests run at once; further ones are shed.
 	Slots int
 	// CheckFencing makes the target refuse requests without a current grant.
 	CheckFencing bool
-	// WorkTime is how long one request takes.
+	// WorkTime is the processing time of one request.
 	WorkTime time.Duration
-	// ColdStart is how long after start requests take ColdWorkTime instead.
+	// ColdStart is how long after the start requests take ColdWorkTime instead.
 	ColdStart    time.Duration
 	ColdWorkTime time.Duration
-	// HealthLag delays the health endpoint's view of draining.
+	// HealthLag is how long the health endpoint still reports ok after Drain.
 	HealthLag time.Duration
-	// CrossAnswers makes the target answer each request with the answer
-	// it gave the request before, as a confused middlebox would.
+	// CrossAnswers makes the target return to each request the answer to the
+	// request before it, as a faulty middlebox would.
 	CrossAnswers bool
-	// Fatal, if set, is asked as the named target begins to run work on a key;
-	// true means that it has ended the target.
+	// CrashOn, if set, is called when the named target starts work on a key. If
+	// it returns true, it has killed the target, and the request gets no answer.
 	CrashOn func(name, key string) bool
 }
 
-// Answer is the JSON body a target returns for work.
+// Answer is the JSON body of a response to work.
 type Answer struct {
 	Upstream  string `json:"upstream"`
 	Service   string `json:"service"`
 	Key       string `json:"key"`
 	RequestID string `json:"request_id"`
-	// Ops is how many non-idempotent operations have run on the key.
+	// Ops is how many operations (requests other than GET) have run on the key.
 	Ops int64 `json:"ops"`
-	// Replayed says the answer was stored under the idempotency key and
+	// Replayed is true if the answer was stored under the idempotency key and
 	// the operation did not run again.
 	Replayed bool `json:"replayed"`
 }
 
+// grantState is the latest grant of one service, with its shards as a set.
 type grantState struct {
 	grant   tp.Grant
 	shards  map[int]bool
 	expires time.Time
 }
 
-// Server is one stand-in target.
+// Server is a target stand-in.
 type Server struct {
-	opts       Options
-	started    time.Time
-	inflight   atomic.Int64
-	draining   atomic.Bool
+	opts     Options
+	started  time.Time
+	inflight atomic.Int64
+	draining atomic.Bool
+	// drainStart is when draining began, in Unix nanoseconds.
 	drainStart atomic.Int64
 
-	// pauseMu is held for writing while the target is paused, so every
-	// handler stalls at entry the way a frozen process would.
+	// pauseMu is write-locked while the target is paused: every handler blocks
+	// on entry, as in a suspended process.
 	pauseMu sync.RWMutex
 
 	mu                      sync.Mutex
 	grants                  map[string]*grantState
 	opCounts                map[string]int64
 	answersByIdempotencyKey map[string]Answer
-	// Executed counts operations actually run, by service/key; tests read it.
+	// executed counts the operations run, by service/key, for tests.
 	executed map[string]int64
-	// runsByIdempotencyKey counts runs per service/key/idempotency key; tests read it.
+	// runsByIdempotencyKey counts the operations run, by service/key and
+	// idempotency key, for tests.
 	runsByIdempotencyKey map[string]int64
-	// silentBefore, when set, is a UnixNano time: connections accepted
-	// before it get no answers, as if a middlebox lost track of them.
+	// blackholedBefore, if not 0, is a time in Unix nanoseconds: connections
+	// accepted before it get no responses, as if a middlebox had lost their state.
 	blackholedBefore atomic.Int64
-	// previousAnswer is the last answer given, for CrossAnswers.
+	// previousAnswer is the answer to the latest request, for CrossAnswers.
 	previousAnswer *Answer
 }
 
-// NewServer returns a stand-in target.
+// NewServer returns a target stand-in with at least one slot.
 func NewServer(opts Options) *Server {
 	if opts.Slots < 1 {
 		opts.Slots = 1
@@ -107,52 +110,54 @@
 	})
 }
 
-// awaitResume stalls while the target is paused.
+// awaitResume blocks while the target is paused.
 func (s *Server) awaitResume() {
 	s.pauseMu.RLock()
 	defer s.pauseMu.RUnlock()
 }
 
+// connAcceptTimeKey is the context key of a connection's accept time.
 type connAcceptTimeKey struct{}
 
-// ConnContext stamps each connection with its accept time; pass it as
-// http.Server.ConnContext so that Silence can tell old connections apart.
+// ConnContext records a connection's accept time. BlackholeConns works only on
+// servers that have it as http.Server.ConnContext.
 func (s *Server) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connAcceptTimeKey{}, time.Now().UnixNano())
 }
 
-// BlackholeConns makes every connection open now go silent for good: requests on
-// them get no answer and nothing runs, while new connections work.
+// BlackholeConns disables all connections that are open now: requests on them get
+// no response and do not run. New connections work.
 func (s *Server) BlackholeConns() { s.blackholedBefore.Store(time.Now().UnixNano()) }
 
-// blackholed reports whether r came on a connection that was silenced.
+// blackholed reports whether r arrived on a connection that BlackholeConns
+// disabled.
 func (s *Server) blackholed(r *http.Request) bool {
-	at, ok := r.Context().Value(connAcceptTimeKey{}).(int64)
-	return ok && at < s.blackholedBefore.Load()
+	acceptedAt, ok := r.Context().Value(connAcceptTimeKey{}).(int64)
+	return ok && acceptedAt < s.blackholedBefore.Load()
 }
 
-// Pause freezes the target: requests stall until Resume, and its grants
-// age meanwhile, as they would for a process stopped by the kernel.
+// Pause suspends the target like a stopped process: requests block until Resume,
+// and the TTLs of its grants keep running.
 func (s *Server) Pause() { s.pauseMu.Lock() }
 
-// Resume ends a Pause; the target still believes in the grants it held.
+// Resume ends a Pause. The target still has the grants it had before.
 func (s *Server) Resume() { s.pauseMu.Unlock() }
 
-// Drain marks the target as leaving: new work is refused as not run.
+// Drain makes the target refuse new work as not run, as before a planned stop.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 	s.drainStart.Store(time.Now().UnixNano())
 }
 
-// Executed returns how many times a non-idempotent operation ran on key.
+// Executed returns how many operations (requests other than GET) ran on the key.
 func (s *Server) Executed(service, key string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executed[service+"/"+key]
 }
 
-// Runs returns how many times the operation with idempotency key ik ran
-// on service/key here.
+// Runs returns how often the operation with idempotency key ik ran on service/key
+// in this incarnation.
 func (s *Server) Runs(service, key, ik string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,43 +172,44 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cur := s.grants[g.Service]
-	if cur != nil && g.Epoch < cur.grant.Epoch {
+	current := s.grants[g.Service]
+	if current != nil && g.Epoch < current.grant.Epoch {
 		http.Error(w, "grant older than the one held", http.StatusConflict)
 		return
 	}
-	lease := time.Duration(g.TTLMs) * time.Millisecond
+	ttl := time.Duration(g.TTLMs) * time.Millisecond
 	if g.Renew {
-		if cur == nil || cur.grant.Epoch != g.Epoch || cur.grant.Since != g.Since {
+		if current == nil || current.grant.Epoch != g.Epoch || current.grant.Since != g.Since {
 			http.Error(w, "renewal of a grant not held", http.StatusConflict)
 			return
 		}
-		cur.expires = time.Now().Add(lease)
+		current.expires = time.Now().Add(ttl)
 		return
 	}
-	st := &grantState{grant: g, shards: map[int]bool{}, expires: time.Now().Add(lease)}
+	state := &grantState{grant: g, shards: map[int]bool{}, expires: time.Now().Add(ttl)}
 	for _, sh := range g.Shards {
-		st.shards[sh] = true
+		state.shards[sh] = true
 	}
-	s.grants[g.Service] = st
+	s.grants[g.Service] = state
 }
 
 func (s *Server) handleHealth(w http.ResponseWriter, r *http.Request) {
-	at := s.drainStart.Load()
-	if s.draining.Load() && time.Since(time.Unix(0, at)) >= s.opts.HealthLag {
+	start := s.drainStart.Load()
+	if s.draining.Load() && time.Since(time.Unix(0, start)) >= s.opts.HealthLag {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-func refuse(w http.ResponseWriter, code int, why string) {
+// refuse sends an error response that marks the request as not run.
+func refuse(w http.ResponseWriter, code int, reason string) {
 	w.Header().Set(tp.HeaderNotRun, "1")
 	w.Header().Set("Retry-After", "1")
-	http.Error(w, why, code)
+	http.Error(w, reason, code)
 }
 
-// fencingRefusal reports why a request must be refused under the grants held, or "".
+// fencingRefusal returns why the service's grant does not allow r, or "" if it does.
 func (s *Server) fencingRefusal(service string, r *http.Request) string {
 	if !s.opts.CheckFencing {
 		return ""
@@ -235,8 +241,8 @@
 		refuse(w, http.StatusServiceUnavailable, "draining")
 		return
 	}
-	if why := s.fencingRefusal(service, r); why != "" {
-		refuse(w, http.StatusConflict, why)
+	if reason := s.fencingRefusal(service, r); reason != "" {
+		refuse(w, http.StatusConflict, reason)
 		return
 	}
 	if s.inflight.Add(1) > int64(s.opts.Slots) {
@@ -249,7 +255,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if !s.waitWorkTime(r) {
-		return // cancelled: the caller is gone, nothing ran
+		return // cancelled by the client; nothing ran
 	}
 	ans := s.apply(r, service, key)
 	if s.opts.CrossAnswers {
@@ -260,8 +266,8 @@
 	_ = json.NewEncoder(w).Encode(ans)
 }
 
-// swapWithPrevious returns the previous answer in place of ans (ans itself the first
-// time) and keeps ans for the next request.
+// swapWithPrevious stores ans for the next request and returns the answer to the
+// request before, or ans if it is the first.
 func (s *Server) swapWithPrevious(ans Answer) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -273,7 +279,8 @@
 	return *prev
 }
 
-// waitWorkTime waits out the request's processing time; false if it was cancelled.
+// waitWorkTime waits for the request's processing time. It returns false if the
+// request was cancelled.
 func (s *Server) waitWorkTime(r *http.Request) bool {
 	d := s.opts.WorkTime
 	if time.Since(s.started) < s.opts.ColdStart {
@@ -292,29 +299,29 @@
 	}
 }
 
-// apply runs the request on the key's state. Idempotent reads (GET) only
-// look; anything else is an operation, run once per idempotency key.
+// apply runs the request on the key's state. GET only reads; any other method is an
+// operation, which runs once per idempotency key.
 func (s *Server) apply(r *http.Request, service, key string) Answer {
-	id := r.Header.Get(tp.HeaderRequestID)
-	sk := service + "/" + key
+	requestID := r.Header.Get(tp.HeaderRequestID)
+	stateKey := service + "/" + key
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ans := Answer{Upstream: s.opts.Name, Service: service, Key: key, RequestID: id}
+	ans := Answer{Upstream: s.opts.Name, Service: service, Key: key, RequestID: requestID}
 	if r.Method == http.MethodGet {
-		ans.Ops = s.opCounts[sk]
+		ans.Ops = s.opCounts[stateKey]
 		return ans
 	}
-	ik := r.Header.Get(tp.HeaderIdempotencyKey)
-	if prev, ok := s.answersByIdempotencyKey[sk+"\x00"+ik]; ok && ik != "" {
-		prev.Replayed, prev.RequestID = true, id
+	idempotencyKey := r.Header.Get(tp.HeaderIdempotencyKey)
+	if prev, ok := s.answersByIdempotencyKey[stateKey+"\x00"+idempotencyKey]; ok && idempotencyKey != "" {
+		prev.Replayed, prev.RequestID = true, requestID
 		return prev
 	}
-	s.opCounts[sk]++
-	s.executed[sk]++
-	s.runsByIdempotencyKey[sk+"\x00"+ik]++
-	ans.Ops = s.opCounts[sk]
-	if ik != "" {
-		s.answersByIdempotencyKey[sk+"\x00"+ik] = ans
+	s.opCounts[stateKey]++
+	s.executed[stateKey]++
+	s.runsByIdempotencyKey[stateKey+"\x00"+idempotencyKey]++
+	ans.Ops = s.opCounts[stateKey]
+	if idempotencyKey != "" {
+		s.answersByIdempotencyKey[stateKey+"\x00"+idempotencyKey] = ans
 	}
 	return ans
 }
