--- a/internal/standin/cli/cli.go
+++ b/internal/standin/cli/cli.go
@@ -19,7 +19,7 @@
 	"github.com/papayatide/papayatide/internal/standin/target"
 )
 
-// Command returns the root command.
+// Command returns the root command of papayatide-standin.
 func Command() *cobra.Command {
 	root := &cobra.Command{Use: "papayatide-standin", Short: "Stand-ins for the platform's peers", SilenceUsage: true}
 	root.AddCommand(logCommand(), targetCommand(), hostsCommand())
@@ -91,7 +91,8 @@
 	return cmd
 }
 
-// serve runs h on addr until SIGINT/SIGTERM; beforeStop runs first.
+// serve serves h on addr until SIGINT or SIGTERM. It then calls beforeStop, unless
+// that is nil, and shuts the server down.
 func serve(addr string, h http.Handler, beforeStop func()) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/pipenet/pipenet.go
+++ b/internal/standin/pipenet/pipenet.go
@@ -1,6 +1,6 @@
-// Package pipenet is a network in memory, for tests that run whole hosts on a
-// clock of their own (testing/synctest), which knows when nobody has anything to
-// do only while no socket of the kernel is waited for.
+// Package pipenet is an in-memory network for tests that run whole hosts under
+// testing/synctest. Its fake clock advances only while every goroutine is blocked
+// within the test; a goroutine that waits for a kernel socket does not count as such.
 package pipenet
 
 import (
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// Network connects the listeners that it has opened.
+// Network connects Dial to the listeners that Listen opened.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -19,7 +19,8 @@
 // New returns a network without listeners.
 func New() *Network { return &Network{listeners: map[string]*listener{}} }
 
-// Listen opens a listener at addr, any text that no other listener has.
+// Listen opens a listener at addr, which may be any text. It returns EADDRINUSE if
+// addr already has a listener.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,8 +32,8 @@
 	return l, nil
 }
 
-// Dial connects to the listener at addr. Without one it fails as a connection
-// does that nobody listens for.
+// Dial connects to the listener at addr and waits until it accepts. It returns
+// ECONNREFUSED if there is no listener.
 func (n *Network) Dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -40,13 +41,13 @@
 	if l == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case l.conns <- far:
+	case l.conns <- serverConn:
 		n.mu.Lock()
-		l.accepted = append(l.accepted, far)
+		l.accepted = append(l.accepted, serverConn)
 		n.mu.Unlock()
-		return near, nil
+		return clientConn, nil
 	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
@@ -54,9 +55,9 @@
 	}
 }
 
-// Kill has nobody reach the listener at addr any more and closes every connection
-// that it has taken, as the end of its process would. The process itself, which
-// is not killed, sees neither.
+// Kill removes the listener at addr from the network and closes every connection
+// that it has accepted, which clients see as a crash of its process. The process
+// keeps running, and its Accept keeps waiting.
 func (n *Network) Kill(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,13 +71,14 @@
 	}
 }
 
+// listener implements net.Listener.
 type listener struct {
 	net    *Network
 	addr   string
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
-	// accepted are the connections that it has taken.
+	// accepted are the server's ends of all connections made, for Kill.
 	accepted []net.Conn
 }
 
@@ -102,7 +104,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return address(l.addr) }
 
-// address is a place in the network.
+// address is a listener's address; it implements net.Addr.
 type address string
 
 func (address) Network() string  { return "pipe" }
--- a/internal/standin/ports/ports.go
+++ b/internal/standin/ports/ports.go
@@ -1,4 +1,4 @@
-// Package ports hands out loopback ports for stand-ins and tests.
+// Package ports allocates loopback ports for stand-ins and tests.
 package ports
 
 import (
@@ -13,15 +13,13 @@
 )
 
 const (
-	// firstPort and last lie below the range from which the kernel picks ports
-	// for outgoing connections and for listeners on port 0. A port of that
-	// range, found free and closed again, may be another process's when it
-	// is listened on: a host then failed to start, and its callers reached
-	// somebody else's server.
+	// firstPort and lastPort lie below the kernel's ephemeral ports. An ephemeral
+	// port that was free may go to another process before it is listened on: a
+	// host then failed to start, and its callers reached another process's server.
 	firstPort, lastPort = 10000, 32000
-	// blockSize is how many ports a process takes at once. It holds a block by
-	// listening on its first port, so that no other process is handed a port
-	// of it, even while a stand-in that is being restarted has closed its own.
+	// blockSize is how many ports a process reserves at once, by listening on the
+	// first of them. No other process can then be given one of the others, not
+	// even while a stand-in that restarts has closed its port.
 	blockSize = 1000
 )
 
@@ -29,11 +27,11 @@
 	mu          sync.Mutex
 	nextPort    int
 	blockEnd    int
-	blockGuards []net.Listener // kept open for the life of the process
+	blockGuards []net.Listener // on the first ports of reserved blocks; open until the process exits
 )
 
-// FreeAddr returns a loopback address on which nobody listens, and which is not
-// handed out again.
+// FreeAddr returns a loopback address that has no listener. It returns no address
+// twice.
 func FreeAddr() (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -56,7 +54,7 @@
 	}
 }
 
-// reserveBlock takes a block that no process holds.
+// reserveBlock reserves the first block that no process has reserved.
 func reserveBlock() error {
 	for start := firstPort; start+blockSize <= lastPort; start += blockSize {
 		guard, err := net.Listen("tcp4", address(start))
@@ -73,18 +71,19 @@
 func address(port int) string { return fmt.Sprint("127.0.0.1:", port) }
 
 const (
-	// maxListenRetries and listenPause bound how long Listen waits for an address.
+	// maxListenRetries and listenRetryDelay bound how long Listen waits for an
+	// address that is in use.
 	maxListenRetries = 50
 	listenRetryDelay = 20 * time.Millisecond
 )
 
-// Listen listens on an address that Free returned. A process that is being
-// started meanwhile holds a copy of Free's own listener until it runs its
-// program, and the address is in use for these few milliseconds.
+// Listen listens on an address that FreeAddr returned. It retries while the address
+// is in use: a child process started meanwhile holds a copy of FreeAddr's listener
+// between fork and exec, for a few milliseconds.
 func Listen(addr string) (net.Listener, error) {
-	for try := 0; ; try++ {
+	for retry := 0; ; retry++ {
 		ln, err := net.Listen("tcp4", addr)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || try >= maxListenRetries {
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || retry >= maxListenRetries {
 			return ln, eris.Wrapf(err, "listen %s", addr)
 		}
 		time.Sleep(listenRetryDelay)
--- a/internal/standin/ports/ports_test.go
+++ b/internal/standin/ports/ports_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// While a stand-in is restarted its port is closed for a moment. No other
-// process may be handed a port of this one's block then: its restart would
-// find the address in use.
+// Guards against a restart that fails with the address in use. While a stand-in
+// restarts, its port is closed for a moment; if another process could reserve the
+// same block then, it might listen on that port.
 func TestPortBlockStaysReservedWhilePortsAreClosed(t *testing.T) {
 	addr, err := FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	mine := blockGuards[len(blockGuards)-1].Addr().String()
-	if ln, err := net.Listen("tcp4", mine); err == nil {
+	guardAddr := blockGuards[len(blockGuards)-1].Addr().String()
+	if ln, err := net.Listen("tcp4", guardAddr); err == nil {
 		_ = ln.Close()
-		t.Fatalf("the block of %s can be taken by another process", addr)
+		t.Fatalf("another process can reserve the block of %s", addr)
 	}
 	seen := map[string]bool{addr: true}
 	for range 2 * blockSize {
@@ -26,24 +26,24 @@
 			t.Fatal(err)
 		}
 		if seen[addr] {
-			t.Fatalf("%s is handed out twice", addr)
+			t.Fatalf("FreeAddr returned %s twice", addr)
 		}
 		seen[addr] = true
 	}
 }
 
-// A process that is being started holds a copy of a listener for a moment
-// after it was closed; who is to listen there next waits for it.
+// Guards against a Listen that fails because a child process still holds a copy of
+// a closed listener between fork and exec. Listen must retry until the copy is gone.
 func TestListenRetriesWhileAddressIsInUse(t *testing.T) {
 	addr, err := FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied, err := net.Listen("tcp4", addr)
+	inherited, err := net.Listen("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(5*listenRetryDelay, func() { _ = copied.Close() })
+	time.AfterFunc(5*listenRetryDelay, func() { _ = inherited.Close() })
 	ln, err := Listen(addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/rangeowner/bounds.go
+++ b/internal/standin/rangeowner/bounds.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// What upstreams that report of themselves may get from hosts that have received an
-// answer which says so.
+// Bounds on the requests that a host may still send to an upstream after it has
+// received a response with the upstream's report.
 const (
-	// ReportGrace is how long after an answer a host is bound by it.
+	// ReportGrace is how long after a response the host need not follow its
+	// rate limit or backoff yet.
 	ReportGrace = 500 * time.Millisecond
-	// DrainGrace is how long after a report of leaving the last request may be sent.
+	// DrainGrace is how long after a report of leaving the host may still send
+	// requests.
 	DrainGrace = 2 * time.Second
-	// BackoffSlack is how many requests of a host may come within a rest.
+	// BackoffSlack is how many requests of one host may arrive within a backoff.
 	BackoffSlack = 2
-	// LimitWindow, limitFactor and limitSlack bound the requests to an upstream with
-	// a rate limit.
+	// RateLimitWindow, rateLimitFactor and rateLimitSlack bound the requests to an
+	// upstream with a rate limit; see MaxRequests.
 	RateLimitWindow                 = 4 * time.Second
 	rateLimitFactor, rateLimitSlack = 1.5, 5.0
 )
 
-// MaxRequests returns how many requests may come within LimitWindow to an upstream
-// that takes perSecond.
+// MaxRequests returns how many requests may arrive within RateLimitWindow at an
+// upstream that reports a rate limit of perSecond.
 func MaxRequests(perSecond float64) int {
 	return int(perSecond*RateLimitWindow.Seconds()*rateLimitFactor + rateLimitSlack)
 }
 
-// BackoffViolation returns how many requests of one host came within a rest that an answer of
-// these arrivals asked for, and when that was, of the first rest with more than
-// RestSlack that counts; 0 if there is none.
-func BackoffViolation(all []Arrival, rest time.Duration, counts func(asked, at time.Time) bool) (n int, asked time.Time) {
-	for _, first := range all {
+// BackoffViolation finds the first backoff with more than BackoffSlack requests, among
+// arrivals of one host whose responses all asked for backoff. It returns the number of
+// those requests and when the backoff was asked for, or 0 if there is none. Requests
+// within ReportGrace, and those for which counts returns false, are not counted.
+func BackoffViolation(arrivals []Arrival, backoff time.Duration, counts func(askedAt, at time.Time) bool) (n int, askedAt time.Time) {
+	for _, first := range arrivals {
 		n := 0
-		for _, a := range all {
-			if since := a.At.Sub(first.At); since > ReportGrace && since < rest && counts(first.At, a.At) {
+		for _, a := range arrivals {
+			if since := a.At.Sub(first.At); since > ReportGrace && since < backoff && counts(first.At, a.At) {
 				n++
 			}
 		}
--- a/internal/standin/rangeowner/upstream.go
+++ b/internal/standin/rangeowner/upstream.go
@@ -1,5 +1,5 @@
-// Package rangeowner is a stand-in for an upstream that holds ranges of keys for
-// limited times and refuses requests for keys that it does not hold.
+// Package rangeowner is a stand-in for an upstream that owns ranges of keys by
+// grants, each with a TTL and a fencing token, and refuses requests for other keys.
 package rangeowner
 
 import (
@@ -13,87 +13,93 @@
 	"github.com/papayatide/papayatide/internal/protocol"
 )
 
+// grant is a grant of the keys from..to, both included.
 type grant struct {
 	from, to     int
 	fencingToken int64
 	expiresAt    time.Time
 }
 
-// Upstream is the stand-in.
+// Upstream is an upstream stand-in. It is an http.Handler.
 type Upstream struct {
 	ID       string
 	headers  protocol.Headers
 	workTime time.Duration
 	ln       net.Listener
 	srv      *http.Server
-	// Fatal, if set, is asked as each request begins to run; true means that
-	// it has ended the upstream.
+	// CrashOn, if set, is called when a request starts to run. If it returns
+	// true, it has killed the upstream, and the request gets no response.
 	CrashOn func(*http.Request) bool
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// grants are those that were not released; they may have expired. lastGrants
+	// are the latest grants of all keys ever granted, without an expiry: their
+	// tokens fence off older grants.
 	grants     []grant
 	lastGrants []grant
-	runs       map[string]int
-	// arrivals are the requests that were not misdirected, in order.
+	// runs counts the requests run, by request ID.
+	runs map[string]int
+	// arrivals are the requests that were not misdirected, by time.
 	arrivals []Arrival
 	report   Report
 }
 
-// Report is what the upstream says of itself in its answers.
+// Report is what the upstream states about itself in response headers.
 type Report struct {
-	// RateLimit is the requests a second that it takes from all hosts together; 0
-	// names none.
+	// RateLimit is the requests per second that the upstream accepts from all
+	// hosts together; 0 reports no limit.
 	RateLimit float64
-	// Leaving says that it is about to end.
+	// Leaving reports that the upstream is about to stop.
 	Leaving bool
-	// Rest, if set, has it turn every request away and ask for so much rest.
+	// Backoff, if positive, makes the upstream refuse every request and ask for
+	// this backoff in Retry-After.
 	Backoff time.Duration
 }
 
-// SetReport sets what the upstream says from now on.
-func (u *Upstream) SetReport(s Report) {
+// SetReport sets the report that responses carry from now on.
+func (u *Upstream) SetReport(report Report) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.report = s
+	u.report = report
 }
 
-// Arrival is a request's coming, and what its answer said.
+// Arrival is a request that arrived, and the report in its response.
 type Arrival struct {
 	ID     string
 	At     time.Time
 	Report Report
 }
 
-// New returns an upstream whose requests take work. It serves them as an
-// http.Handler.
-func New(id string, h protocol.Headers, work time.Duration) *Upstream {
-	return &Upstream{ID: id, headers: h, workTime: work, runs: map[string]int{}}
+// New returns an upstream without a listener. Each request runs for workTime.
+func New(id string, h protocol.Headers, workTime time.Duration) *Upstream {
+	return &Upstream{ID: id, headers: h, workTime: workTime, runs: map[string]int{}}
 }
 
-// Start starts an upstream on loopback whose requests take work.
-func Start(id string, h protocol.Headers, work time.Duration) (*Upstream, error) {
+// Start starts an upstream on a free loopback port. Each request runs for workTime.
+func Start(id string, h protocol.Headers, workTime time.Duration) (*Upstream, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return StartOn(ln, id, h, work), nil
+	return StartOn(ln, id, h, workTime), nil
 }
 
-// StartOn starts an upstream that serves the connections of ln.
-func StartOn(ln net.Listener, id string, h protocol.Headers, work time.Duration) *Upstream {
-	u := New(id, h, work)
+// StartOn starts an upstream that serves the connections of ln. Each request runs
+// for workTime.
+func StartOn(ln net.Listener, id string, h protocol.Headers, workTime time.Duration) *Upstream {
+	u := New(id, h, workTime)
 	u.ln, u.srv = ln, &http.Server{Handler: u}
 	go func() { _ = u.srv.Serve(ln) }()
 	return u
 }
 
-// Addr returns its host:port.
+// Addr returns the listener's address, host:port. It needs Start or StartOn.
 func (u *Upstream) Addr() string { return u.ln.Addr().String() }
 
-// Kill ends it at once.
+// Kill closes the listener and all connections. It needs Start or StartOn.
 func (u *Upstream) Kill() { _ = u.srv.Close() }
 
-// Runs returns how often each request ran, by ID.
+// Runs returns how often each request ran, by request ID.
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -104,8 +110,8 @@
 	return out
 }
 
-// Arrivals returns the requests that came from one time to another, in order,
-// those that were misdirected not counted.
+// Arrivals returns the requests that arrived in [from, to), by time. It leaves out
+// misdirected requests.
 func (u *Upstream) Arrivals(from, to time.Time) []Arrival {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -118,27 +124,27 @@
 	return out
 }
 
-// PeakInSecond returns the largest number of requests that came within a
-// second, from one time to another.
+// PeakInSecond returns the largest number of requests that arrived within one
+// second, out of those in [from, to).
 func (u *Upstream) PeakInSecond(from, to time.Time) int {
 	return PeakInWindow(u.Arrivals(from, to), time.Second)
 }
 
-// PeakInWindow returns the largest number of arrivals, which are in order, within a
-// window.
-func PeakInWindow(all []Arrival, window time.Duration) int {
-	most, first := 0, 0
-	for i, a := range all {
-		for a.At.Sub(all[first].At) >= window {
+// PeakInWindow returns the largest number of arrivals within one window. The
+// arrivals must be ordered by time.
+func PeakInWindow(arrivals []Arrival, window time.Duration) int {
+	peak, first := 0, 0
+	for i, a := range arrivals {
+		for a.At.Sub(arrivals[first].At) >= window {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
 
-// Fenced reports whether it has seen a higher token than r's on one of r's
-// keys, and refuses a grant of them.
+// Fenced reports whether one of r's keys was last granted with a higher fencing
+// token than r's. Grant then rejects r.
 func (u *Upstream) Fenced(r ownership.Range) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -146,27 +152,28 @@
 }
 
 func (u *Upstream) fenced(r ownership.Range) bool {
-	for _, h := range u.lastGrants {
-		if h.from <= r.To && r.From <= h.to && h.fencingToken > r.FencingToken {
+	for _, g := range u.lastGrants {
+		if g.from <= r.To && r.From <= g.to && g.fencingToken > r.FencingToken {
 			return true
 		}
 	}
 	return false
 }
 
-// Grant takes keys for a time.
-func (u *Upstream) Grant(r ownership.Range, d time.Duration) error {
+// Grant accepts the range for ttl from now. It returns ownership.ErrFenced if Fenced
+// is true of it.
+func (u *Upstream) Grant(r ownership.Range, ttl time.Duration) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.fenced(r) {
 		return ownership.ErrFenced
 	}
 	u.lastGrants = append(subtractRange(u.lastGrants, r), grant{r.From, r.To, r.FencingToken, time.Time{}})
-	u.grants = append(subtractRange(u.grants, r), grant{r.From, r.To, r.FencingToken, time.Now().Add(d)})
+	u.grants = append(subtractRange(u.grants, r), grant{r.From, r.To, r.FencingToken, time.Now().Add(ttl)})
 	return nil
 }
 
-// Release gives keys back.
+// Release gives up the range and returns a handover token.
 func (u *Upstream) Release(r ownership.Range) string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -174,30 +181,32 @@
 	return "token-" + u.ID
 }
 
-// Holds reports whether it holds the key now.
+// Holds reports whether a grant of the key is held and has not expired.
 func (u *Upstream) Holds(key int) bool { return u.HoldsAny(ownership.Range{From: key, To: key}) }
 
-// HoldsAny reports whether it holds a key of the range now.
+// HoldsAny reports whether a grant of any key of the range is held and has not
+// expired.
 func (u *Upstream) HoldsAny(r ownership.Range) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, h := range u.grants {
-		if h.from <= r.To && r.From <= h.to && time.Now().Before(h.expiresAt) {
+	for _, g := range u.grants {
+		if g.from <= r.To && r.From <= g.to && time.Now().Before(g.expiresAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// subtractRange cuts r out of hs.
-func subtractRange(hs []grant, r ownership.Range) []grant {
+// subtractRange returns grants without the keys of r. A grant that extends beyond
+// both ends of r is split in two.
+func subtractRange(grants []grant, r ownership.Range) []grant {
 	var out []grant
-	for _, h := range hs {
-		if h.to < r.From || h.from > r.To {
-			out = append(out, h)
+	for _, g := range grants {
+		if g.to < r.From || g.from > r.To {
+			out = append(out, g)
 			continue
 		}
-		left, right := h, h
+		left, right := g, g
 		left.to, right.from = r.From-1, r.To+1
 		if left.from <= left.to {
 			out = append(out, left)
@@ -209,30 +218,31 @@
 	return out
 }
 
-// ServeHTTP runs a request if its key is held here.
+// ServeHTTP runs a request. It refuses one that is meant for another upstream or
+// whose key is not held, and every request while the report has a backoff.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(u.headers.RequestID)
 	w.Header().Set(u.headers.RequestID, id)
-	if e := r.Header.Get(u.headers.ExpectedUpstream); e != "" && e != u.ID {
+	if expected := r.Header.Get(u.headers.ExpectedUpstream); expected != "" && expected != u.ID {
 		u.refuse(w, http.StatusMisdirectedRequest)
 		return
 	}
-	if k := r.Header.Get(u.headers.Key); k != "" {
-		key, err := strconv.Atoi(k)
+	if keyText := r.Header.Get(u.headers.Key); keyText != "" {
+		key, err := strconv.Atoi(keyText)
 		if err != nil || !u.Holds(key) {
 			u.refuse(w, http.StatusMisdirectedRequest)
 			return
 		}
 	}
 	u.mu.Lock()
-	says := u.report
-	if says.Backoff == 0 {
+	report := u.report
+	if report.Backoff == 0 {
 		u.runs[id]++
 	}
-	u.arrivals = append(u.arrivals, Arrival{id, time.Now(), says})
+	u.arrivals = append(u.arrivals, Arrival{id, time.Now(), report})
 	u.mu.Unlock()
-	u.writeReport(w.Header(), says)
-	if says.Backoff > 0 {
+	u.writeReport(w.Header(), report)
+	if report.Backoff > 0 {
 		u.refuse(w, http.StatusServiceUnavailable)
 		return
 	}
@@ -244,19 +254,20 @@
 	_, _ = w.Write([]byte(u.ID + " ran " + id))
 }
 
-// writeReport puts what the upstream says into an answer's headers.
-func (u *Upstream) writeReport(h http.Header, s Report) {
-	if s.RateLimit > 0 {
-		h.Set(u.headers.RateLimit, strconv.FormatFloat(s.RateLimit, 'f', -1, 64))
+// writeReport sets the headers of h that carry the report.
+func (u *Upstream) writeReport(h http.Header, report Report) {
+	if report.RateLimit > 0 {
+		h.Set(u.headers.RateLimit, strconv.FormatFloat(report.RateLimit, 'f', -1, 64))
 	}
-	if s.Leaving {
+	if report.Leaving {
 		h.Set(u.headers.Leaving, "1")
 	}
-	if s.Backoff > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(s.Backoff.Seconds(), 'f', -1, 64))
+	if report.Backoff > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(report.Backoff.Seconds(), 'f', -1, 64))
 	}
 }
 
+// refuse sends status and marks the request as not run.
 func (u *Upstream) refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(u.headers.NotRun, "1")
 	w.WriteHeader(status)
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -32,7 +32,7 @@
 	// request before it, as a faulty middlebox would.
 	CrossAnswers bool
 	// CrashOn, if set, is called when the named target starts work on a key. If
-	// it returns true, it has killed the target, and the request gets no answer.
+	// it returns true, it has killed the target, and the request gets no response.
 	CrashOn func(name, key string) bool
 }
 
@@ -69,9 +69,12 @@
 	// on entry, as in a suspended process.
 	pauseMu sync.RWMutex
 
-	mu                      sync.Mutex
-	grants                  map[string]*grantState
-	opCounts                map[string]int64
+	mu sync.Mutex
+	// grants holds the latest grant of each service.
+	grants map[string]*grantState
+	// opCounts is Answer.Ops by service/key.
+	opCounts map[string]int64
+	// answersByIdempotencyKey holds answers by service/key and idempotency key.
 	answersByIdempotencyKey map[string]Answer
 	// executed counts the operations run, by service/key, for tests.
 	executed map[string]int64
