--- a/internal/standin/loopback/fleet.go
+++ b/internal/standin/loopback/fleet.go
@@ -28,20 +28,23 @@
 	Services    []manifest.ServiceSize
 	Slots       int
 	HostsPerDC  int
-	// Settings is the template for every entry host; host name, data
-	// centre, addresses and log address are filled in.
+	// Settings is the template for every entry host. The host name, the data
+	// centre and all addresses are filled in.
 	Settings settings.Daemon
-	// Target is the template for every target; name, slots and fencing
+	// Target is the template for every target. Name, Slots and CheckFencing
 	// are filled in from the manifest.
 	Target target.Options
 	Logger *zap.Logger
-	// Retention is the log stand-in's retention (0 keeps everything).
+	// Retention is how long the log service stand-in keeps records; 0 keeps
+	// all of them.
 	Retention time.Duration
-	// HostListLag, when set, starts a host-list stand-in with that lag.
+	// HostListLag, if positive, starts a host list stand-in that shows each
+	// change after this lag.
 	HostListLag time.Duration
 }
 
-// DefaultSettings are entry-host settings fast enough for tests.
+// DefaultSettings returns entry host settings with intervals short enough for
+// tests.
 func DefaultSettings() settings.Daemon {
 	return settings.Daemon{LogLevel: "info", PollInterval: 20 * time.Millisecond, RequestTimeout: 2 * time.Second, AttemptTimeout: 200 * time.Millisecond,
 		MaxViewAge: time.Second, RetryAfter: time.Second, GrantTTL: 300 * time.Millisecond,
@@ -50,22 +53,22 @@
 		LatencyObjective: 16 * time.Millisecond}
 }
 
-// Target is one target stand-in that can be killed and restarted.
+// Target is a target stand-in that can be killed and restarted.
 type Target struct {
 	Upstream manifest.Upstream
 	// Server is the current incarnation.
 	Server *target.Server
 	opts   target.Options
-	srv    *server
-	// past are earlier incarnations, kept so that counts of work run
-	// survive a restart.
-	past []*target.Server
+	srv    *httpServer
+	// previousIncarnations keeps the servers of earlier incarnations, so that
+	// Runs counts their work too.
+	previousIncarnations []*target.Server
 }
 
-// Host is one running entry host.
+// Host is a running entry host.
 type Host struct {
 	Name, DataCentre string
-	// URL and AdminURL are the caller and admin base URLs.
+	// URL and AdminURL are the base URLs for callers and for the admin API.
 	URL, AdminURL string
 	cancel        context.CancelFunc
 	done          chan error
@@ -73,47 +76,47 @@
 	stopErr       error
 }
 
-// Fleet is a running whole path.
+// Fleet is a running deployment.
 type Fleet struct {
 	// HostList is nil unless Spec.HostListLag was set.
-	HostList *hostlist.Server
-	Log      *logsvc.Server
-	LogURL   string
-	Manifest *manifest.Manifest
-	Targets  map[string]*Target
-	Hosts    []*Host
-	spec     Spec
-	logSrv   *server
-	hostSrv  *server
+	HostList       *hostlist.Server
+	Log            *logsvc.Server
+	LogURL         string
+	Manifest       *manifest.Manifest
+	Targets        map[string]*Target
+	Hosts          []*Host
+	spec           Spec
+	logServer      *httpServer
+	hostListServer *httpServer
 }
 
-// server is an HTTP server whose Close frees its address at once.
-type server struct {
+// httpServer is an HTTP server whose Close frees its address before it returns.
+type httpServer struct {
 	*http.Server
 	ln net.Listener
 }
 
-// Close ends the server. The listener is closed by itself: a server that was
-// not serving yet does not know it, and would keep the address until its
-// goroutine ran.
-func (s *server) Close() error {
+// Close stops the server. It closes the listener explicitly: http.Server learns
+// of its listener in Serve, so a Close before Serve would leave the address in
+// use until the server's goroutine runs.
+func (s *httpServer) Close() error {
 	err := s.Server.Close()
-	_ = s.ln.Close() // the server may have closed it
+	_ = s.ln.Close() // http.Server.Close may have closed it already
 	return err
 }
 
-func serve(addr string, h http.Handler, connContext func(context.Context, net.Conn) context.Context) (*server, error) {
+func serve(addr string, h http.Handler, connContext func(context.Context, net.Conn) context.Context) (*httpServer, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen %s", addr)
 	}
-	srv := &server{Server: &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, ConnContext: connContext}, ln: ln}
+	srv := &httpServer{Server: &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, ConnContext: connContext}, ln: ln}
 	go func() { _ = srv.Serve(ln) }()
 	return srv, nil
 }
 
-// Start starts the log, the targets and the entry hosts, but publishes no
-// manifest; call Publish.
+// Start starts the log service, the targets and the entry hosts. It publishes no
+// manifest; call Publish for that.
 func Start(spec Spec) (*Fleet, error) {
 	if spec.Logger == nil {
 		spec.Logger = zap.NewNop()
@@ -123,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if f.logSrv, err = serve(addr, f.Log.Handler(), nil); err != nil {
+	if f.logServer, err = serve(addr, f.Log.Handler(), nil); err != nil {
 		return nil, err
 	}
 	f.LogURL = "http://" + addr
@@ -133,7 +136,7 @@
 		if addr, err = ports.FreeAddr(); err != nil {
 			return nil, err
 		}
-		if f.hostSrv, err = serve(addr, f.HostList.Handler(), nil); err != nil {
+		if f.hostListServer, err = serve(addr, f.HostList.Handler(), nil); err != nil {
 			return nil, err
 		}
 		hostListAddr = "http://" + addr
@@ -167,14 +170,14 @@
 	return f, nil
 }
 
-// Start (re)starts the target on its address with fresh state, as a new
-// process would; it does nothing if the target is running.
+// Start starts the target, or restarts it on the same address with empty state,
+// as a new process would. It does nothing if the target is running.
 func (t *Target) Start() error {
 	if t.srv != nil {
 		return nil
 	}
 	if t.Server != nil {
-		t.past = append(t.past, t.Server)
+		t.previousIncarnations = append(t.previousIncarnations, t.Server)
 	}
 	t.Server = target.NewServer(t.opts)
 	srv, err := serve(t.Upstream.Addr, t.Server.Handler(), t.Server.ConnContext)
@@ -182,7 +185,7 @@
 	return err
 }
 
-// Kill stops the target at once, cutting requests in flight; it does
+// Kill stops the target at once and aborts its requests in flight. It does
 // nothing if the target is not running.
 func (t *Target) Kill() {
 	if t.srv != nil {
@@ -191,17 +194,17 @@
 	}
 }
 
-// Runs returns how many times the operation with idempotency key ik ran
-// on service/key in every incarnation of the target.
+// Runs returns how often the operation with idempotency key ik ran on
+// service/key, over all incarnations of the target.
 func (t *Target) Runs(service, key, ik string) int64 {
 	n := t.Server.Runs(service, key, ik)
-	for _, s := range t.past {
+	for _, s := range t.previousIncarnations {
 		n += s.Runs(service, key, ik)
 	}
 	return n
 }
 
-// AddHost starts one more entry host in data centre dc.
+// AddHost starts another entry host in data centre dc.
 func (f *Fleet) AddHost(name, dc string) (*Host, error) {
 	cfg := f.spec.Settings
 	cfg.Host, cfg.DataCentre, cfg.LogAddr = name, dc, f.LogURL
@@ -220,18 +223,19 @@
 	return h, nil
 }
 
-// ended returns why the entry host ended by itself, or nil if it runs.
-func (h *Host) ended() error {
+// exitError returns the daemon's error if the entry host has stopped, and nil
+// while it runs.
+func (h *Host) exitError() error {
 	select {
 	case err := <-h.done:
-		h.done <- err // for Stop
+		h.done <- err // Stop receives it again
 		return err
 	default:
 		return nil
 	}
 }
 
-// Stop is a planned stop of the entry host; it returns the daemon's error.
+// Stop shuts the entry host down gracefully and returns the daemon's error.
 func (h *Host) Stop() error {
 	h.stopOnce.Do(func() {
 		h.cancel()
@@ -250,15 +254,15 @@
 	return err
 }
 
-// WaitReady waits until every entry host answers ready and serves a
-// request for every service.
+// WaitReady waits until every entry host has served a request for every service.
+// It fails if a host has stopped with an error.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, h := range f.Hosts {
-		if err := h.ended(); err != nil {
-			return eris.Wrapf(err, "host %s ended", h.Name)
+		if err := h.exitError(); err != nil {
+			return eris.Wrapf(err, "host %s exited", h.Name)
 		}
 		for _, s := range f.Manifest.Services {
-			if err := waitServed(ctx, h.URL+"/"+s.Name+"/ready-probe"); err != nil {
+			if err := waitForOK(ctx, h.URL+"/"+s.Name+"/ready-probe"); err != nil {
 				return eris.Wrapf(err, "host %s service %s", h.Name, s.Name)
 			}
 		}
@@ -266,7 +270,7 @@
 	return nil
 }
 
-func waitServed(ctx context.Context, url string) error {
+func waitForOK(ctx context.Context, url string) error {
 	for {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		resp, err := http.DefaultClient.Do(req)
@@ -284,7 +288,7 @@
 	}
 }
 
-// Close stops everything.
+// Close stops the entry hosts, the targets, the log service and the host list.
 func (f *Fleet) Close() {
 	for _, h := range f.Hosts {
 		_ = h.Stop()
@@ -292,10 +296,10 @@
 	for _, t := range f.Targets {
 		t.Kill()
 	}
-	if f.logSrv != nil {
-		_ = f.logSrv.Close()
+	if f.logServer != nil {
+		_ = f.logServer.Close()
 	}
-	if f.hostSrv != nil {
-		_ = f.hostSrv.Close()
+	if f.hostListServer != nil {
+		_ = f.hostListServer.Close()
 	}
 }
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -1,5 +1,6 @@
-// Package memstore is an in-memory stand-in for the platform's log service,
-// as package metastore describes it, with the failures that the service has.
+// Package memstore is an in-memory stand-in for the platform's log service, as
+// package metastore defines it. Tests can make it unavailable and have it drop its
+// history, as the service does.
 package memstore
 
 import (
@@ -10,24 +11,30 @@
 	"github.com/papayatide/papayatide/internal/metastore"
 )
 
+// stream is a stream's history from offset first on, and the newest record of each
+// key that was not deleted.
 type stream struct {
-	records []metastore.Record
-	first   int64
-	newest  map[string]metastore.Record
+	records     []metastore.Record
+	first       int64
+	newestByKey map[string]metastore.Record
 }
 
-// Log is the stand-in. Its zero value is not usable; see New.
+// Log is an in-memory metastore.Store. Create it with New.
 type Log struct {
 	mu      sync.Mutex
 	streams map[metastore.Stream]*stream
+	// changed is closed and replaced on every append and every SetDown, to wake
+	// waiting reads.
 	changed chan struct{}
 	down    bool
-	// calls counts calls by name.
+	// calls counts calls by name: newest, read, append, join and leave.
 	calls map[string]int
 
-	holder     string
-	holderTill time.Time
-	generation int64
+	// The planner lease: its holder, or "" if it was given up; its expiry; and
+	// how often it was acquired.
+	leaseHolder     string
+	leaseExpiresAt  time.Time
+	leaseGeneration int64
 }
 
 // New returns an empty log.
@@ -35,38 +42,40 @@
 	return &Log{streams: map[metastore.Stream]*stream{}, changed: make(chan struct{}), calls: map[string]int{}}
 }
 
-func (l *Log) of(s metastore.Stream) *stream {
+// stream returns a stream and creates it on first use. l.mu must be locked.
+func (l *Log) stream(s metastore.Stream) *stream {
 	st := l.streams[s]
 	if st == nil {
-		st = &stream{newest: map[string]metastore.Record{}}
+		st = &stream{newestByKey: map[string]metastore.Record{}}
 		l.streams[s] = st
 	}
 	return st
 }
 
-// Put appends a record as an operator or an upstream would; a nil value
-// deletes the key.
+// Put appends a record on behalf of an operator or an upstream. A nil value deletes
+// the key. Put is not counted as a call and works while the service is down.
 func (l *Log) Put(s metastore.Stream, key string, value []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.put(s, key, value)
 }
 
+// put appends a record and returns the stream's new end. l.mu must be locked.
 func (l *Log) put(s metastore.Stream, key string, value []byte) int64 {
-	st := l.of(s)
+	st := l.stream(s)
 	r := metastore.Record{Key: key, Value: value, Offset: st.first + int64(len(st.records))}
 	st.records = append(st.records, r)
 	if value == nil {
-		delete(st.newest, key)
+		delete(st.newestByKey, key)
 	} else {
-		st.newest[key] = r
+		st.newestByKey[key] = r
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
 	return r.Offset + 1
 }
 
-// SetDown makes every call fail, or work again.
+// SetDown sets whether every call fails with metastore.ErrRejected.
 func (l *Log) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,14 +84,14 @@
 	l.changed = make(chan struct{})
 }
 
-// Down reports whether every call fails.
+// Down reports whether SetDown makes every call fail.
 func (l *Log) Down() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.down
 }
 
-// Compact drops the history of all streams; the newest of each key stays.
+// Compact drops the history of all streams and keeps the newest record of each key.
 func (l *Log) Compact() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,24 +101,25 @@
 	}
 }
 
-// Calls returns how many calls of a name were made.
+// Calls returns how many calls of one name were made, failed ones included.
 func (l *Log) Calls(name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls[name]
 }
 
-// joinPrice is what a join counts beside other calls.
-const joinPrice = 0.1
+// joinCallWeight is what the service counts for a join; any other call counts 1.
+const joinCallWeight = 0.1
 
-// WeightedCalls returns how many calls were made, as the service counts them.
+// WeightedCalls returns how many calls were made, weighted as the service counts
+// them.
 func (l *Log) WeightedCalls() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := 0.0
 	for name, n := range l.calls {
 		if name == "join" {
-			sum += joinPrice * float64(n)
+			sum += joinCallWeight * float64(n)
 			continue
 		}
 		sum += float64(n)
@@ -117,8 +127,9 @@
 	return sum
 }
 
-// enter counts a call and reports whether the service is up.
-func (l *Log) enter(name string) error {
+// beginCall counts a call. It returns metastore.ErrRejected while the service is
+// down.
+func (l *Log) beginCall(name string) error {
 	l.calls[name]++
 	if l.down {
 		return metastore.ErrRejected
@@ -130,12 +141,12 @@
 func (l *Log) Newest(_ context.Context, s metastore.Stream) ([]metastore.Record, int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("newest"); err != nil {
+	if err := l.beginCall("newest"); err != nil {
 		return nil, 0, err
 	}
-	st := l.of(s)
+	st := l.stream(s)
 	var out []metastore.Record
-	for _, r := range st.newest {
+	for _, r := range st.newestByKey {
 		out = append(out, r)
 	}
 	return out, st.first + int64(len(st.records)), nil
@@ -146,13 +157,13 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	l.mu.Lock()
-	err := l.enter("read")
+	err := l.beginCall("read")
 	for {
 		if err != nil || l.down {
 			l.mu.Unlock()
 			return metastore.Batch{}, metastore.ErrRejected
 		}
-		st := l.of(s)
+		st := l.stream(s)
 		end := st.first + int64(len(st.records))
 		if from < st.first {
 			l.mu.Unlock()
@@ -180,10 +191,10 @@
 func (l *Log) AppendAt(_ context.Context, s metastore.Stream, key string, value []byte, at int64) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("append"); err != nil {
+	if err := l.beginCall("append"); err != nil {
 		return 0, err
 	}
-	if st := l.of(s); st.first+int64(len(st.records)) != at {
+	if st := l.stream(s); st.first+int64(len(st.records)) != at {
 		return 0, metastore.ErrConflict
 	}
 	return l.put(s, key, value), nil
@@ -193,7 +204,7 @@
 func (l *Log) Append(_ context.Context, s metastore.Stream, recs []metastore.Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("append"); err != nil {
+	if err := l.beginCall("append"); err != nil {
 		return err
 	}
 	for _, r := range recs {
@@ -206,35 +217,36 @@
 func (l *Log) JoinElection(_ context.Context, member string, ttl time.Duration, _ int64) (metastore.Lease, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("join"); err != nil {
+	if err := l.beginCall("join"); err != nil {
 		return metastore.Lease{}, err
 	}
-	if l.holder == "" || time.Now().After(l.holderTill) {
-		l.holder = member
-		l.generation++
+	if l.leaseHolder == "" || time.Now().After(l.leaseExpiresAt) {
+		l.leaseHolder = member
+		l.leaseGeneration++
 	}
-	if l.holder == member {
-		l.holderTill = time.Now().Add(ttl)
+	if l.leaseHolder == member {
+		l.leaseExpiresAt = time.Now().Add(ttl)
 	}
-	return metastore.Lease{Generation: l.generation, Held: l.holder == member}, nil
+	return metastore.Lease{Generation: l.leaseGeneration, Held: l.leaseHolder == member}, nil
 }
 
 // LeaveElection implements metastore.Store.
 func (l *Log) LeaveElection(_ context.Context, member string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.enter("leave"); err != nil {
+	if err := l.beginCall("leave"); err != nil {
 		return err
 	}
-	if l.holder == member {
-		l.holder = ""
+	if l.leaseHolder == member {
+		l.leaseHolder = ""
 	}
 	return nil
 }
 
-// LeaseHolder returns the member that holds the seat.
+// LeaseHolder returns the member that last acquired the planner lease, or "" if it
+// gave the lease up. The lease may have expired.
 func (l *Log) LeaseHolder() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.holder
+	return l.leaseHolder
 }
--- a/internal/standin/pipenet/pipenet.go
+++ b/internal/standin/pipenet/pipenet.go
@@ -1,6 +1,6 @@
-// Package pipenet is a network in memory, for tests that run whole hosts on a
-// clock of their own (testing/synctest), which knows when nobody has anything to
-// do only while no socket of the kernel is waited for.
+// Package pipenet is an in-memory network for tests that run whole hosts under
+// testing/synctest. Its fake clock advances only while every goroutine is blocked
+// within the test; a goroutine that waits for a kernel socket does not count as such.
 package pipenet
 
 import (
@@ -10,43 +10,44 @@
 	"syscall"
 )
 
-// Network connects the listeners that it has opened.
+// Network connects Dial to the listeners that Listen opened.
 type Network struct {
-	mu sync.Mutex
-	by map[string]*listener
+	mu        sync.Mutex
+	listeners map[string]*listener
 }
 
 // New returns a network without listeners.
-func New() *Network { return &Network{by: map[string]*listener{}} }
+func New() *Network { return &Network{listeners: map[string]*listener{}} }
 
-// Listen opens a listener at addr, any text that no other listener has.
+// Listen opens a listener at addr, which may be any text. It returns EADDRINUSE if
+// addr already has a listener.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.by[addr] != nil {
+	if n.listeners[addr] != nil {
 		return nil, syscall.EADDRINUSE
 	}
 	l := &listener{net: n, addr: addr, conns: make(chan net.Conn), closed: make(chan struct{})}
-	n.by[addr] = l
+	n.listeners[addr] = l
 	return l, nil
 }
 
-// Dial connects to the listener at addr. Without one it fails as a connection
-// does that nobody listens for.
+// Dial connects to the listener at addr and waits until it accepts. It returns
+// ECONNREFUSED if there is no listener.
 func (n *Network) Dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
-	l := n.by[addr]
+	l := n.listeners[addr]
 	n.mu.Unlock()
 	if l == nil {
 		return nil, syscall.ECONNREFUSED
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	select {
-	case l.conns <- far:
+	case l.conns <- serverConn:
 		n.mu.Lock()
-		l.open = append(l.open, far)
+		l.accepted = append(l.accepted, serverConn)
 		n.mu.Unlock()
-		return near, nil
+		return clientConn, nil
 	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
@@ -54,30 +55,31 @@
 	}
 }
 
-// Kill has nobody reach the listener at addr any more and closes every connection
-// that it has taken, as the end of its process would. The process itself, which
-// is not killed, sees neither.
+// Kill removes the listener at addr from the network and closes every connection
+// that it has accepted, which clients see as a crash of its process. The process
+// keeps running, and its Accept keeps waiting.
 func (n *Network) Kill(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.by[addr]
+	l := n.listeners[addr]
 	if l == nil {
 		return
 	}
-	delete(n.by, addr)
-	for _, c := range l.open {
+	delete(n.listeners, addr)
+	for _, c := range l.accepted {
 		_ = c.Close()
 	}
 }
 
+// listener implements net.Listener.
 type listener struct {
 	net    *Network
 	addr   string
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
-	// open are the connections that it has taken.
-	open []net.Conn
+	// accepted are the server's ends of all connections made, for Kill.
+	accepted []net.Conn
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -94,7 +96,7 @@
 		close(l.closed)
 		l.net.mu.Lock()
 		defer l.net.mu.Unlock()
-		delete(l.net.by, l.addr)
+		delete(l.net.listeners, l.addr)
 	})
 	return nil
 }
@@ -102,7 +104,7 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return address(l.addr) }
 
-// address is a place in the network.
+// address is a listener's address; it implements net.Addr.
 type address string
 
 func (address) Network() string  { return "pipe" }
