--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -26,7 +26,7 @@
 // be repeated too early.
 const (
 	windowSteps = 10
-	ringSlots   = windowSteps + 1
+	ringSteps   = windowSteps + 1
 )
 
 // safetyFactor is the fraction of the budget that is used. The windows of
@@ -57,13 +57,13 @@
 type Budget struct {
 	mu     sync.Mutex
 	limits Limits
-	rings  map[string]*[ringSlots]stepCounts
+	rings  map[string]*[ringSteps]stepCounts
 	start  time.Time
 }
 
 // New returns the budget of a process that starts at now.
 func New(l Limits, now time.Time) *Budget {
-	return &Budget{limits: l, rings: map[string]*[ringSlots]stepCounts{}, start: now}
+	return &Budget{limits: l, rings: map[string]*[ringSteps]stepCounts{}, start: now}
 }
 
 // SetLimits replaces the limits, for example after the number of hosts has changed.
@@ -110,7 +110,7 @@
 	cur := b.currentCounts(service, now)
 	requests, retries := 0, 0
 	for _, c := range b.rings[service] {
-		if cur.step-c.step < ringSlots {
+		if cur.step-c.step < ringSteps {
 			requests += c.requests
 			retries += c.retries
 		}
@@ -132,14 +132,14 @@
 func (b *Budget) currentCounts(service string, now time.Time) *stepCounts {
 	ring := b.rings[service]
 	if ring == nil {
-		ring = &[ringSlots]stepCounts{}
+		ring = &[ringSteps]stepCounts{}
 		b.rings[service] = ring
 	}
 	// Steps are counted from start by the monotonic clock. With wall clock time,
 	// setting the clock back by seconds would empty the window, and the whole
 	// budget could be used again within it.
 	step := int64(now.Sub(b.start) / (b.limits.Window / windowSteps))
-	c := &ring[step%ringSlots]
+	c := &ring[step%ringSteps]
 	if c.step != step {
 		*c = stepCounts{step: step}
 	}
--- a/internal/keyload/estimator.go
+++ b/internal/keyload/estimator.go
@@ -33,10 +33,10 @@
 	// The recent rate replaces the usual rate if it deviates from it by more
 	// than changeSigma standard deviations and minChangeRequests requests.
 	changeSigma, minChangeRequests = 3.0, 4.0
-	// minKeyWeight is the decayed number of requests below which a key is
+	// minKeyRequests is the decayed number of requests below which a key is
 	// dropped.
-	minKeyWeight  = 0.01
-	pruneInterval = 10 * time.Second
+	minKeyRequests = 0.01
+	pruneInterval  = 10 * time.Second
 )
 
 // keyCounts are decayed numbers of requests for a key.
@@ -87,7 +87,7 @@
 	}
 	s.prunedAt = now
 	for k, v := range s.keys {
-		if v.usual.Value(usualTimeConstant, now) < minKeyWeight {
+		if v.usual.Value(usualTimeConstant, now) < minKeyRequests {
 			delete(s.keys, k)
 		}
 	}
@@ -137,6 +137,6 @@
 	for _, u := range owners {
 		out.Capacity[u.ID] = float64(u.Slots) / s.workTimes.Estimate(u, typical, now)
 	}
-	out.Share = loadShares(out, owners)
+	out.Weight = loadWeights(out, owners)
 	return out, samples
 }
--- a/internal/keyload/share.go
+++ b/internal/keyload/weight.go
@@ -18,7 +18,7 @@
 	fullPreferenceUtilization = 0.6
 )
 
-// loadShares returns the part of the load that each owner should get, in any
+// loadWeights returns the part of the load that each owner should get, in any
 // unit; nil if there is no capacity.
 //
 // A slow owner responds late even under little load: at a service with a third of
@@ -26,7 +26,7 @@
 // the owners took over 0.8 s for 3 to 18 % of their requests, the others for 0 to
 // 2 %. So while capacity is free the load is divided by capacity times speed, and
 // by capacity alone when all owners are busy.
-func loadShares(l ownership.Load, owners []*catalogue.Upstream) map[string]float64 {
+func loadWeights(l ownership.Load, owners []*catalogue.Upstream) map[string]float64 {
 	demand, capacity := 0.0, 0.0
 	for _, r := range l.ByKey {
 		demand += r
--- a/internal/keyload/share_test.go
+++ b/internal/keyload/weight_test.go
@@ -16,7 +16,7 @@
 	ups := []*catalogue.Upstream{{ID: "fast", Slots: 6}, {ID: "slow", Slots: 6}}
 	capacity := map[string]float64{"fast": 23, "slow": 10}
 	slowPart := func(demand float64) float64 {
-		s := loadShares(ownership.Load{ByKey: []float64{demand}, Capacity: capacity}, ups)
+		s := loadWeights(ownership.Load{ByKey: []float64{demand}, Capacity: capacity}, ups)
 		return s["slow"] / (s["slow"] + s["fast"])
 	}
 	if got, even := slowPart(11), 10.0/33; got > even*0.6 {
--- a/internal/ownership/capacity.go
+++ b/internal/ownership/capacity.go
@@ -10,7 +10,7 @@
 // former share if that is less; the others divide the rest in proportion to
 // their former shares. It changes nothing while no load is known.
 func (l *Load) LimitCapacity(limits map[string]float64) {
-	share := l.Share
+	share := l.Weight
 	if share == nil {
 		share = l.Capacity
 	}
@@ -39,7 +39,7 @@
 			newShare[id] = remaining * x / unlimitedShare
 		}
 	}
-	l.Share = newShare
+	l.Weight = newShare
 	newCapacity := make(map[string]float64, len(l.Capacity))
 	for id, x := range l.Capacity {
 		newCapacity[id] = x
--- a/internal/ownership/delta.go
+++ b/internal/ownership/delta.go
@@ -24,7 +24,7 @@
 }
 
 // ErrBaseMismatch means that a delta was not made from the given table.
-var ErrBaseMismatch = errors.New("ownership delta does not apply to this table")
+var ErrDigestMismatch = errors.New("ownership delta does not apply to this table")
 
 // Diff returns the delta that turns old into next.
 func Diff(old, next *Table) *Delta {
@@ -46,12 +46,12 @@
 // ErrBaseMismatch if old is nil or the delta was not made from it.
 func (d *Delta) Apply(old *Table) (*Table, error) {
 	if old == nil || old.Digest() != d.BaseDigest {
-		return nil, eris.Wrapf(ErrBaseMismatch, "ownership table %s: base digest differs", d.Next.Service)
+		return nil, eris.Wrapf(ErrDigestMismatch, "ownership table %s: base digest differs", d.Next.Service)
 	}
 	next := d.Next
 	next.Ranges = overlay(old.Ranges, d.Next.Ranges)
 	if next.Digest() != d.ResultDigest {
-		return nil, eris.Wrapf(ErrBaseMismatch, "ownership table %s: result digest differs", d.Next.Service)
+		return nil, eris.Wrapf(ErrDigestMismatch, "ownership table %s: result digest differs", d.Next.Service)
 	}
 	return &next, nil
 }
--- a/internal/ownership/delta_test.go
+++ b/internal/ownership/delta_test.go
@@ -60,7 +60,7 @@
 			switch {
 			case from == current && (err != nil || !reflect.DeepEqual(got, history[to])):
 				return fmt.Sprintf("delta from table %d to %d: %v", from, to, err), nil
-			case from != current && !errors.Is(err, ErrBaseMismatch):
+			case from != current && !errors.Is(err, ErrDigestMismatch):
 				return fmt.Sprintf("delta from table %d was applied to table %d", from, current), nil
 			case from == current:
 				current = to
--- a/internal/ownership/rebalance.go
+++ b/internal/ownership/rebalance.go
@@ -17,9 +17,9 @@
 	// same unit. Upstreams that are not listed get no keys and lose those
 	// they own.
 	Capacity map[string]float64
-	// Share is the part of the total load that each candidate owner should
+	// Weight is the part of the total load that each candidate owner should
 	// get, in any unit; in proportion to Capacity if nil.
-	Share map[string]float64
+	Weight map[string]float64
 	// Refill holds owners that have temporarily lost keys. While one has
 	// little load, keys move to it from an owner above its fair load even if
 	// that owner is below HighWatermark.
@@ -91,7 +91,7 @@
 		return nil
 	}
 	p := newPlan(t, load)
-	p.assignUnowned(load.ByKey == nil)
+	p.assignUnassigned(load.ByKey == nil)
 	if lim.MaxMoves == 0 {
 		return p.moves()
 	}
@@ -125,15 +125,15 @@
 	// that have not been excluded.
 	candidates, eligible []*candidate
 	// refilling is the owner that is being refilled; nil if there is none.
-	refilling *candidate
-	unowned   []span
-	table     *Table
+	refilling  *candidate
+	unassigned []span
+	table      *Table
 }
 
 func newPlan(t *Table, load Load) *plan {
 	p := &plan{table: t}
 	p.loadBelow = loadPrefixSums(load.ByKey, slices.Max(slices.Collect(maps.Values(load.Capacity))))
-	share := load.Share
+	share := load.Weight
 	if share == nil {
 		share = load.Capacity
 	}
@@ -156,7 +156,7 @@
 			c.load += p.loadOf(s)
 			continue
 		}
-		p.unowned = append(p.unowned, s)
+		p.unassigned = append(p.unassigned, s)
 	}
 	return p
 }
@@ -202,10 +202,10 @@
 	return most
 }
 
-// assignUnowned assigns every run of keys without an owner, in parts that fit
+// assignUnassigned assigns every run of keys without an owner, in parts that fit
 // the candidates' spare fair load, and in stripes if the load is unknown.
-func (p *plan) assignUnowned(loadUnknown bool) {
-	for _, s := range p.unowned {
+func (p *plan) assignUnassigned(loadUnknown bool) {
+	for _, s := range p.unassigned {
 		for s.from <= s.to {
 			to := p.leastLoaded()
 			end := p.prefixEnd(s, max(to.fairLoad-to.load, 0))
