--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -14,7 +14,8 @@
 type Limits struct {
 	// Ratio is the number of retries allowed per request.
 	Ratio float64
-	// Slack is the number of retries allowed in addition to Ratio.
+	// Slack is the fixed number of retries allowed per window, in addition to
+	// those by Ratio.
 	Slack float64
 	// Window is the time over which requests and retries are counted.
 	Window time.Duration
@@ -36,14 +37,14 @@
 
 // firstWindowFactor is the additional factor in the first window of a process.
 // The previous process may have used its whole budget just before it ended, within
-// the same window: twelve hosts killed together have made 1.02 times the allowed
-// retries.
+// the same window: hosts that are killed together and restart at once could exceed
+// the allowed retries.
 const firstWindowFactor = 0.35
 
 // urgentReserveShare is the fraction of a service's budget that is reserved for
-// urgent requests. Without it, while all upstreams of a service refused 55 % of
-// the requests, lookups used up the budget and bids, which are worth twice as
-// much, got no retries.
+// urgent requests. Without it, while all upstreams of a service are overloaded and
+// reject more than half of the requests, less urgent requests would use up the
+// budget, and urgent ones would get no retries.
 const urgentReserveShare = 0.5
 
 // stepCounts are the counts of one step; steps are numbered from Budget.start.
@@ -104,9 +105,9 @@
 	return out
 }
 
-// remaining returns how many retries the service has left, and how many it may make
-// in a window.
-func (b *Budget) remaining(service string, now time.Time) (left, total float64) {
+// remaining returns how many retries the service has left in the current window, and
+// how many it is allowed in that window in all.
+func (b *Budget) remaining(service string, now time.Time) (left, allowed float64) {
 	cur := b.currentCounts(service, now)
 	requests, retries := 0, 0
 	for _, c := range b.rings[service] {
@@ -115,8 +116,8 @@
 			retries += c.retries
 		}
 	}
-	allowed := (float64(requests)*b.limits.Ratio + b.limits.Slack) * b.usableShare(now)
-	return allowed - float64(retries), allowed
+	usable := (float64(requests)*b.limits.Ratio + b.limits.Slack) * b.usableShare(now)
+	return usable - float64(retries), usable
 }
 
 // usableShare returns the fraction of the budget that may be used.
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -39,7 +39,7 @@
 
 // With unlimited demand for retries, each window must have no more than Ratio and
 // Slack allow, and the budget must still be used.
-func TestRetriesStayWithinEveryWindow(t *testing.T) {
+func TestRetriesStayWithinBudgetInEveryWindow(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := New(limits, start.Add(-time.Minute))
 	got := retryAsOftenAsAllowed(b, start, start.Add(40*time.Second), 30)
@@ -80,26 +80,26 @@
 	}
 }
 
-// Lookups, which are not urgent, request retries before bids, which are, as when all
-// upstreams refuse many requests. The lookups must leave the reserve to the bids.
+// Non-urgent requests attempt retries before urgent ones, as when all upstreams are
+// overloaded and reject many requests. They must leave the reserve to the urgent ones.
 func TestUrgentRequestsKeepTheReserve(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := New(Limits{Ratio: 0.2, Window: 10 * time.Second}, start.Add(-time.Minute))
 	for range 1000 {
 		b.RecordRequest("s", start)
 	}
-	lookups, bids := 0, 0
+	nonUrgent, urgent := 0, 0
 	for range 1000 {
 		if b.AllowRetry("s", false, start) {
-			lookups++
+			nonUrgent++
 		}
 	}
 	for range 1000 {
 		if b.AllowRetry("s", true, start) {
-			bids++
+			urgent++
 		}
 	}
-	if lookups == 0 || bids < lookups-1 {
-		t.Errorf("%d retries of lookups and %d of bids, want some lookups and at least as many bids, less one", lookups, bids)
+	if nonUrgent == 0 || urgent < nonUrgent-1 {
+		t.Errorf("%d non-urgent and %d urgent retries, want at least 1 non-urgent and at most one fewer urgent than non-urgent", nonUrgent, urgent)
 	}
 }
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -17,7 +17,9 @@
 	DataCentre string
 	// Slots is the number of requests that it processes concurrently.
 	Slots int
-	// Leaving upstreams get no new requests.
+	// Leaving is set if its entry in the log states that it is draining, and
+	// whenever Unlisted is set. The upstream then gets no new requests, not
+	// even for keys that it owns.
 	Leaving bool
 	// Unlisted is set while the upstream is kept although its entry in the log
 	// has been removed.
@@ -25,18 +27,19 @@
 	// SlowUntil is the end of its slow start.
 	SlowUntil time.Time
 	// LeaveBy is set while operators evacuate its data centre, and after it has
-	// reported in its responses that it is leaving. From LeaveBy on it gets no
-	// requests, before that only requests for keys that it still owns.
+	// reported in its responses that it is leaving. Before LeaveBy it gets only
+	// requests for keys that it still owns, after that none.
 	LeaveBy time.Time
-	// ReportedLeaving is set after it has reported that it is leaving.
+	// ReportedLeaving is set after it has reported in its responses that it is
+	// leaving; Leaving may not be set yet.
 	ReportedLeaving bool
 }
 
 // HandingOver reports whether its keys must move to other owners by LeaveBy.
 func (u *Upstream) HandingOver() bool { return !u.LeaveBy.IsZero() }
 
-// Draining reports whether its keys must move to other owners and it gets no
-// requests that another upstream can serve.
+// Draining reports whether its keys must move to other owners. It gets at most
+// requests for keys that it still owns.
 func (u *Upstream) Draining() bool { return u.Leaving || u.HandingOver() }
 
 // Cold reports whether it is in its slow start.
--- a/internal/catalogue/incarnation_test.go
+++ b/internal/catalogue/incarnation_test.go
@@ -13,7 +13,7 @@
 func TestIncarnationIDEncodesServerAndStart(t *testing.T) {
 	p := gopter.NewProperties(nil)
 	server := gen.OneGenOf(gen.AlphaString(), gen.AnyString(), gen.OneConstOf("a@b", "a@7", "@", ""))
-	p.Property("server and start are found again", prop.ForAll(func(server string, start int64) bool {
+	p.Property("server and start round-trip", prop.ForAll(func(server string, start int64) bool {
 		id := IncarnationID(server, start)
 		return ServerID(id) == server && StartUnixMilli(id) == start
 	}, server, gen.Int64Range(0, 1<<45)))
--- a/internal/keyload/estimator.go
+++ b/internal/keyload/estimator.go
@@ -22,13 +22,13 @@
 }
 
 const (
-	// usualTimeConstant is the time constant of a key's usual rate. At 100
-	// requests a second it averages over about 1,000 samples, some 50 for each
-	// of twenty owners, so that random variation rarely makes an owner look
-	// 1.3 times as busy as it is.
+	// usualTimeConstant is the time constant of a key's usual rate. It is long
+	// enough that random variation rarely makes an owner look overloaded: at
+	// 100 requests a second it averages over some 50 samples for each of
+	// twenty owners.
 	usualTimeConstant = 10 * time.Second
 	// recentTimeConstant is the time constant of a key's recent rate, which
-	// shows within half a second that a key has become hot.
+	// shows within a second that a key has become hot.
 	recentTimeConstant = 1500 * time.Millisecond
 	// The recent rate replaces the usual rate if it deviates from it by more
 	// than changeSigma standard deviations and minChangeRequests requests.
@@ -43,7 +43,9 @@
 type keyCounts struct{ usual, recent decay.Sum }
 
 type serviceLoad struct {
-	keys      map[int]*keyCounts
+	keys map[int]*keyCounts
+	// workTimes estimates each upstream's processing time per request, without
+	// queueing.
 	workTimes *worktime.Estimator
 	started   time.Time
 	prunedAt  time.Time
@@ -93,8 +95,8 @@
 	}
 }
 
-// effectiveWindow returns the seconds of requests that a sum with time constant
-// tau represents.
+// effectiveWindow returns the length in seconds of the window whose plain request
+// count would equal the decayed sum with time constant tau at a constant rate.
 func (s *serviceLoad) effectiveWindow(tau time.Duration, now time.Time) float64 {
 	return decay.EffectiveWindow(tau, now.Sub(s.started))
 }
@@ -128,15 +130,15 @@
 		return out, 0
 	}
 	out.ByKey = make([]float64, ownership.KeySpaceSize)
-	samples := 0.0
+	requests := 0.0
 	for k, v := range s.keys {
 		out.ByKey[k] = s.rate(v, now)
-		samples += v.usual.Value(usualTimeConstant, now)
+		requests += v.usual.Value(usualTimeConstant, now)
 	}
 	typical := s.workTimes.Median(owners, now)
 	for _, u := range owners {
 		out.Capacity[u.ID] = float64(u.Slots) / s.workTimes.Estimate(u, typical, now)
 	}
 	out.Weight = loadWeights(out, owners)
-	return out, samples
+	return out, requests
 }
--- a/internal/keyload/estimator_test.go
+++ b/internal/keyload/estimator_test.go
@@ -9,6 +9,7 @@
 	"github.com/papayatide/papayatide/internal/catalogue"
 )
 
+// owners are named for their processing time per request.
 var owners = []*catalogue.Upstream{{ID: "slow", Slots: 3}, {ID: "usual", Slots: 3}, {ID: "quick", Slots: 3}}
 
 // addRequests adds requests for a key at a constant rate from start for d, in
@@ -41,23 +42,23 @@
 	addRequests(e, 1, "usual", 100*time.Millisecond, 40, hot.Add(time.Second), 5*time.Second)
 	load, _ = e.Load("s", owners, hot.Add(6*time.Second))
 	if r := load.ByKey[1]; r < 32 || r > 48 {
-		t.Errorf("after six seconds it is estimated at %.1f/s, want 32 to 48", r)
+		t.Errorf("a key with 40 requests/s is estimated at %.1f/s after six seconds, want 32 to 48", r)
 	}
 	load, _ = e.Load("s", owners, hot.Add(10*time.Second))
 	if r := load.ByKey[1]; r > 10 {
-		t.Errorf("four seconds after its last request it is estimated at %.1f/s, want at most 10", r)
+		t.Errorf("a key is estimated at %.1f/s four seconds after its last request, want at most 10", r)
 	}
 }
 
 // Capacity is estimated from response times, which include time in the upstream's
-// queue. An owner that responds late only since it is overloaded must not be taken
-// for a slow one.
+// queue. An owner that responds slowly only because it is overloaded must not be
+// taken for a slow one.
 func TestCapacityEstimateAllowsForQueueing(t *testing.T) {
 	e := New()
 	start := time.Unix(1000, 0)
-	// slow takes 400 ms and quick 100 ms, both under low load. usual works for
-	// 200 ms on a request, but at its capacity of 15 requests/s it responds
-	// after 800 ms.
+	// The owner slow takes 400 ms for a request and quick 100 ms, both under low
+	// load. The owner usual takes 200 ms, but at its capacity of 15 requests/s it
+	// responds after 800 ms.
 	addRequests(e, 1, "slow", 400*time.Millisecond, 3, start, 20*time.Second)
 	addRequests(e, 2, "usual", 800*time.Millisecond, 15, start, 20*time.Second)
 	addRequests(e, 3, "quick", 100*time.Millisecond, 3, start, 20*time.Second)
--- a/internal/ownership/capacity.go
+++ b/internal/ownership/capacity.go
@@ -1,49 +1,50 @@
 package ownership
 
-// limitedUtilization is the fraction of its limit up to which a limited owner
-// is loaded. The owner must receive enough requests to show when it can serve
-// more.
+// limitedUtilization is the fraction of its rate limit up to which a limited
+// owner is loaded. The owner must receive enough requests to show when it can
+// serve more.
 const limitedUtilization = 0.8
 
-// LimitCapacity lowers the capacity of the owners in limits to their limit. Each
-// of them gets the load that fills limitedUtilization of its limit, or its
-// former share if that is less; the others divide the rest in proportion to
-// their former shares. It changes nothing while no load is known.
-func (l *Load) LimitCapacity(limits map[string]float64) {
-	share := l.Weight
-	if share == nil {
-		share = l.Capacity
+// LimitCapacity lowers owners' capacities to their rate limits, in the unit of
+// Capacity, where these are below. It sets Weight so that each limited owner gets
+// limitedUtilization of its rate limit, or the load that it would get without the
+// limit if that is less; the others divide the rest in proportion to their previous
+// weights. It changes nothing while no load is known.
+func (l *Load) LimitCapacity(rateLimits map[string]float64) {
+	weight := l.Weight
+	if weight == nil {
+		weight = l.Capacity
 	}
-	demand, totalShare := 0.0, 0.0
+	totalLoad, totalWeight := 0.0, 0.0
 	for _, x := range l.ByKey {
-		demand += x
+		totalLoad += x
 	}
-	for _, x := range share {
-		totalShare += x
+	for _, x := range weight {
+		totalWeight += x
 	}
-	if demand == 0 || totalShare == 0 {
+	if totalLoad == 0 || totalWeight == 0 {
 		return // no load is known yet
 	}
-	newShare, remaining, unlimitedShare := make(map[string]float64, len(share)), demand, 0.0
-	for id, x := range share {
-		limit, limited := limits[id]
+	newWeight, remaining, unlimitedWeight := make(map[string]float64, len(weight)), totalLoad, 0.0
+	for id, x := range weight {
+		limit, limited := rateLimits[id]
 		if !limited || limit >= l.Capacity[id] {
-			unlimitedShare += x
+			unlimitedWeight += x
 			continue
 		}
-		newShare[id] = min(limitedUtilization*limit, demand*x/totalShare)
-		remaining -= newShare[id]
+		newWeight[id] = min(limitedUtilization*limit, totalLoad*x/totalWeight)
+		remaining -= newWeight[id]
 	}
-	for id, x := range share {
-		if _, limited := newShare[id]; !limited {
-			newShare[id] = remaining * x / unlimitedShare
+	for id, x := range weight {
+		if _, limited := newWeight[id]; !limited {
+			newWeight[id] = remaining * x / unlimitedWeight
 		}
 	}
-	l.Weight = newShare
+	l.Weight = newWeight
 	newCapacity := make(map[string]float64, len(l.Capacity))
 	for id, x := range l.Capacity {
 		newCapacity[id] = x
-		if limit, limited := limits[id]; limited {
+		if limit, limited := rateLimits[id]; limited {
 			newCapacity[id] = min(x, limit)
 		}
 	}
--- a/internal/ownership/capacity_test.go
+++ b/internal/ownership/capacity_test.go
@@ -27,11 +27,11 @@
 		l := Load{ByKey: byKey, Capacity: map[string]float64{"a": 100, "b": 100, "c": 100}}
 		l.LimitCapacity(c.limits)
 		if l.Weight == nil {
-			t.Fatalf("%s: Share is nil", c.name)
+			t.Fatalf("%s: Weight is nil", c.name)
 		}
 		for id, want := range c.want {
 			if got := l.Weight[id]; math.Abs(got-want) > 1e-6 {
-				t.Errorf("%s: share of %s is %v, want %v", c.name, id, got, want)
+				t.Errorf("%s: weight of %s is %v, want %v", c.name, id, got, want)
 			}
 			if limit, ok := c.limits[id]; ok && l.Capacity[id] != min(limit, 100) {
 				t.Errorf("%s: capacity of %s is %v, want the lower of its limit and 100", c.name, id, l.Capacity[id])
--- a/internal/ownership/delta.go
+++ b/internal/ownership/delta.go
@@ -14,8 +14,9 @@
 type Delta struct {
 	// BaseDigest is the digest of the table that the delta applies to,
 	// ResultDigest that of the resulting table. A host that missed a delta or
-	// received one twice finds another digest and requests the whole table;
-	// otherwise it would keep a wrong owner for every key of a lost delta.
+	// received one twice sees that a digest does not match and requests the
+	// whole table. Without the check it would keep a wrong owner for every key
+	// of a missed delta.
 	BaseDigest   uint64 `json:"base"`
 	ResultDigest uint64 `json:"result"`
 	// Next is the later table, with only those ranges that the earlier one
@@ -23,7 +24,8 @@
 	Next Table `json:"next"`
 }
 
-// ErrBaseMismatch means that a delta was not made from the given table.
+// ErrDigestMismatch means that a delta does not apply to the given table: the digest
+// of that table or of the result differs from the one in the delta.
 var ErrDigestMismatch = errors.New("ownership delta does not apply to this table")
 
 // Diff returns the delta that turns old into next.
@@ -42,8 +44,9 @@
 	return d
 }
 
-// Apply returns the table that the delta makes of old. It fails with
-// ErrBaseMismatch if old is nil or the delta was not made from it.
+// Apply returns the result of applying the delta to old. It fails with
+// ErrDigestMismatch if old is nil, or if the digest of old or of the result differs
+// from the one in the delta.
 func (d *Delta) Apply(old *Table) (*Table, error) {
 	if old == nil || old.Digest() != d.BaseDigest {
 		return nil, eris.Wrapf(ErrDigestMismatch, "ownership table %s: base digest differs", d.Next.Service)
--- a/internal/ownership/delta_test.go
+++ b/internal/ownership/delta_test.go
@@ -33,13 +33,13 @@
 
 // Hosts receive deltas instead of whole tables. Deltas may be lost, duplicated,
 // late or out of order, and may span several records and planners. Apply must
-// give exactly the planner's table or fail with ErrBaseMismatch: with a wrong
+// give exactly the planner's table or fail with ErrDigestMismatch: with a wrong
 // table a host would send requests to upstreams that do not own their keys.
 func TestDeltaGivesTheExactTableOrFails(t *testing.T) {
 	params := gopter.DefaultTestParameters()
 	params.MinSuccessfulTests = 100
 	p := gopter.NewProperties(params)
-	p.Property("same table or ErrBaseMismatch", prop.ForAll(func(seed uint64) (string, error) {
+	p.Property("same table or ErrDigestMismatch", prop.ForAll(func(seed uint64) (string, error) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		history := []*Table{NewTable("s")}
 		for range 30 {
--- a/internal/ownership/rebalance.go
+++ b/internal/ownership/rebalance.go
@@ -8,21 +8,23 @@
 	"strings"
 )
 
-// Load is the demand for a service by key, and the capacity of its owners.
+// Load describes the load on a service's keys and how it should be divided among
+// the candidate owners.
 type Load struct {
-	// ByKey is the work requested on each key, in any unit; nil if nothing
-	// is known yet.
+	// ByKey is the load on each key, in any unit; nil if nothing is known yet.
 	ByKey []float64
-	// Capacity is how much of that work each candidate owner can do, in the
-	// same unit. Upstreams that are not listed get no keys and lose those
-	// they own.
+	// Capacity is the load that each candidate owner can take, in the unit of
+	// ByKey. Upstreams that are not in it get no keys, and those that they own
+	// move to candidates.
 	Capacity map[string]float64
-	// Weight is the part of the total load that each candidate owner should
-	// get, in any unit; in proportion to Capacity if nil.
+	// Weight is the relative weight by which the total load is divided among
+	// the candidate owners; Capacity if nil. An owner's part of the total load
+	// by weight is its fair load.
 	Weight map[string]float64
-	// Refill holds owners that have temporarily lost keys. While one has
-	// little load, keys move to it from an owner above its fair load even if
-	// that owner is below HighWatermark.
+	// Refill holds owners from which keys may have been moved away for a time,
+	// for example while a rate limit was in force. While such an owner has
+	// little load, keys move to it from the most loaded owner above
+	// LowWatermark, even if that owner is below HighWatermark.
 	Refill map[string]bool
 	// SlowToMove holds owners whose keys would be without an owner for long
 	// during a move to another owner.
@@ -31,13 +33,15 @@
 
 // Limits bound a rebalance.
 type Limits struct {
-	// HighWatermark is the load of an owner, relative to its fair load, from
-	// which on keys move away from it; a smaller excess may be random.
+	// HighWatermark is the load of an owner, relative to its fair load, at or
+	// above which keys move away from it; a smaller excess may be random.
 	HighWatermark float64
 	// LowWatermark is the load, relative to the fair load, down to which an
 	// overloaded owner is relieved.
 	LowWatermark float64
-	// MaxMoves bounds the moves made to relieve owners.
+	// MaxMoves bounds the moves that relieve or refill owners, not counting
+	// that of the hottest key. If it is 0, only keys without a candidate owner
+	// are assigned.
 	MaxMoves int
 }
 
@@ -48,8 +52,8 @@
 	backgroundLoadShare = 0.05
 	// maxStripeKeys is the longest run of keys assigned at once while the
 	// load is unknown. Busy keys are close together: runs this short, assigned
-	// in turn, spread a busy region of 4,000 keys over ten owners before the
-	// first request, and 160 of them keep the table at a few kilobytes.
+	// in turn, spread a busy region of 4,000 keys over ten owners. Shorter ones
+	// would enlarge the table, which takes a few kilobytes with 160 runs.
 	maxStripeKeys = 410
 	// minRemainderShare is the fraction of the total load below which the
 	// remainder of a run is not left as a range of its own.
@@ -59,19 +63,20 @@
 	maxOvershoot = 1.3
 	// minMoveShare is the least load for which a run of keys is moved, as a
 	// fraction of its owner's fair load. A smaller move has no noticeable
-	// effect, yet stops its keys until their requests in flight have ended.
+	// effect, yet delays new requests for its keys until those in flight have
+	// ended.
 	minMoveShare = 0.01
-	// hotKeyUtilization is the fraction of its owner's capacity from which on
-	// a single key is moved by itself: splitting ranges cannot relieve the
-	// owner, so the key needs an owner with more capacity.
+	// hotKeyUtilization is the fraction of its owner's capacity at or above
+	// which a single key is moved by itself: splitting ranges cannot relieve
+	// the owner, so the key needs an owner with more capacity.
 	hotKeyUtilization = 0.5
-	// hotKeyCapacityFactor is the least ratio of that owner's capacity to the
-	// present owner's.
+	// hotKeyCapacityFactor is the least ratio of the new owner's capacity to
+	// the present owner's for which the hottest key is moved.
 	hotKeyCapacityFactor = 1.25
-	// minReliefUtilization is the fraction of its capacity from which on an
+	// minReliefUtilization is the fraction of its capacity at or above which an
 	// owner is relieved. Below it requests hardly ever queue and uneven load is
-	// mostly random; moves for it were the largest cost in a lightly loaded
-	// fleet of 30 hosts.
+	// mostly random; without the bound, moves would be the largest cost in a
+	// lightly loaded service.
 	minReliefUtilization = 0.35
 	// refillBelow is the load, relative to its fair load, below which an owner
 	// in Load.Refill is refilled, and refillUntil the load at which that ends.
@@ -82,10 +87,11 @@
 	slowToMoveFactor = 2
 )
 
-// Rebalance returns the moves that relieve overloaded owners and assign keys
-// that have no owner or whose owner is not a candidate. To relieve an owner it
-// moves about as much load as brings the owner down to LowWatermark. It returns
-// nil if there are no candidates.
+// Rebalance returns the moves that assign keys that have no owner or whose owner
+// is not a candidate, move the hottest key if it needs more capacity, and relieve
+// overloaded owners or refill those in Load.Refill. To relieve an owner it moves
+// about as much load as brings the owner down to LowWatermark. It returns nil if
+// there are no candidates.
 func Rebalance(t *Table, load Load, lim Limits) []Move {
 	if len(load.Capacity) == 0 {
 		return nil
@@ -107,7 +113,7 @@
 // candidate is a possible owner in a plan.
 type candidate struct {
 	id string
-	// load is the load of its spans, fairLoad the load that it should have.
+	// load is the load of its spans; see Load.Weight for fairLoad.
 	load, fairLoad, capacity float64
 	slowToMove, refill       bool
 	spans                    []span
@@ -117,15 +123,17 @@
 func (c *candidate) relativeLoad() float64 { return c.load / c.fairLoad }
 
 // plan is a table being rebalanced. Candidates are held in a slice and not in a
-// map by ID, as the most and the least loaded are searched before each move:
-// with maps a plan of 150 moves for 1,600 owners took 47 ms instead of 4 ms.
+// map by ID, as the most and the least loaded are searched before each move: with
+// a map, 150 moves for 1,600 owners would take about ten times as long.
 type plan struct {
 	loadBelow []float64 // loadBelow[k] is the load of the keys below k
 	// candidates are sorted by ID to make plans repeatable; eligible are those
-	// that have not been excluded.
+	// that have not been excluded from further moves.
 	candidates, eligible []*candidate
 	// refilling is the owner that is being refilled; nil if there is none.
-	refilling  *candidate
+	refilling *candidate
+	// unassigned are the runs of keys that have no owner or whose owner is not a
+	// candidate.
 	unassigned []span
 	table      *Table
 }
@@ -133,21 +141,21 @@
 func newPlan(t *Table, load Load) *plan {
 	p := &plan{table: t}
 	p.loadBelow = loadPrefixSums(load.ByKey, slices.Max(slices.Collect(maps.Values(load.Capacity))))
-	share := load.Weight
-	if share == nil {
-		share = load.Capacity
+	weight := load.Weight
+	if weight == nil {
+		weight = load.Capacity
 	}
 	byID := make(map[string]*candidate, len(load.Capacity))
-	totalShare := 0.0
+	totalWeight := 0.0
 	for id, capacity := range load.Capacity {
 		byID[id] = &candidate{id: id, capacity: capacity, slowToMove: load.SlowToMove[id], refill: load.Refill[id]}
 		p.candidates = append(p.candidates, byID[id])
-		totalShare += share[id]
+		totalWeight += weight[id]
 	}
 	slices.SortFunc(p.candidates, func(x, y *candidate) int { return strings.Compare(x.id, y.id) })
 	p.eligible = slices.Clone(p.candidates)
 	for _, c := range p.candidates {
-		c.fairLoad = p.loadBelow[KeySpaceSize] * share[c.id] / totalShare
+		c.fairLoad = p.loadBelow[KeySpaceSize] * weight[c.id] / totalWeight
 	}
 	for _, r := range t.Ranges {
 		s := span{from: r.From, to: r.To}
@@ -191,7 +199,7 @@
 }
 
 // mostLoaded returns the eligible candidate with the highest relative load among
-// those above minReliefUtilization; nil if there is none.
+// those at or above minReliefUtilization; nil if there is none.
 func (p *plan) mostLoaded() *candidate {
 	var most *candidate
 	for _, c := range p.eligible {
@@ -202,8 +210,9 @@
 	return most
 }
 
-// assignUnassigned assigns every run of keys without an owner, in parts that fit
-// the candidates' spare fair load, and in stripes if the load is unknown.
+// assignUnassigned assigns all unassigned keys in parts that each bring the least
+// loaded candidate about up to its fair load, and that have at most maxStripeKeys
+// keys if the load is unknown.
 func (p *plan) assignUnassigned(loadUnknown bool) {
 	for _, s := range p.unassigned {
 		for s.from <= s.to {
@@ -218,7 +227,7 @@
 	}
 }
 
-// assign adds a span without an owner to a candidate.
+// assign adds a span that no candidate owns to a candidate.
 func (p *plan) assign(to *candidate, s span) {
 	to.spans = append(to.spans, s)
 	to.load += p.loadOf(s)
@@ -260,7 +269,7 @@
 			}
 		}
 	}
-	panic("ownership: a key has no owner after all unowned keys were assigned")
+	panic("ownership: a key has no owner after all unassigned keys were assigned")
 }
 
 // prefixEnd returns the last key of the longest prefix of s whose load is at
@@ -343,10 +352,11 @@
 	return nil
 }
 
-// exclude removes from the plan an owner that cannot be relieved now, for example
-// because a single key makes up its load; the others share the remaining load. If
-// it stayed, no other owner would be relieved: for 10 s, half of 200 owners were
-// idle while 50 others got two to ten times the load they had capacity for.
+// exclude makes an owner that cannot be relieved now, for example because a single
+// key makes up its load, ineligible for further moves, and scales the fair loads of
+// the others to their total load. Otherwise it would remain the most loaded and no
+// other would be relieved: of 200 owners, half could be idle while 50 get two to ten
+// times their capacity.
 func (p *plan) exclude(owner *candidate) {
 	p.eligible = slices.DeleteFunc(p.eligible, func(c *candidate) bool { return c == owner })
 	totalLoad, totalFairLoad := 0.0, 0.0
@@ -361,8 +371,8 @@
 
 // bestSpanToMove returns the index of one of the owner's spans and the prefix or
 // suffix of it to move: the one with the highest load up to maxOvershoot times
-// want, where many keys count slightly against it. The index is -1 if none is
-// worth a move.
+// want, less a small penalty for the number of its keys. The index is -1 if that is
+// below minMoveShare of the owner's fair load for all of them.
 func (p *plan) bestSpanToMove(owner *candidate, want float64) (int, span) {
 	best, bestScore := -1, 0.0
 	var bestSpan span
--- a/internal/ownership/rebalance_test.go
+++ b/internal/ownership/rebalance_test.go
@@ -151,7 +151,7 @@
 	params := gopter.DefaultTestParameters()
 	params.MinSuccessfulTests = 60
 	p := gopter.NewProperties(params)
-	p.Property("every key has a candidate owner, in whole pieces", prop.ForAll(func(seed uint64) bool {
+	p.Property("every key is owned by a candidate and each move lies within one range", prop.ForAll(func(seed uint64) bool {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		capacity := map[string]float64{}
 		for i := range 1 + rng.IntN(12) {
@@ -220,9 +220,9 @@
 }
 
 // At a large service each of 400 owners gets one request in seven seconds. By
-// chance some have three while others have none. Moving keys for that would
-// interrupt them, make them start cold and fragment the table to no benefit.
-func TestRandomLoadOnIdleOwnersMovesNothing(t *testing.T) {
+// chance some get three while others get none. Moving keys for that would
+// interrupt the owners, make them start cold and fragment the table to no benefit.
+func TestRandomVariationUnderLightLoadMovesNothing(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	capacity := map[string]float64{}
 	for i := range 400 {
@@ -234,7 +234,7 @@
 		byKey[rng.IntN(KeySpaceSize)] += 0.1
 	}
 	if moves := Rebalance(tab, Load{ByKey: byKey, Capacity: capacity}, testLimits); len(moves) > 0 {
-		t.Errorf("%d moves between idle owners, want none", len(moves))
+		t.Errorf("%d moves between lightly loaded owners, want none", len(moves))
 	}
 }
 
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -15,7 +15,8 @@
 // KeySpaceSize is the number of keys: keys are 0 to KeySpaceSize-1.
 const KeySpaceSize = 1 << 16
 
-// Range is a run of keys with one owner. From and To are both inclusive.
+// Range is a run of keys with the same owner, or with none. From and To are
+// both inclusive.
 type Range struct {
 	From int `json:"f"`
 	To   int `json:"t"`
@@ -31,7 +32,7 @@
 // PlannerHost is a host that is or was the planner.
 type PlannerHost struct {
 	Host string `json:"h"`
-	// Addr is the address for its peers.
+	// Addr is the address at which other hosts reach it.
 	Addr string `json:"a"`
 }
 
@@ -40,27 +41,29 @@
 	Service string `json:"service"`
 	// Term is the planner's term; the first record of each term increments it.
 	Term int64 `json:"term"`
-	// Planner is the host that wrote the record, PlannerAddr its address for
-	// its peers.
+	// Planner is the host that wrote the record, PlannerAddr the address at
+	// which other hosts reach it.
 	Planner     string `json:"planner"`
 	PlannerAddr string `json:"planner_addr"`
 	// Cause is the reason for the change since the last record, for operators.
 	Cause string `json:"cause,omitempty"`
-	// MaxFencingToken is the highest fencing token used so far.
+	// MaxFencingToken is the highest fencing token allocated so far. Each record
+	// raises it; hosts adopt a table only if theirs has a lower one.
 	MaxFencingToken int64 `json:"fence"`
 	// PreviousPlanners are the planners of earlier terms that may still send grants.
 	PreviousPlanners []PlannerHost `json:"earlier,omitempty"`
-	// Lost are the owners, sorted, that do not respond and to which this
-	// term's planner has stopped sending grants. It sends them none before it
-	// has written a record without them, so that the next planner can bound
-	// how long they may still hold their keys.
+	// Lost are the owners, sorted, that do not respond or are not listed, and
+	// to which this term's planner has stopped sending grants. It resumes
+	// sending grants to one only after a record that no longer lists it as
+	// lost, so that the next planner can bound how long lost owners may still
+	// hold their keys.
 	Lost []string `json:"lost,omitempty"`
 	// Ranges cover all keys in order.
 	Ranges []Range `json:"ranges"`
 }
 
-// WithLost returns the table with these lost owners, which must be sorted, and
-// a higher MaxFencingToken.
+// WithLost returns the table with these lost owners, which must be sorted. It
+// raises MaxFencingToken, without which hosts would not adopt the table.
 func (t *Table) WithLost(lost []string) *Table {
 	next := t.cloneWithPlanner(t.Planner, t.PlannerAddr)
 	next.MaxFencingToken++
@@ -101,8 +104,8 @@
 	return &t, nil
 }
 
-// maxTableBytes bounds a record after decompression; a table of 16,000 ranges
-// takes 1 MB.
+// maxTableBytes bounds an encoded table or delta after decompression; a table of
+// 16,000 ranges takes 1 MB.
 const maxTableBytes = 8 << 20
 
 // Encode returns the record to store, compressed JSON: about 2 KB instead of
@@ -114,10 +117,10 @@
 	var buf bytes.Buffer
 	zw := gzip.NewWriter(&buf)
 	if err := json.NewEncoder(zw).Encode(v); err != nil {
-		return nil, eris.Wrap(err, "ownership table: encode")
+		return nil, eris.Wrap(err, "ownership table or delta: encode")
 	}
 	if err := zw.Close(); err != nil {
-		return nil, eris.Wrap(err, "ownership table: encode")
+		return nil, eris.Wrap(err, "ownership table or delta: encode")
 	}
 	return buf.Bytes(), nil
 }
@@ -126,10 +129,10 @@
 func decodeGzipJSON(data []byte, v any) error {
 	zr, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return eris.Wrap(err, "ownership table: decode")
+		return eris.Wrap(err, "ownership table or delta: decode")
 	}
 	if err := json.NewDecoder(io.LimitReader(zr, maxTableBytes)).Decode(v); err != nil {
-		return eris.Wrap(err, "ownership table: decode")
+		return eris.Wrap(err, "ownership table or delta: decode")
 	}
 	return nil
 }
@@ -221,9 +224,9 @@
 }
 
 // overlay returns the updates and the parts of base that they do not cover, in
-// order. The updates must be in order and must not overlap. It makes one pass:
-// cutting 500 moves one by one into a table of 3,000 ranges took a fifth of the time
-// between two plans.
+// order. The updates must be in order and must not overlap. It makes one pass over
+// base: with a pass for each update, 500 updates to a table of 3,000 ranges would
+// take a fifth of the interval between plans.
 func overlay(base, updates []Range) []Range {
 	out := make([]Range, 0, len(base)+2*len(updates))
 	for _, r := range base {
@@ -236,7 +239,7 @@
 			}
 			from = updates[0].To + 1
 			if updates[0].To > r.To {
-				break // appended at the range of base in which it ends
+				break // appended once the loop reaches the range of base that contains its last key
 			}
 			out = append(out, updates[0])
 			updates = updates[1:]
