--- a/internal/ownership/delta_test.go
+++ b/internal/ownership/delta_test.go
@@ -33,13 +33,13 @@
 
 // Hosts receive deltas instead of whole tables. Deltas may be lost, duplicated,
 // late or out of order, and may span several records and planners. Apply must
-// give exactly the planner's table or fail with ErrBaseMismatch: with a wrong
+// give exactly the planner's table or fail with ErrDigestMismatch: with a wrong
 // table a host would send requests to upstreams that do not own their keys.
 func TestDeltaGivesTheExactTableOrFails(t *testing.T) {
 	params := gopter.DefaultTestParameters()
 	params.MinSuccessfulTests = 100
 	p := gopter.NewProperties(params)
-	p.Property("same table or ErrBaseMismatch", prop.ForAll(func(seed uint64) (string, error) {
+	p.Property("same table or ErrDigestMismatch", prop.ForAll(func(seed uint64) (string, error) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		history := []*Table{NewTable("s")}
 		for range 30 {
@@ -60,7 +60,7 @@
 			switch {
 			case from == current && (err != nil || !reflect.DeepEqual(got, history[to])):
 				return fmt.Sprintf("delta from table %d to %d: %v", from, to, err), nil
-			case from != current && !errors.Is(err, ErrBaseMismatch):
+			case from != current && !errors.Is(err, ErrDigestMismatch):
 				return fmt.Sprintf("delta from table %d was applied to table %d", from, current), nil
 			case from == current:
 				current = to
