--- a/internal/dispatch/broken.go
+++ b/internal/dispatch/broken.go
@@ -58,40 +58,40 @@
 	} else if !u.Leaving {
 		crash := crashes.Crash{Fingerprint: broken.Fingerprint, Server: u.ID, At: now}
 		d.crashes.RecordBrokenSend(crash)
-		d.unresolvedSends.add(crash)
+		d.unresolvedBrokenSends.add(crash)
 	}
 	d.OnBrokenSend(broken)
 }
 
 const (
-	// entryExpiry bounds the time from a crash until this host sees the server's entry
+	// crashDetectionTimeout bounds the time from a crash until this host sees the server's entry
 	// removed: three missed heartbeats of about 0.9 s, and the entry's propagation.
-	entryExpiry = 5 * time.Second
-	// maxUnresolvedSends bounds the list. Upstreams that truncate responses cause at
+	crashDetectionTimeout = 5 * time.Second
+	// maxUnresolvedBrokenSends bounds the list. Upstreams that truncate responses cause at
 	// most about ten broken sends a second at one host.
-	maxUnresolvedSends = 256
+	maxUnresolvedBrokenSends = 256
 )
 
-// unresolvedSendList holds broken sends whose upstream may have crashed although its
+// unresolvedBrokenSendList holds broken sends whose upstream may have crashed although its
 // port is open: a proxy or load balancer in front of it keeps listening, or the server
 // restarted at once. The incarnation's entry shows the crash when it is removed or
 // replaced by that of a later incarnation.
-type unresolvedSendList struct {
+type unresolvedBrokenSendList struct {
 	mu    sync.Mutex
 	sends []crashes.Crash
 }
 
-func (s *unresolvedSendList) add(crash crashes.Crash) {
+func (s *unresolvedBrokenSendList) add(crash crashes.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.sends) < maxUnresolvedSends {
+	if len(s.sends) < maxUnresolvedBrokenSends {
 		s.sends = append(s.sends, crash)
 	}
 }
 
 // resolve returns the broken sends whose upstream has crashed since. It drops those, and
 // the ones whose upstream is leaving as planned or still listed after entryExpiry.
-func (s *unresolvedSendList) resolve(upstreams *catalogue.Snapshot, now time.Time) (crashed []crashes.Crash) {
+func (s *unresolvedBrokenSendList) resolve(upstreams *catalogue.Snapshot, now time.Time) (crashed []crashes.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sends = slices.DeleteFunc(s.sends, func(crash crashes.Crash) bool {
@@ -100,7 +100,7 @@
 			crashed = append(crashed, crash)
 			return true
 		}
-		return u.Leaving || now.Sub(crash.At) > entryExpiry
+		return u.Leaving || now.Sub(crash.At) > crashDetectionTimeout
 	})
 	return crashed
 }
--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -119,7 +119,7 @@
 // A load balancer in front of a crashed server still accepts connections and closes
 // them, so the port does not show the crash. The crash must be detected when the
 // server's entry is removed, about two seconds later.
-func TestCrashBehindLoadBalancerIsDetectedByItsEntry(t *testing.T) {
+func TestCrashBehindLoadBalancerIsDetectedByRemovedEntry(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
 	h := newHarness(t)
 	for i := range crashes.Limit {
@@ -141,7 +141,7 @@
 // it) within entryExpiry. It does not if it leaves as planned or is listed for longer.
 func TestUpstreamsThatStayOrLeaveHaveNotCrashed(t *testing.T) {
 	now := time.Now()
-	var sends unresolvedSendList
+	var sends unresolvedBrokenSendList
 	for _, server := range []string{"on", "leaving", "unlisted", "replaced", "on later gone"} {
 		sends.add(crashes.Crash{Fingerprint: "c", Server: server, At: now})
 	}
@@ -161,13 +161,13 @@
 	if !slices.Equal(got, []string{"unlisted", "replaced"}) {
 		t.Errorf("crashed: %v", got)
 	}
-	if got = resolveAfter(entryExpiry, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
+	if got = resolveAfter(crashDetectionTimeout, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
 		t.Errorf("crashed: %v", got)
 	}
-	if got = resolveAfter(entryExpiry+time.Second, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
+	if got = resolveAfter(crashDetectionTimeout+time.Second, on, &catalogue.Upstream{ID: "on later gone"}); got != nil {
 		t.Errorf("crashed: %v", got)
 	}
-	if got = resolveAfter(entryExpiry + 2*time.Second); got != nil {
+	if got = resolveAfter(crashDetectionTimeout + 2*time.Second); got != nil {
 		t.Errorf("crashed after entryExpiry: %v", got)
 	}
 }
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -31,7 +31,7 @@
 		return nil, d.noUpstreamRefusal(req, upstreams, time.Now())
 	}
 	if req.attempts == 0 && d.picker.ExpectedLatency(u, time.Now()) > req.route.LatencyObjective {
-		return nil, req.refusal(CauseFull, req.retryAfterFull())
+		return nil, req.refusal(CauseOverloaded, req.retryAfterOverloaded())
 	}
 	return u, nil
 }
@@ -105,7 +105,7 @@
 // awaitViewChange waits for a view newer than v. It returns false once the request
 // has waited for ownerWaitShare of its latency objective, or ctx is done.
 func (req *request) awaitViewChange(ctx context.Context, v *view.View) bool {
-	left := time.Duration(ownerWaitShare*float64(req.route.LatencyObjective)) - req.ownerWait
+	left := time.Duration(ownerWaitFraction*float64(req.route.LatencyObjective)) - req.ownerWait
 	if left <= 0 {
 		return false
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -48,22 +48,22 @@
 // ownerWaitShare is the fraction of the latency objective that a request may
 // spend waiting for an owner of its key. Beyond that the caller is better served
 // by a refusal and a retry.
-const ownerWaitShare = 0.5
+const ownerWaitFraction = 0.5
 
 // Dispatcher forwards callers' requests to upstreams. It implements
 // http.Handler.
 type Dispatcher struct {
-	headers         protocol.Headers
-	localDataCentre string
-	views           *view.Publisher
-	client          *upstream.Client
-	picker          *balance.Picker
-	retryBudget     *budget.Budget
-	splitter        *splitter
-	rejectedGrants  *rejectedGrants
-	shutdown        *shutdown
-	crashes         *crashes.Tracker
-	unresolvedSends unresolvedSendList
+	headers               protocol.Headers
+	localDataCentre       string
+	views                 *view.Publisher
+	client                *upstream.Client
+	picker                *balance.Picker
+	retryBudget           *budget.Budget
+	splitter              *splitter
+	rejectedGrants        *rejectedGrants
+	shutdown              *shutdown
+	crashes               *crashes.Tracker
+	unresolvedBrokenSends unresolvedBrokenSendList
 	// feedback holds what upstreams report in response headers; rateLimiter
 	// enforces the rate limits among it.
 	feedback    *feedback.Tracker
@@ -191,13 +191,13 @@
 // maxQueueWait returns how long the request may wait for admission: what is left
 // of queueWaitShare of its latency objective.
 func (req *request) maxQueueWait() time.Duration {
-	left := time.Duration(queueWaitShare*float64(req.route.LatencyObjective)) - time.Since(req.arrived)
+	left := time.Duration(queueWaitFraction*float64(req.route.LatencyObjective)) - time.Since(req.arrived)
 	return min(max(left, 0), time.Until(req.deadline))
 }
 
 // queueWaitShare is the fraction of the latency objective that a request may
 // spend waiting for admission. The rest is for the upstream's work.
-const queueWaitShare = 0.5
+const queueWaitFraction = 0.5
 
 // notAdmittedRefusal returns the refusal of a request that the upstream's limiter
 // did not admit.
@@ -205,23 +205,23 @@
 	if ctx.Err() != nil {
 		return d.contextDoneRefusal(ctx, req)
 	}
-	return req.refusal(CauseFull, req.retryAfterFull())
+	return req.refusal(CauseOverloaded, req.retryAfterOverloaded())
 }
 
-// retryAfterFull returns the Retry-After delay for overloaded upstreams. It leaves
+// retryAfterOverloaded returns the Retry-After delay for overloaded upstreams. It leaves
 // time to serve the retry within the latency objective: with a delay of 0.3 s and
 // an objective of 0.4 s every retry was late.
-func (req *request) retryAfterFull() time.Duration { return req.route.LatencyObjective / 4 }
+func (req *request) retryAfterOverloaded() time.Duration { return req.route.LatencyObjective / 4 }
 
-// mayRetry reports whether the route allows one more attempt. A streamed body
+// hasAttemptsLeft reports whether the route allows one more attempt. A streamed body
 // cannot be sent twice.
-func (req *request) mayRetry() bool {
+func (req *request) hasAttemptsLeft() bool {
 	return req.outbound.Stream == nil && req.attempts < req.route.MaxAttempts
 }
 
-// worthRetrying reports whether a failed request is idempotent and has enough
+// mayRetryAfterRun reports whether a failed request is idempotent and has enough
 // time left for another attempt. A keyed request goes to the same owner again.
-func (d *Dispatcher) worthRetrying(req *request) bool {
+func (d *Dispatcher) mayRetryAfterRun(req *request) bool {
 	if !req.route.Idempotent {
 		return false
 	}
@@ -231,9 +231,9 @@
 // noRetryRefusal returns the refusal of a request that has no attempt left.
 func (req *request) noRetryRefusal() *Refusal {
 	if req.attempts == 0 {
-		return req.refusal(CauseUnreachable, req.retryAfterFull())
+		return req.refusal(CauseUnreachable, req.retryAfterOverloaded())
 	}
-	return req.refusal(CauseFull, req.retryAfterFull())
+	return req.refusal(CauseOverloaded, req.retryAfterOverloaded())
 }
 
 // refusal returns a refusal with the given cause, or one with an unknown outcome if
@@ -254,7 +254,7 @@
 	if res.Misdirected() {
 		return req.refusal(CauseMoved, retryAfterMoved)
 	}
-	return req.refusal(CauseFull, req.retryAfterFull())
+	return req.refusal(CauseOverloaded, req.retryAfterOverloaded())
 }
 
 // withJitter varies d by up to half of retryAfterJitter in either direction.
@@ -268,7 +268,7 @@
 	unsentCause, sentCause := CauseTimeoutUnsent, CauseTimeout
 	if errors.Is(ctx.Err(), context.Canceled) {
 		if !d.shutdown.stopped() {
-			return refusalWithStatus(CauseCallerGone, http.StatusBadGateway)
+			return refusalWithStatus(CauseCallerDisconnected, http.StatusBadGateway)
 		}
 		unsentCause, sentCause = CauseStopping, CauseStopping
 	}
@@ -284,7 +284,7 @@
 	now := time.Now()
 	d.rejectedGrants.prune(now)
 	d.rateLimiter.Prune(func(id string) bool { return d.feedback.RateLimit(id) > 0 })
-	for _, crash := range d.unresolvedSends.resolve(d.views.Load().Upstreams, now) {
+	for _, crash := range d.unresolvedBrokenSends.resolve(d.views.Load().Upstreams, now) {
 		d.crashes.RecordCrash(crash)
 	}
 }
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -66,8 +66,8 @@
 // takes the permits that the attempt needs. If not, it returns a refusal, or nil if
 // another upstream is to be chosen.
 func (d *Dispatcher) permitSend(ctx context.Context, req *request, u *catalogue.Upstream) (ok bool, refusal *Refusal) {
-	if req.callerGone() {
-		return false, refusalWithStatus(CauseCallerGone, http.StatusBadGateway)
+	if req.callerDisconnected() {
+		return false, refusalWithStatus(CauseCallerDisconnected, http.StatusBadGateway)
 	}
 	if d.upstreamChanged(req, u) || d.refusedFor(req) > 0 {
 		return false, nil
@@ -79,9 +79,9 @@
 		return false, req.ifKeyed(req.unavailableRefusal(wait, cause))
 	}
 	if ok, wait := d.allowSuspect(ctx, req); !ok {
-		return false, req.refusal(CauseSuspect, max(wait, req.retryAfterFull()))
+		return false, req.refusal(CauseSuspect, max(wait, req.retryAfterOverloaded()))
 	}
-	if req.attempts > 0 && !d.retryBudget.AllowRetry(req.service.Name, req.urgent, time.Now()) {
+	if req.attempts > 0 && !d.retryBudget.AllowRetry(req.service.Name, req.highestPriority, time.Now()) {
 		return false, req.noRetryRefusal()
 	}
 	return true, nil
@@ -114,7 +114,7 @@
 func (d *Dispatcher) afterSend(ctx context.Context, req *request, res *upstream.Result) (retry bool, refusal *Refusal) {
 	switch res.Outcome {
 	case upstream.Answered:
-		return res.Status >= http.StatusInternalServerError && req.mayRetry() && d.worthRetrying(req), nil
+		return res.Status >= http.StatusInternalServerError && req.hasAttemptsLeft() && d.mayRetryAfterRun(req), nil
 	case upstream.NotSent:
 		req.unsentAttempts++
 		if req.unsentAttempts >= maxUnsentAttempts || req.key >= 0 {
@@ -128,7 +128,7 @@
 	if ctx.Err() != nil || errors.Is(res.Err, os.ErrDeadlineExceeded) {
 		return false, d.contextDoneRefusal(ctx, req)
 	}
-	if !req.mayRetry() || !d.worthRetrying(req) {
+	if !req.hasAttemptsLeft() || !d.mayRetryAfterRun(req) {
 		return false, refusalWithStatus(CauseBrokenSend, http.StatusBadGateway)
 	}
 	return true, nil
@@ -141,7 +141,7 @@
 	if keyed && res.Misdirected() {
 		d.rejectedGrants.record(req.service.Name, req.lastFencingToken, req.lastUpstream, time.Now())
 	}
-	if !req.mayRetry() {
+	if !req.hasAttemptsLeft() {
 		return false, req.rejectionRefusal(res)
 	}
 	if !keyed {
--- a/internal/dispatch/rejected_connection_test.go
+++ b/internal/dispatch/rejected_connection_test.go
@@ -40,9 +40,9 @@
 	return f, resets
 }
 
-// dialUntilReset returns a dial function that returns each connection only after it was
+// dialAndAwaitReset returns a dial function that returns each connection only after it was
 // reset. On a busy machine the reset might otherwise come after the request.
-func dialUntilReset(resets <-chan struct{}) func(context.Context, string, string) (net.Conn, error) {
+func dialAndAwaitReset(resets <-chan struct{}) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
 		select {
@@ -77,7 +77,7 @@
 func TestRequestOnRejectedConnectionHasNotRun(t *testing.T) {
 	f, resets := startResettingUpstream(t, 0)
 	h := newHarness(t, newUpstream("u1", "keyed", f), newUpstream("u2", "plain", f))
-	h.d.client.Dial = dialUntilReset(resets)
+	h.d.client.Dial = dialAndAwaitReset(resets)
 	h.setOwner("u1", 1)
 	for _, host := range []string{"keyed.example", "charge.example"} {
 		for range 3 {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -27,8 +27,8 @@
 	route    *desired.Route
 	// service is the one of the route's services that the splitter picked.
 	service *desired.Service
-	// urgent is set if no route to the service has a higher priority.
-	urgent bool
+	// highestPriority is set if no route to the service has a higher priority.
+	highestPriority bool
 	// callerConn is the caller's connection; nil if it is not known.
 	callerConn net.Conn
 	// key is -1 for services that are not keyed.
@@ -78,11 +78,11 @@
 	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerGone reports whether the caller has closed its connection. A host that had
+// callerDisconnected reports whether the caller has closed its connection. A host that had
 // no CPU for a second reads requests whose callers have left by then. net/http
 // detects the closed connection on another goroutine, possibly only after the
 // request was sent; upstreams then worked on requests without a caller.
-func (req *request) callerGone() bool {
+func (req *request) callerDisconnected() bool {
 	return req.callerConn != nil && peek.Conn(req.callerConn) == peek.Closed
 }
 
@@ -107,7 +107,7 @@
 	}
 	req.deadline = d.shutdown.clampDeadline(req.deadline)
 	req.service = state.Services[d.splitter.pick(route)]
-	req.urgent = route.Priority <= state.HighestPriority(req.service.Name)
+	req.highestPriority = route.Priority <= state.HighestPriority(req.service.Name)
 	if req.service.Keyed {
 		key, err := strconv.Atoi(r.Header.Get(d.headers.Key))
 		if err != nil || key < 0 || key >= ownership.KeySpaceSize {
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -72,11 +72,11 @@
 
 // lateLatencyShare is the fraction of the latency objective above which the duration
 // of an attempt counts as late. The rest is for network transit.
-const lateLatencyShare = 0.8
+const lateLatencyFraction = 0.8
 
 // loadSignal returns what the outcome of an attempt shows of the upstream's load.
 func loadSignal(outcome balance.Outcome, took, objective time.Duration) admission.Signal {
-	late := took > time.Duration(lateLatencyShare*float64(objective))
+	late := took > time.Duration(lateLatencyFraction*float64(objective))
 	switch {
 	case outcome == balance.Served && late:
 		return admission.Late
--- a/internal/dispatch/unavailable.go
+++ b/internal/dispatch/unavailable.go
@@ -52,5 +52,5 @@
 // unavailable for the given time. The delay is capped at retryAfterNoOwner, as keys of a
 // rate-limited upstream may have another owner by then.
 func (req *request) unavailableRefusal(wait time.Duration, cause Cause) *Refusal {
-	return req.refusal(cause, min(max(wait, req.retryAfterFull()), retryAfterNoOwner))
+	return req.refusal(cause, min(max(wait, req.retryAfterOverloaded()), retryAfterNoOwner))
 }
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -49,9 +49,9 @@
 	Code Code `json:"code"`
 	// Step names the step at which the request stopped, Peer the host or upstream
 	// that this step addressed, if any.
-	Step    string  `json:"step"`
-	Peer    string  `json:"peer,omitempty"`
-	Outcome Outcome `json:"outcome"`
+	Step     string  `json:"step"`
+	Upstream string  `json:"peer,omitempty"`
+	Outcome  Outcome `json:"outcome"`
 	// RetryAfter is when the caller should retry; zero means not at all.
 	RetryAfter time.Duration `json:"-"`
 	// RetryAfterMs is RetryAfter in milliseconds, for the JSON body.
@@ -61,13 +61,13 @@
 
 // New returns a refusal; peer and detail may be empty.
 func New(code Code, step, peer string, outcome Outcome, retryAfter time.Duration, detail string) *Refusal {
-	return &Refusal{Code: code, Step: step, Peer: peer, Outcome: outcome, RetryAfter: retryAfter,
+	return &Refusal{Code: code, Step: step, Upstream: peer, Outcome: outcome, RetryAfter: retryAfter,
 		RetryAfterMs: retryAfter.Milliseconds(), Detail: detail}
 }
 
 // Error implements error.
 func (r *Refusal) Error() string {
-	return fmt.Sprintf("%s at %s (peer %q, outcome %s): %s", r.Code, r.Step, r.Peer, r.Outcome, r.Detail)
+	return fmt.Sprintf("%s at %s (peer %q, outcome %s): %s", r.Code, r.Step, r.Upstream, r.Outcome, r.Detail)
 }
 
 // Status returns the HTTP status the refusal is sent with.
