--- a/internal/dispatch/broken.go
+++ b/internal/dispatch/broken.go
@@ -25,14 +25,14 @@
 	UpstreamTime time.Duration
 	Err          error
 	// Crashed is set if the upstream's port was found closed right after the broken
-	// send. Crashes is then the number of servers that this host knows to have crashed
-	// under the fingerprint.
+	// send. Crashes is then the number of upstreams that this host knows to have crashed
+	// while they ran a request with the fingerprint.
 	Crashed bool
 	Crashes int
 }
 
-// isBrokenSend reports whether the upstream broke off: no whole response came, and
-// neither the caller nor the deadline ended the attempt.
+// isBrokenSend reports whether the connection failed before a whole response was read,
+// although neither the caller nor the deadline ended the attempt.
 func isBrokenSend(ctx context.Context, res *upstream.Result) bool {
 	return res.Outcome == upstream.OutcomeUnknown && ctx.Err() == nil && !errors.Is(res.Err, os.ErrDeadlineExceeded)
 }
@@ -42,8 +42,8 @@
 const crashCheckTimeout = 100 * time.Millisecond
 
 // recordBrokenSend records a broken send and checks at once, before any retry, whether
-// the upstream crashed: a crashed server listens again at the same address within
-// about a second. If the port is open the question is left to unresolvedSends.
+// the upstream crashed: after a crash a new incarnation listens at the same address
+// within about a second. If the port is open the send goes to unresolvedBrokenSends.
 func (d *Dispatcher) recordBrokenSend(ctx context.Context, req *request, u *catalogue.Upstream, took time.Duration) {
 	broken := &BrokenSend{ID: req.outbound.ID, Service: req.service.Name, Upstream: u.ID, Key: req.key, FencingToken: req.lastFencingToken,
 		Fingerprint: req.fingerprint(), UpstreamTime: took, Err: req.lastErr}
@@ -56,16 +56,17 @@
 		d.feedback.RecordCrash(u.ID, now)
 		broken.Crashes = d.crashes.RecordCrash(crashes.Crash{Fingerprint: broken.Fingerprint, Server: u.ID, At: now})
 	} else if !u.Leaving {
-		crash := crashes.Crash{Fingerprint: broken.Fingerprint, Server: u.ID, At: now}
-		d.crashes.RecordBrokenSend(crash)
-		d.unresolvedBrokenSends.add(crash)
+		send := crashes.Crash{Fingerprint: broken.Fingerprint, Server: u.ID, At: now}
+		d.crashes.RecordBrokenSend(send)
+		d.unresolvedBrokenSends.add(send)
 	}
 	d.OnBrokenSend(broken)
 }
 
 const (
-	// crashDetectionTimeout bounds the time from a crash until this host sees the server's entry
-	// removed: three missed heartbeats of about 0.9 s, and the entry's propagation.
+	// crashDetectionTimeout bounds the time from a crash until this host reads that the
+	// upstream's entry was removed from the log: three missed heartbeats of about 0.9 s,
+	// and the propagation of the removal.
 	crashDetectionTimeout = 5 * time.Second
 	// maxUnresolvedBrokenSends bounds the list. Upstreams that truncate responses cause at
 	// most about ten broken sends a second at one host.
@@ -73,34 +74,36 @@
 )
 
 // unresolvedBrokenSendList holds broken sends whose upstream may have crashed although its
-// port is open: a proxy or load balancer in front of it keeps listening, or the server
-// restarted at once. The incarnation's entry shows the crash when it is removed or
-// replaced by that of a later incarnation.
+// port is open: a proxy or load balancer in front of it keeps listening, or it restarted
+// at once. The crash shows when the upstream's entry in the log, which is that of one
+// incarnation, is removed or replaced by a later incarnation's. A send has the type Crash
+// although it is not known yet whether it is one.
 type unresolvedBrokenSendList struct {
 	mu    sync.Mutex
 	sends []crashes.Crash
 }
 
-func (s *unresolvedBrokenSendList) add(crash crashes.Crash) {
+func (s *unresolvedBrokenSendList) add(send crashes.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.sends) < maxUnresolvedBrokenSends {
-		s.sends = append(s.sends, crash)
+		s.sends = append(s.sends, send)
 	}
 }
 
-// resolve returns the broken sends whose upstream has crashed since. It drops those, and
-// the ones whose upstream is leaving as planned or still listed after entryExpiry.
+// resolve returns the broken sends whose upstream is now known to have crashed: its entry
+// is gone. It drops those, and the ones whose upstream is leaving as planned or still has
+// its entry after crashDetectionTimeout.
 func (s *unresolvedBrokenSendList) resolve(upstreams *catalogue.Snapshot, now time.Time) (crashed []crashes.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sends = slices.DeleteFunc(s.sends, func(crash crashes.Crash) bool {
-		u := upstreams.ByID[crash.Server]
+	s.sends = slices.DeleteFunc(s.sends, func(send crashes.Crash) bool {
+		u := upstreams.ByID[send.Server]
 		if u == nil || u.Unlisted {
-			crashed = append(crashed, crash)
+			crashed = append(crashed, send)
 			return true
 		}
-		return u.Leaving || now.Sub(crash.At) > crashDetectionTimeout
+		return u.Leaving || now.Sub(send.At) > crashDetectionTimeout
 	})
 	return crashed
 }
@@ -113,9 +116,10 @@
 }
 
 // refusedFor returns how much longer requests with req's fingerprint are refused; 0 if
-// they are not, or if req is permitted as a trial. Without refusals one request, sent
-// over and over, crashed eleven owners of its key in 12.5 s and 60 servers of an unkeyed
-// service; each crash leaves keys unserved until the owner's grant expires.
+// they are not, or if req is the trial. It makes req the trial if one is due. Without
+// refusals the retries of one request crash an owner of its key about every second, or
+// dozens of upstreams of an unkeyed service. Each crash leaves keys unserved until the
+// owner's grant expires.
 func (d *Dispatcher) refusedFor(req *request) time.Duration {
 	if !d.crashes.HasCrashes() {
 		return 0
@@ -132,12 +136,12 @@
 }
 
 // suspectRatePerSecond limits the requests of one suspect fingerprint that all hosts
-// together send. Without a limit several run on each server by the time it crashes.
+// together send. Without a limit several run on each upstream by the time it crashes.
 const suspectRatePerSecond = 2.0
 
 // allowSuspect reports whether the request may be sent now, and if not, how long it is
-// until it may. Once a server has crashed under a fingerprint, its requests are limited
-// to suspectRatePerSecond until one is answered.
+// until it may. Once an upstream has crashed under a fingerprint, requests with it are
+// limited to suspectRatePerSecond until one succeeds.
 func (d *Dispatcher) allowSuspect(ctx context.Context, req *request) (ok bool, wait time.Duration) {
 	if !d.crashes.HasCrashes() || req.trial || !d.crashes.IsSuspect(req.fingerprint()) {
 		return true, 0
--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -53,9 +53,9 @@
 	return n
 }
 
-// A request crashes each server that runs it, and its caller retries it after each
+// A request crashes each upstream that runs it, and its caller retries it after each
 // 502. After crashes.Limit crashes the request must be refused at once as not run,
-// with a Retry-After header, and must reach no further server.
+// with a Retry-After header, and must reach no further upstream.
 func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	ups, fakes := startCrashingUpstreams(t, 5)
 	h := newHarness(t, ups...)
@@ -85,7 +85,7 @@
 	return h.call(context.Background(), "POST", "charge.example", fmt.Sprint("fatal-", i), "the same booking")
 }
 
-// An idempotent request has crashed two servers, one of them through the host's own
+// An idempotent request has crashed two upstreams, one of them through the host's own
 // retry. When it crashes a third, the host must not retry it, although it retries
 // other idempotent requests after a broken send: the retry would crash a fourth.
 func TestNoRetryAfterLastAllowedCrash(t *testing.T) {
@@ -102,7 +102,7 @@
 	h.get("read.example", "fatal-3").want(t, 503, string(CauseCrashes)+"\n")
 }
 
-// Connections repeatedly close without a response while the server keeps listening.
+// Connections repeatedly close without a response while the upstream keeps listening.
 // These broken sends must not count as crashes, and no request may be refused because
 // of them.
 func TestBrokenSendsOfRunningServersAreNotCrashes(t *testing.T) {
@@ -112,13 +112,13 @@
 		h.post("charge.example", fmt.Sprint("r", i)).want(t, 502, "")
 	}
 	if h.d.crashes.HasCrashes() {
-		t.Error("crashes are counted though no server has crashed")
+		t.Error("crashes are counted although no upstream has crashed")
 	}
 }
 
-// A load balancer in front of a crashed server still accepts connections and closes
+// A load balancer in front of a crashed upstream still accepts connections and closes
 // them, so the port does not show the crash. The crash must be detected when the
-// server's entry is removed, about two seconds later.
+// upstream's entry is removed from the log.
 func TestCrashBehindLoadBalancerIsDetectedByRemovedEntry(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
 	h := newHarness(t)
@@ -137,21 +137,22 @@
 }
 
 // After a broken send at an upstream whose port is open, the upstream counts as
-// crashed if its entry is unlisted or missing (as when a later incarnation replaced
-// it) within entryExpiry. It does not if it leaves as planned or is listed for longer.
+// crashed if within crashDetectionTimeout its entry is removed (Unlisted) or replaced by
+// that of a later incarnation. It does not if it leaves as planned ("leaving"), keeps its
+// entry ("on"), or loses it only after crashDetectionTimeout ("on later gone").
 func TestUpstreamsThatStayOrLeaveHaveNotCrashed(t *testing.T) {
 	now := time.Now()
 	var sends unresolvedBrokenSendList
-	for _, server := range []string{"on", "leaving", "unlisted", "replaced", "on later gone"} {
-		sends.add(crashes.Crash{Fingerprint: "c", Server: server, At: now})
+	for _, id := range []string{"on", "leaving", "unlisted", "replaced", "on later gone"} {
+		sends.add(crashes.Crash{Fingerprint: "c", Server: id, At: now})
 	}
 	resolveAfter := func(after time.Duration, ups ...*catalogue.Upstream) (crashed []string) {
 		all := map[string]*catalogue.Upstream{}
 		for _, u := range ups {
 			all[u.ID] = u
 		}
-		for _, crash := range sends.resolve(catalogue.NewSnapshot(all), now.Add(after)) {
-			crashed = append(crashed, crash.Server)
+		for _, send := range sends.resolve(catalogue.NewSnapshot(all), now.Add(after)) {
+			crashed = append(crashed, send.Server)
 		}
 		return crashed
 	}
@@ -168,13 +169,13 @@
 		t.Errorf("crashed: %v", got)
 	}
 	if got = resolveAfter(crashDetectionTimeout + 2*time.Second); got != nil {
-		t.Errorf("crashed after entryExpiry: %v", got)
+		t.Errorf("crashed after crashDetectionTimeout: %v", got)
 	}
 }
 
-// Servers crash for other reasons while they run a harmless request. After every two
-// crashes the request is answered, which resets its count, so that it is never
-// refused although more than crashes.Limit servers crash under it in total.
+// Upstreams crash for other reasons while they run a harmless request. After every two
+// crashes the request is answered, which resets its count. It must never be refused,
+// although more than crashes.Limit upstreams crash in total while they run it.
 func TestAnsweredRequestIsNotRefused(t *testing.T) {
 	f := startUpstream(t, echo)
 	h := newHarness(t, newUpstream("u1", "plain", f))
@@ -187,7 +188,7 @@
 	}
 }
 
-// An upload crashes its servers. Its caller alternates between a stated length and
+// An upload crashes each upstream that runs it. Its caller alternates between a stated length and
 // chunked encoding, which must not change the fingerprint. The upload must be refused
 // after crashes.Limit crashes, both when it is buffered and when it is streamed and
 // identified by its first bytes. An upload with another beginning must be served.
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -9,9 +9,11 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// chooseUpstream returns the upstream for the next attempt. It refuses a request
-// whose latency, expected from all hosts' requests in flight at the upstream, exceeds
-// the objective: queued, it would delay the requests behind it as well.
+// chooseUpstream returns the upstream for the next attempt. A request without a key
+// that no upstream has received yet is refused if the latency expected at the chosen
+// upstream exceeds the objective: in the queue there it would also delay the requests
+// behind it. The expectation counts the requests in flight from all hosts of this host's
+// data centre.
 func (d *Dispatcher) chooseUpstream(ctx context.Context, req *request) (*catalogue.Upstream, *Refusal) {
 	if req.key >= 0 {
 		return d.chooseOwner(ctx, req)
@@ -22,8 +24,9 @@
 	upstreams := v.Upstreams.ForService(req.service.Name)
 	u := d.picker.Pick(upstreams, criteria, time.Now())
 	if u == nil && req.mayHaveRun {
-		// An upstream that failed or broke off may still serve the retry. One that
-		// rejected the request as overloaded would only reject it again.
+		// All upstreams are eligible again: one that responded with an error or closed
+		// the connection may serve the retry. If no attempt can have run, each of them
+		// was unreachable or rejected the request, and would probably do so again.
 		criteria.Excluded = nil
 		u = d.picker.Pick(upstreams, criteria, time.Now())
 	}
@@ -76,13 +79,16 @@
 	}
 }
 
-// handoverGrace is how long after its LeaveBy requests still wait for an upstream to
-// hand over its keys. After that the handover is taken to be blocked, as when the log
+// handoverGrace is how long after an upstream's LeaveBy requests still wait for the
+// handover of its keys. After that the handover is taken to be blocked, as when the log
 // service cannot be written to.
 const handoverGrace = time.Second
 
 // servesOwnedKeys reports whether requests for the keys that the upstream owns may be
-// sent to it: it is not leaving, and its time to hand them over has not ended.
+// sent to it. A Leaving upstream gets no requests at all. One that is HandingOver, because
+// it reported that it will stop or its data centre is evacuated, serves the keys that it
+// still owns until LeaveBy. Draining covers both; it excludes an upstream for requests
+// without a key.
 func servesOwnedKeys(u *catalogue.Upstream, now time.Time) bool {
 	return !u.Leaving && (!u.HandingOver() || now.Before(u.LeaveBy))
 }
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -19,12 +19,13 @@
 // callers, must open at most two, which is twice its equal share. Callers that cannot
 // be served in time must get 503 with a Retry-After header.
 func TestConnectionsAreSharedAmongHosts(t *testing.T) {
-	var opened, maxOpened atomic.Int64
+	// Both counters are of all connections that were ever opened; neither decreases.
+	var totalOpened, maxTotalOpened atomic.Int64
 	var conns sync.Map
 	f := startUpstream(t, func(w io.Writer, c net.Conn, r *http.Request, _ int64) bool {
 		if _, known := conns.LoadOrStore(c, true); !known {
-			if n := opened.Add(1); n > maxOpened.Load() {
-				maxOpened.Store(n)
+			if n := totalOpened.Add(1); n > maxTotalOpened.Load() {
+				maxTotalOpened.Store(n)
 			}
 		}
 		time.Sleep(30 * time.Millisecond)
@@ -47,7 +48,7 @@
 		})
 	}
 	wg.Wait()
-	if maxOpened.Load() > 2 {
-		t.Errorf("%d connections opened, want 2 at most", maxOpened.Load())
+	if maxTotalOpened.Load() > 2 {
+		t.Errorf("%d connections opened, want 2 at most", maxTotalOpened.Load())
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -29,14 +29,16 @@
 	// The first desired state is read within a few milliseconds of connecting to
 	// the log service.
 	retryAfterNoDesired = 300 * time.Millisecond
-	// retryAfterTimeout is for requests that ended at their deadline, or with this
-	// host, without having run.
+	// retryAfterTimeout is for requests that had not run when their deadline passed
+	// or this host stopped.
 	retryAfterTimeout = 300 * time.Millisecond
 	// retryAfterMoved is about the time that a key takes to move to another owner.
 	retryAfterMoved = 250 * time.Millisecond
 	// retryAfterNoOwner covers the time until a lost upstream's grant expires;
-	// network partitions last seconds too. Most callers that retried after 0.5 s
-	// were refused again. Callers cap the delay at a third of their time limit.
+	// network partitions last seconds too. With a delay of 0.5 s most retries are
+	// refused again. Callers cap the delay at a third of their timeout. It is also
+	// the delay if a service has no upstream or the key's owner is ejected, and the
+	// maximum for upstreams that are cold, rate-limited or in backoff.
 	retryAfterNoOwner = 1500 * time.Millisecond
 	// retryAfterJitter is the width of the jitter as a fraction of the delay.
 	retryAfterJitter = 0.5
@@ -65,7 +67,7 @@
 	crashes               *crashes.Tracker
 	unresolvedBrokenSends unresolvedBrokenSendList
 	// feedback holds what upstreams report in response headers; rateLimiter
-	// enforces the rate limits among it.
+	// enforces the rate limits that they report.
 	feedback    *feedback.Tracker
 	rateLimiter *ratelimit.Limiter
 	// hostCount is the number of hosts that share the upstreams, this one
@@ -208,19 +210,21 @@
 	return req.refusal(CauseOverloaded, req.retryAfterOverloaded())
 }
 
-// retryAfterOverloaded returns the Retry-After delay for overloaded upstreams. It leaves
-// time to serve the retry within the latency objective: with a delay of 0.3 s and
-// an objective of 0.4 s every retry was late.
+// retryAfterOverloaded returns the Retry-After delay for overloaded and unreachable
+// upstreams, which is also the minimum for unavailable upstreams and suspect requests.
+// It leaves time to serve the retry within the latency objective; a delay close to
+// the objective makes every retry late.
 func (req *request) retryAfterOverloaded() time.Duration { return req.route.LatencyObjective / 4 }
 
-// hasAttemptsLeft reports whether the route allows one more attempt. A streamed body
-// cannot be sent twice.
+// hasAttemptsLeft reports whether the route allows one more attempt and the body can
+// be sent again; a streamed one cannot. Whether a retry is safe is not checked here.
 func (req *request) hasAttemptsLeft() bool {
 	return req.outbound.Stream == nil && req.attempts < req.route.MaxAttempts
 }
 
-// mayRetryAfterRun reports whether a failed request is idempotent and has enough
-// time left for another attempt. A keyed request goes to the same owner again.
+// mayRetryAfterRun reports whether a request that may have run can be retried: its
+// route is idempotent and there is enough time left for another attempt. This holds
+// for keyed requests too, although the retry goes to the same owner.
 func (d *Dispatcher) mayRetryAfterRun(req *request) bool {
 	if !req.route.Idempotent {
 		return false
@@ -228,7 +232,8 @@
 	return time.Until(d.shutdown.clampDeadline(req.deadline)) > req.route.LatencyObjective/4
 }
 
-// noRetryRefusal returns the refusal of a request that has no attempt left.
+// noRetryRefusal returns the refusal of a request whose last attempt failed and that
+// is not retried.
 func (req *request) noRetryRefusal() *Refusal {
 	if req.attempts == 0 {
 		return req.refusal(CauseUnreachable, req.retryAfterOverloaded())
@@ -263,7 +268,7 @@
 }
 
 // contextDoneRefusal returns the refusal of a request whose context has ended: its
-// deadline passed, its caller left or this host is stopping.
+// deadline passed, its caller disconnected or this host is stopping.
 func (d *Dispatcher) contextDoneRefusal(ctx context.Context, req *request) *Refusal {
 	unsentCause, sentCause := CauseTimeoutUnsent, CauseTimeout
 	if errors.Is(ctx.Err(), context.Canceled) {
--- a/internal/dispatch/error_response_test.go
+++ b/internal/dispatch/error_response_test.go
@@ -10,7 +10,7 @@
 )
 
 // An upstream responds with an error, and the retry cannot be sent. The caller must get
-// the upstream's response, not a refusal by this host.
+// the upstream's response, with the body of respondWith, not a refusal by this host.
 func TestErrorResponseIsReturnedIfRetryIsNotPermitted(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -29,8 +29,8 @@
 		if ctx.Err() != nil {
 			return nil, d.contextDoneRefusal(ctx, req)
 		}
-		// Checked before retries too: after crashes.Limit crashes, at any hosts, the next
-		// attempt would crash another server.
+		// Checked before retries too: after crashes.Limit crashes, counted over all hosts,
+		// the next attempt would probably crash another upstream.
 		if left := d.refusedFor(req); left > 0 {
 			return nil, req.refusal(CauseCrashes, left)
 		}
@@ -63,8 +63,8 @@
 }
 
 // permitSend reports whether an admitted request may be sent to the upstream now, and
-// takes the permits that the attempt needs. If not, it returns a refusal, or nil if
-// another upstream is to be chosen.
+// takes the permits that the attempt needs. If not, it returns a refusal, or nil if the
+// checks and the choice of the upstream are to be repeated.
 func (d *Dispatcher) permitSend(ctx context.Context, req *request, u *catalogue.Upstream) (ok bool, refusal *Refusal) {
 	if req.callerDisconnected() {
 		return false, refusalWithStatus(CauseCallerDisconnected, http.StatusBadGateway)
@@ -97,8 +97,8 @@
 }
 
 // upstreamChanged reports whether the upstream, after the wait for admission, is no
-// longer the one to send to. Without this check a request that had waited 0.5 s was
-// sent to an upstream that had left in the meantime.
+// longer the one to send to: it may have begun to drain, or its key may have moved.
+// Without this check a request is sent to an upstream that has stopped during the wait.
 func (d *Dispatcher) upstreamChanged(req *request, u *catalogue.Upstream) bool {
 	v := d.views.Load()
 	if req.key >= 0 {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -35,8 +35,8 @@
 // bytes as the response; the connection is closed if it returns false.
 type fakeUpstream struct {
 	ln net.Listener
-	// requestCount counts the requests read; received holds the first 100 of them
-	// and blocks serve when it is full.
+	// requestCount counts the requests read; received buffers up to 100 of them, and
+	// serve blocks while it is full.
 	requestCount atomic.Int64
 	received     chan *http.Request
 }
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -35,8 +35,9 @@
 // Refusal is a final response that this host writes itself.
 type Refusal struct {
 	Cause Cause
-	// Status tells the caller whether the request may have run: 429 and 503 guarantee
-	// that it has not run and never will.
+	// Status tells the caller whether the request may have run: 503 guarantees that it
+	// has not run and never will. To callers 429 means the same, but this package never
+	// sends it.
 	Status int
 	// RetryAfter is the value of the Retry-After header, which is left out if it is zero.
 	RetryAfter time.Duration
@@ -48,7 +49,7 @@
 }
 
 // refusalWithStatus returns a refusal without a Retry-After header: of an invalid
-// request, of one that may have run, or of one whose caller has left.
+// request, of one that may have run, or of one whose caller has disconnected.
 func refusalWithStatus(cause Cause, status int) *Refusal {
 	return &Refusal{Cause: cause, Status: status}
 }
--- a/internal/dispatch/rejected_connection_test.go
+++ b/internal/dispatch/rejected_connection_test.go
@@ -40,8 +40,8 @@
 	return f, resets
 }
 
-// dialAndAwaitReset returns a dial function that returns each connection only after it was
-// reset. On a busy machine the reset might otherwise come after the request.
+// dialAndAwaitReset returns a dial function that dials once and returns the connection only
+// after it was reset. On a busy machine the reset might otherwise come after the request.
 func dialAndAwaitReset(resets <-chan struct{}) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := new(net.Dialer).DialContext(ctx, network, addr)
@@ -54,7 +54,8 @@
 }
 
 // Connections are reset before connect returns, as when they wait in the accept backlog
-// of an overloaded upstream. The upstream must not be ejected; it was after three of them.
+// of an overloaded upstream. The upstream must not be ejected, however many connections
+// are reset: it is overloaded, not broken.
 func TestUpstreamThatResetsConnectionsDuringConnectIsOverloaded(t *testing.T) {
 	f := startUpstream(t, echo)
 	h := newHarness(t, newUpstream("u1", "keyed", f))
@@ -70,10 +71,10 @@
 	}
 }
 
-// An upstream has too many connections and resets new ones right after it accepted
-// them. Requests were already being sent by then, so their callers got an unknown
-// outcome and could not retry. They must get 503 with a Retry-After header, as nothing
-// that could have run was sent. The upstream is overloaded and must not be ejected.
+// An upstream has too many connections and resets new ones right after it accepted them.
+// The reset must be detected before the request is sent: otherwise its caller gets an
+// unknown outcome and cannot retry. The caller must get 503 with a Retry-After header. The
+// upstream is overloaded and must not be ejected.
 func TestRequestOnRejectedConnectionHasNotRun(t *testing.T) {
 	f, resets := startResettingUpstream(t, 0)
 	h := newHarness(t, newUpstream("u1", "keyed", f), newUpstream("u2", "plain", f))
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -27,7 +27,9 @@
 	route    *desired.Route
 	// service is the one of the route's services that the splitter picked.
 	service *desired.Service
-	// highestPriority is set if no route to the service has a higher priority.
+	// highestPriority is set if no route to the service has a higher
+	// priority, that is a lower Priority value. Such requests may
+	// use the part of the retry budget that is reserved for urgent ones.
 	highestPriority bool
 	// callerConn is the caller's connection; nil if it is not known.
 	callerConn net.Conn
@@ -54,7 +56,7 @@
 	// ownerWait is the time spent waiting for views with a usable owner.
 	ownerWait time.Duration
 	// trial is set if the next attempt tests whether a request with a refused
-	// fingerprint still crashes its server.
+	// fingerprint still crashes its upstream.
 	trial bool
 	// cachedFingerprint is empty until fingerprint is called.
 	cachedFingerprint crashes.Fingerprint
@@ -78,10 +80,10 @@
 	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// callerDisconnected reports whether the caller has closed its connection. A host that had
-// no CPU for a second reads requests whose callers have left by then. net/http
-// detects the closed connection on another goroutine, possibly only after the
-// request was sent; upstreams then worked on requests without a caller.
+// callerDisconnected reports whether the caller has closed its connection. A host that
+// had no CPU for a second reads requests whose callers have disconnected meanwhile.
+// net/http detects the closed connection on another goroutine, possibly only after the
+// request was sent. Without this check upstreams work on requests without a caller.
 func (req *request) callerDisconnected() bool {
 	return req.callerConn != nil && peek.Conn(req.callerConn) == peek.Closed
 }
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -21,6 +21,7 @@
 	took := time.Since(start)
 	outcome := sendOutcome(ctx, res)
 	now := time.Now()
+	// Done reports whether the upstream seems to have crashed.
 	if d.picker.Done(u.ID, outcome, took, now) {
 		d.feedback.RecordCrash(u.ID, now)
 	}
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -7,9 +7,9 @@
 )
 
 // shutdown ends the requests in flight when this host stops. Without it, a request at a
-// silent upstream, or one with a long time limit that waited for admission or an owner,
-// outlived the process: its caller saw the connection close and could not tell whether
-// the request had run.
+// silent upstream, or one with a long timeout that waits for admission or an owner,
+// outlives the process: its caller sees the connection close and cannot tell whether the
+// request has run.
 type shutdown struct {
 	mu sync.Mutex
 	// deadline is zero unless the host is stopping.
@@ -24,8 +24,8 @@
 	return &shutdown{ctx: ctx, cancel: cancel}
 }
 
-// StopBy ends every request that has no response by the given time. Its caller is told
-// whether it certainly did not run or its outcome is unknown.
+// StopBy ends every request that has no response by the given time. The refusal's status
+// states that the request did not run or that its outcome is unknown.
 func (d *Dispatcher) StopBy(at time.Time) {
 	d.shutdown.mu.Lock()
 	defer d.shutdown.mu.Unlock()
@@ -43,8 +43,8 @@
 	return requestDeadline
 }
 
-// requestContext returns a context that ends at the deadline, when the caller leaves, or
-// when the host's requests are ended.
+// requestContext returns a context that ends at the deadline, when the caller disconnects,
+// or when the host's requests are ended.
 func (s *shutdown) requestContext(caller context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithDeadline(caller, deadline)
 	stop := context.AfterFunc(s.ctx, cancel)
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -12,8 +12,8 @@
 	"github.com/papayatide/papayatide/internal/ratelimit"
 )
 
-// respondWith returns a respond function that answers every request with the status
-// and the extra header lines.
+// respondWith returns a respond function that answers every request with the status,
+// the extra header lines and the body "said".
 func respondWith(status int, extra ...string) func(io.Writer, net.Conn, *http.Request, int64) bool {
 	return func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
 		return writeResponse(w, r, status, "said", extra...)
@@ -73,7 +73,7 @@
 	h.setOwner("k1", 1)
 	h.get("keyed.example", "r1")
 	if n := f.requestCount.Load(); n != 1 || permitRequests != 1 {
-		t.Errorf("%d sends, %d permit requests; want 1 and 1, for the retry", n, permitRequests)
+		t.Errorf("%d sends, %d permit requests; want 1 send and 1 permit request, that of the retry", n, permitRequests)
 	}
 	h.get("keyed.example", "r2").want(t, http.StatusServiceUnavailable, string(CauseRateLimited)+"\n")
 	if n := f.requestCount.Load(); n != 1 {
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,5 +1,6 @@
 // Package protocol lists the HTTP headers that papayatide reads and writes on
-// requests and responses. The platform supplies their names.
+// requests and responses. Their names belong to the platform, the environment that
+// papayatide is deployed in; package platform defines them.
 package protocol
 
 // Headers holds one platform's header names.
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -14,18 +14,31 @@
 
 // Codes sent to callers in the refusal's header and body.
 const (
-	BadRequest         Code = "BAD_REQUEST"
-	UnknownService     Code = "UNKNOWN_SERVICE"
-	NoOwner            Code = "NO_OWNER"
-	Handover           Code = "HANDOVER"
-	StaleView          Code = "STALE_VIEW"
-	OwnerUnreachable   Code = "OWNER_UNREACHABLE"
-	Shed               Code = "SHED"
-	Fenced             Code = "FENCED"
-	OutcomeUnknown     Code = "OUTCOME_UNKNOWN"
+	BadRequest     Code = "BAD_REQUEST"
+	UnknownService Code = "UNKNOWN_SERVICE"
+	// NoOwner means that no live upstream owns the key's shard.
+	NoOwner Code = "NO_OWNER"
+	// Handover means that the shard has a new owner that may not serve it yet.
+	Handover Code = "HANDOVER"
+	// StaleView means that the host's view is too old to forward a request that is
+	// not idempotent.
+	StaleView Code = "STALE_VIEW"
+	// OwnerUnreachable means that the request could not be sent to the owner, or that
+	// an idempotent request got no response.
+	OwnerUnreachable Code = "OWNER_UNREACHABLE"
+	// Shed means that the owner asked for a backoff, or rejected the request without
+	// running it for any other reason than its fencing token.
+	Shed Code = "SHED"
+	// Fenced means that the owner rejected the request because it holds no grant that
+	// matches the request's fencing token and shard.
+	Fenced Code = "FENCED"
+	// OutcomeUnknown means that a request that is not idempotent got no response.
+	OutcomeUnknown Code = "OUTCOME_UNKNOWN"
+	// MismatchedResponse means that the response carries another request's ID.
 	MismatchedResponse Code = "CROSSED_ANSWER"
-	NotReady           Code = "NOT_READY"
-	// CrashesTargets refuses requests under which targets have crashed.
+	// NotReady means that the host has not received a manifest yet.
+	NotReady Code = "NOT_READY"
+	// CrashesTargets means that targets have crashed while they ran the same request.
 	CrashesTargets Code = "ENDS_TARGETS"
 )
 
@@ -47,21 +60,24 @@
 // response.
 type Refusal struct {
 	Code Code `json:"code"`
-	// Step names the step at which the request stopped, Peer the host or upstream
-	// that this step addressed, if any.
+	// Step names the step at which the request stopped: one of the Step constants of
+	// the packages router and routing. Upstream is the name of the key's owner; it is
+	// empty if the request stopped before the owner was known, or if the refusal does
+	// not depend on the owner.
 	Step     string  `json:"step"`
 	Upstream string  `json:"peer,omitempty"`
 	Outcome  Outcome `json:"outcome"`
-	// RetryAfter is when the caller should retry; zero means not at all.
+	// RetryAfter is how long the caller should wait before it retries; zero means that
+	// the response has no Retry-After header, as a retry would be refused too.
 	RetryAfter time.Duration `json:"-"`
 	// RetryAfterMs is RetryAfter in milliseconds, for the JSON body.
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 	Detail       string `json:"detail,omitempty"`
 }
 
-// New returns a refusal; peer and detail may be empty.
-func New(code Code, step, peer string, outcome Outcome, retryAfter time.Duration, detail string) *Refusal {
-	return &Refusal{Code: code, Step: step, Upstream: peer, Outcome: outcome, RetryAfter: retryAfter,
+// New returns a refusal; upstream and detail may be empty.
+func New(code Code, step, upstream string, outcome Outcome, retryAfter time.Duration, detail string) *Refusal {
+	return &Refusal{Code: code, Step: step, Upstream: upstream, Outcome: outcome, RetryAfter: retryAfter,
 		RetryAfterMs: retryAfter.Milliseconds(), Detail: detail}
 }
 
