--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -56,7 +56,7 @@
 // A request crashes each upstream that runs it, and its caller retries it after each
 // 502. After crashes.Limit crashes the request must be refused at once as not run,
 // with a Retry-After header, and must reach no further upstream.
-func TestRequestThatCrashesServersIsRefused(t *testing.T) {
+func TestRequestThatCrashesUpstreamsIsRefused(t *testing.T) {
 	ups, fakes := startCrashingUpstreams(t, 5)
 	h := newHarness(t, ups...)
 	for i := range crashes.Limit {
@@ -105,7 +105,7 @@
 // Connections repeatedly close without a response while the upstream keeps listening.
 // These broken sends must not count as crashes, and no request may be refused because
 // of them.
-func TestBrokenSendsOfRunningServersAreNotCrashes(t *testing.T) {
+func TestBrokenSendsOfRunningUpstreamsAreNotCrashes(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
 	h := newHarness(t, newUpstream("u1", "plain", f))
 	for i := range 3 * crashes.Limit {
@@ -188,11 +188,11 @@
 	}
 }
 
-// An upload crashes each upstream that runs it. Its caller alternates between a stated length and
-// chunked encoding, which must not change the fingerprint. The upload must be refused
-// after crashes.Limit crashes, both when it is buffered and when it is streamed and
-// identified by its first bytes. An upload with another beginning must be served.
-func TestUploadThatCrashesServersIsRefused(t *testing.T) {
+// An upload crashes each upstream that runs it. Its caller alternates between a stated
+// length and chunked encoding, which must not change the fingerprint. The upload must be
+// refused after crashes.Limit crashes, both when it is buffered and when it is streamed
+// and identified by its first bytes. An upload with another beginning must be served.
+func TestUploadThatCrashesUpstreamsIsRefused(t *testing.T) {
 	for _, size := range []int{100, maxBufferedBodyBytes + 1} {
 		ups, fakes := startCrashingUpstreams(t, 5)
 		h := newHarness(t, ups...)
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -12,8 +12,8 @@
 // chooseUpstream returns the upstream for the next attempt. A request without a key
 // that no upstream has received yet is refused if the latency expected at the chosen
 // upstream exceeds the objective: in the queue there it would also delay the requests
-// behind it. The expectation counts the requests in flight from all hosts of this host's
-// data centre.
+// behind it. The expected latency covers the requests in flight there from all hosts of
+// this host's data centre.
 func (d *Dispatcher) chooseUpstream(ctx context.Context, req *request) (*catalogue.Upstream, *Refusal) {
 	if req.key >= 0 {
 		return d.chooseOwner(ctx, req)
@@ -87,8 +87,8 @@
 // servesOwnedKeys reports whether requests for the keys that the upstream owns may be
 // sent to it. A Leaving upstream gets no requests at all. One that is HandingOver, because
 // it reported that it will stop or its data centre is evacuated, serves the keys that it
-// still owns until LeaveBy. Draining covers both; it excludes an upstream for requests
-// without a key.
+// still owns until LeaveBy. Requests without a key are not sent to a Draining upstream, which is
+// one that is Leaving or HandingOver.
 func servesOwnedKeys(u *catalogue.Upstream, now time.Time) bool {
 	return !u.Leaving && (!u.HandingOver() || now.Before(u.LeaveBy))
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -27,9 +27,8 @@
 	route    *desired.Route
 	// service is the one of the route's services that the splitter picked.
 	service *desired.Service
-	// highestPriority is set if no route to the service has a higher
-	// priority, that is a lower Priority value. Such requests may
-	// use the part of the retry budget that is reserved for urgent ones.
+	// highestPriority is set if no route to the service has a higher priority, that
+	// is a lower Priority value. Such requests may use the reserve of the retry budget.
 	highestPriority bool
 	// callerConn is the caller's connection; nil if it is not known.
 	callerConn net.Conn
