--- a/internal/dispatch/broken.go
+++ b/internal/dispatch/broken.go
@@ -31,8 +31,8 @@
 	Crashes int
 }
 
-// isBrokenSend reports whether the connection failed before a whole response was read,
-// although neither the caller nor the deadline ended the attempt.
+// isBrokenSend reports whether the attempt may have been sent and no whole response was
+// read, although neither the caller nor the deadline ended it.
 func isBrokenSend(ctx context.Context, res *upstream.Result) bool {
 	return res.Outcome == upstream.OutcomeUnknown && ctx.Err() == nil && !errors.Is(res.Err, os.ErrDeadlineExceeded)
 }
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -87,8 +87,8 @@
 // servesOwnedKeys reports whether requests for the keys that the upstream owns may be
 // sent to it. A Leaving upstream gets no requests at all. One that is HandingOver, because
 // it reported that it will stop or its data centre is evacuated, serves the keys that it
-// still owns until LeaveBy. Requests without a key are not sent to a Draining upstream, which is
-// one that is Leaving or HandingOver.
+// still owns until LeaveBy. Requests without a key are not sent to a Draining upstream,
+// which is one that is Leaving or HandingOver.
 func servesOwnedKeys(u *catalogue.Upstream, now time.Time) bool {
 	return !u.Leaving && (!u.HandingOver() || now.Before(u.LeaveBy))
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -37,8 +37,8 @@
 	// retryAfterNoOwner covers the time until a lost upstream's grant expires;
 	// network partitions last seconds too. With a delay of 0.5 s most retries are
 	// refused again. Callers cap the delay at a third of their timeout. It is also
-	// the delay if a service has no upstream or the key's owner is ejected, and the
-	// maximum for upstreams that are cold, rate-limited or in backoff.
+	// the delay if a service has no upstream to send to or the key's owner is ejected,
+	// and the maximum for upstreams that are cold, rate-limited or in backoff.
 	retryAfterNoOwner = 1500 * time.Millisecond
 	// retryAfterJitter is the width of the jitter as a fraction of the delay.
 	retryAfterJitter = 0.5
