--- a/cmd/papayatided/entry.go
+++ b/cmd/papayatided/entry.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// watchEvery is how often the settings file is looked at; it may change
+	// settingsPollInterval is how often the settings file is looked at; it may change
 	// without a signal.
-	watchEvery = time.Second
-	// storeConns and orderConns are the connections used to the log service
+	settingsPollInterval = time.Second
+	// logServiceConns and orderConns are the connections used to the log service
 	// and, for orders, to each upstream.
-	storeConns = 8
+	logServiceConns = 8
 	// Of the latter some may end while the log service is away and none may
 	// be opened.
-	orderConns = 3
+	grantConns = 3
 )
 
-// runEntry runs an entry host on the users' platform.
-func runEntry() error {
+// runEntryHost runs an entry host on the users' platform.
+func runEntryHost() error {
 	path := os.Getenv(platform.SettingsEnv)
 	cfg, err := settings.LoadEntryHost(path)
 	if err != nil {
@@ -46,8 +46,8 @@
 	defer stop()
 	reload := make(chan *settings.EntryHost)
 	go watchSettings(ctx, path, reload, zl)
-	plat := entryhost.Platform{Store: platform.NewStore(cfg.LogAddr, platform.NewHTTPClient(storeConns)), Decoder: platform.Decoder{},
-		Granter: platform.NewGranter(orderConns), Headers: platform.Headers, ReadyPath: platform.PathReady,
+	plat := entryhost.Platform{Store: platform.NewStore(cfg.LogAddr, platform.NewHTTPClient(logServiceConns)), Decoder: platform.Decoder{},
+		Granter: platform.NewGranter(grantConns), Headers: platform.Headers, ReadyPath: platform.PathReady,
 		LogDropped: sink.Dropped}
 	return entryhost.Run(ctx, cfg, plat, reload, zl)
 }
@@ -68,7 +68,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	last, _ := os.ReadFile(path)
-	t := time.NewTicker(watchEvery)
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/cmd/papayatided/main.go
+++ b/cmd/papayatided/main.go
@@ -15,7 +15,7 @@
 func main() {
 	run := runDaemon
 	if len(os.Args) > 1 && os.Args[1] == "entry" {
-		run = runEntry
+		run = runEntryHost
 	}
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "papayatided:", err)
--- a/cmd/papayatided/main_test.go
+++ b/cmd/papayatided/main_test.go
@@ -11,13 +11,13 @@
 
 // A host is started with settings that are not valid: it ends with 2 and
 // names the key, whatever else it might have done.
-func TestBadSettingsEndWithTwo(t *testing.T) {
+func TestInvalidSettingsExitCode(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	if err := os.WriteFile(path, []byte("[host]\nname = h\nlisten = nowhere\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv(platform.SettingsEnv, path)
-	err := runEntry()
+	err := runEntryHost()
 	if err == nil || exitCode(err) != exitSettings || !strings.Contains(err.Error(), "[host]") {
 		t.Errorf("error %v, exit code %d", err, exitCode(err))
 	}
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -18,7 +18,7 @@
 var Windows = []time.Duration{5 * time.Minute, time.Hour}
 
 type bucket struct {
-	start            int64 // bucket number, from the recorder's first time on
+	number           int64 // bucket number, from the recorder's first time on
 	total, bad, slow int64
 }
 
@@ -36,9 +36,9 @@
 	LatencyObjective time.Duration
 	mu               sync.Mutex
 	services         map[string]*[Buckets]bucket
-	// began is the first time that was told. Buckets are counted from it by
+	// origin is the first time that was told. Buckets are counted from it by
 	// the steady clock: the time of day may jump.
-	began time.Time
+	origin time.Time
 }
 
 // NewRecorder returns a recorder with the given latency objective.
@@ -46,13 +46,13 @@
 	return &Recorder{LatencyObjective: latency, services: map[string]*[Buckets]bucket{}}
 }
 
-// bucketAt returns the number of the bucket of a time. The caller holds mu.
-func (r *Recorder) bucketAt(now time.Time) int64 {
-	if r.began.IsZero() {
-		r.began = now
+// bucketNumber returns the number of the bucket of a time. The caller holds mu.
+func (r *Recorder) bucketNumber(now time.Time) int64 {
+	if r.origin.IsZero() {
+		r.origin = now
 	}
 	// The ring is indexed by the number, which must not be negative.
-	return int64(now.Sub(r.began)/BucketWidth) + Buckets
+	return int64(now.Sub(r.origin)/BucketWidth) + Buckets
 }
 
 // Record counts one request of service answered at now after took; bad
@@ -60,15 +60,15 @@
 func (r *Recorder) Record(service string, bad bool, took time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.bucketAt(now)
+	n := r.bucketNumber(now)
 	ring := r.services[service]
 	if ring == nil {
 		ring = new([Buckets]bucket)
 		r.services[service] = ring
 	}
 	b := &ring[n%Buckets]
-	if b.start != n {
-		*b = bucket{start: n}
+	if b.number != n {
+		*b = bucket{number: n}
 	}
 	b.total++
 	if bad {
@@ -84,14 +84,14 @@
 func (r *Recorder) Snapshot(now time.Time) []Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	n := r.bucketAt(now)
+	n := r.bucketNumber(now)
 	var out []Counts
 	for svc, ring := range r.services {
 		for _, w := range Windows {
 			c := Counts{Service: svc, Window: w}
 			oldest := n - int64(w/BucketWidth) + 1
 			for _, b := range ring {
-				if b.start >= oldest && b.start <= n {
+				if b.number >= oldest && b.number <= n {
 					c.Total += b.total
 					c.Bad += b.bad
 					c.Slow += b.slow
@@ -111,7 +111,7 @@
 
 // fewestBad is how many failures the budget must allow in a window before a
 // burn is told: with less, one failed request looks like a burn of hundreds.
-const fewestBad = 1
+const minAllowedFailures = 1
 
 // MinRequests returns how many requests a window needs for its burn of the
 // objective to mean anything: 1,000 for 0.999.
@@ -119,12 +119,12 @@
 	if objective >= 1 {
 		return 1
 	}
-	return int64(math.Ceil(fewestBad/(1-objective) - rounding))
+	return int64(math.Ceil(minAllowedFailures/(1-objective) - roundingTolerance))
 }
 
 // rounding keeps 1/(1-0.999), which is a little over 1,000 in floating point,
 // from counting as 1,001.
-const rounding = 1e-6
+const roundingTolerance = 1e-6
 
 // Rate returns how many times faster than allowed the error budget of an
 // objective (e.g. 0.999) is being spent: 1 spends it exactly over the
--- a/internal/burn/recorder_test.go
+++ b/internal/burn/recorder_test.go
@@ -6,7 +6,7 @@
 )
 
 // Requests older than a window fall out of it; the hour keeps them.
-func TestWindowsForget(t *testing.T) {
+func TestWindowExcludesOlderRequests(t *testing.T) {
 	r := NewRecorder(16 * time.Millisecond)
 	t0 := time.Unix(1_000_000, 0)
 	r.Record("s", true, time.Millisecond, t0)
@@ -29,7 +29,7 @@
 
 // One refused request of two is no burn of 500 times the budget: too few were
 // seen to tell.
-func TestFewestRequests(t *testing.T) {
+func TestMinRequests(t *testing.T) {
 	for objective, want := range map[float64]int64{0.999: 1000, 0.99: 100, 0.5: 2, 1: 1} {
 		if got := MinRequests(objective); got != want {
 			t.Errorf("objective %v needs %d requests, want %d", objective, got, want)
--- a/internal/cli/burn.go
+++ b/internal/cli/burn.go
@@ -57,8 +57,8 @@
 	return cmd
 }
 
-// rateText is the burn, or that too few requests were seen to tell one.
-func rateText(bad, total int64, objective float64) string {
+// formatBurnRate is the burn, or that too few requests were seen to tell one.
+func formatBurnRate(bad, total int64, objective float64) string {
 	if least := burn.MinRequests(objective); total < least {
 		return fmt.Sprintf("under %d requests", least)
 	}
@@ -81,6 +81,6 @@
 	fmt.Fprintln(w, "SERVICE\tWINDOW\tREQUESTS\tREFUSED\tAVAIL BURN\tSLOW\tLATENCY BURN")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%d\t%s\n", r.Service, time.Duration(r.WindowS)*time.Second,
-			r.Total, r.Bad, rateText(r.Bad, r.Total, availability), r.Slow, rateText(r.Slow, r.Total, latency))
+			r.Total, r.Bad, formatBurnRate(r.Bad, r.Total, availability), r.Slow, formatBurnRate(r.Slow, r.Total, latency))
 	}
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -23,7 +23,7 @@
 			"in the file, and exits with 1 if one has none; all arguments are log files then.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if ids != "" {
-				return explainAll(cmd, ids, args)
+				return explainRequests(cmd, ids, args)
 			}
 			if len(args) == 0 {
 				return eris.New("want a request ID, or --ids")
@@ -43,8 +43,8 @@
 	return cmd
 }
 
-// explainAll prints the cause of each request listed in the file.
-func explainAll(cmd *cobra.Command, file string, logs []string) error {
+// explainRequests prints the cause of each request listed in the file.
+func explainRequests(cmd *cobra.Command, file string, logs []string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return eris.Wrap(err, "request IDs")
--- a/internal/cli/peers.go
+++ b/internal/cli/peers.go
@@ -19,14 +19,14 @@
 // hostTimeout bounds a question to one entry host.
 const hostTimeout = 3 * time.Second
 
-// showPeers prints what the entry hosts at the given peer addresses believe.
-func showPeers(cmd *cobra.Command, addrs []string, verbose bool) error {
-	return eachHost(cmd, addrs, askHost, func(st *peerpb.StatusReply) error { return printHost(cmd.OutOrStdout(), st, verbose) })
+// printPeerStatus prints what the entry hosts at the given peer addresses believe.
+func printPeerStatus(cmd *cobra.Command, addrs []string, verbose bool) error {
+	return forEachHost(cmd, addrs, fetchPeerStatus, func(st *peerpb.StatusReply) error { return printHostStatus(cmd.OutOrStdout(), st, verbose) })
 }
 
-// eachHost asks every host and shows its reply. It returns an error that names the
+// forEachHost asks every host and shows its reply. It returns an error that names the
 // hosts that did not answer.
-func eachHost[Reply any](cmd *cobra.Command, addrs []string, ask func(ctx context.Context, addr string) (Reply, error), show func(Reply) error) error {
+func forEachHost[Reply any](cmd *cobra.Command, addrs []string, ask func(ctx context.Context, addr string) (Reply, error), show func(Reply) error) error {
 	var failed []string
 	for _, a := range addrs {
 		reply, err := ask(cmd.Context(), a)
@@ -45,13 +45,13 @@
 	return nil
 }
 
-func askHost(ctx context.Context, addr string) (*peerpb.StatusReply, error) {
+func fetchPeerStatus(ctx context.Context, addr string) (*peerpb.StatusReply, error) {
 	c := peerpb.NewPeerProtobufClient("http://"+addr, &http.Client{Timeout: hostTimeout})
 	st, err := c.Status(ctx, &peerpb.StatusRequest{})
 	return st, eris.Wrapf(err, "peer %s: status", addr)
 }
 
-func printHost(out io.Writer, st *peerpb.StatusReply, verbose bool) error {
+func printHostStatus(out io.Writer, st *peerpb.StatusReply, verbose bool) error {
 	w := tabwriter.NewWriter(out, 2, 4, 2, ' ', 0)
 	role := "follows " + st.Follows
 	switch {
@@ -85,31 +85,31 @@
 	return id
 }
 
-// holding is what one owner has of a service.
-type holding struct {
+// ownerSummary is what one owner has of a service.
+type ownerSummary struct {
 	owner        string
 	ranges, keys int
-	highest      int64
+	maxFence     int64
 }
 
 func printOwners(w io.Writer, s *peerpb.ServiceStatus) {
-	by := map[string]*holding{}
+	by := map[string]*ownerSummary{}
 	for _, r := range s.Ranges {
 		h := by[r.Owner]
 		if h == nil {
-			h = &holding{owner: r.Owner}
+			h = &ownerSummary{owner: r.Owner}
 			by[r.Owner] = h
 		}
 		h.ranges++
 		h.keys += int(r.To-r.From) + 1
-		h.highest = max(h.highest, r.Fence)
+		h.maxFence = max(h.maxFence, r.Fence)
 	}
-	all := make([]*holding, 0, len(by))
+	all := make([]*ownerSummary, 0, len(by))
 	for _, h := range by {
 		all = append(all, h)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].owner < all[j].owner })
 	for _, h := range all {
-		fmt.Fprintf(w, "    %s\t%d keys in %d ranges\tfence up to %d\n", ownerName(h.owner), h.keys, h.ranges, h.highest)
+		fmt.Fprintf(w, "    %s\t%d keys in %d ranges\tfence up to %d\n", ownerName(h.owner), h.keys, h.ranges, h.maxFence)
 	}
 }
--- a/internal/cli/peers_test.go
+++ b/internal/cli/peers_test.go
@@ -10,30 +10,30 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// peerStandin answers Status with a fixed reply.
-type peerStandin struct{ reply *peerpb.StatusReply }
+// stubPeer answers Status with a fixed reply.
+type stubPeer struct{ reply *peerpb.StatusReply }
 
-func (p peerStandin) Follow(context.Context, *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
+func (p stubPeer) Follow(context.Context, *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
 	return &peerpb.FollowReply{}, nil
 }
 
-func (p peerStandin) Status(context.Context, *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
+func (p stubPeer) Status(context.Context, *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
 	return p.reply, nil
 }
 
-func (p peerStandin) Admit(context.Context, *peerpb.AdmitRequest) (*peerpb.AdmitReply, error) {
+func (p stubPeer) Admit(context.Context, *peerpb.AdmitRequest) (*peerpb.AdmitReply, error) {
 	return &peerpb.AdmitReply{}, nil
 }
 
-func (p peerStandin) Retire(context.Context, *peerpb.RetireRequest) (*peerpb.RetireReply, error) {
+func (p stubPeer) Retire(context.Context, *peerpb.RetireRequest) (*peerpb.RetireReply, error) {
 	return &peerpb.RetireReply{}, nil
 }
 
 // An operator asks a host for what it believes: role, age of its view, owners
 // with their tokens, lost owners and the last change with its cause. A host
 // that cannot be reached is named and makes the command fail.
-func TestStatusOfAPeer(t *testing.T) {
-	srv := httptest.NewServer(peerpb.NewPeerServer(peerStandin{&peerpb.StatusReply{Host: "front-1", DataCentre: "north", Follows: "10.0.0.9:7540",
+func TestPeerStatus(t *testing.T) {
+	srv := httptest.NewServer(peerpb.NewPeerServer(stubPeer{&peerpb.StatusReply{Host: "front-1", DataCentre: "north", Follows: "10.0.0.9:7540",
 		ViewAgeMs: 120, Version: 7, Hosts: 12,
 		Services: []*peerpb.ServiceStatus{{Name: "sheets", Term: 2, Fence: 9, Planner: "front-3", Lost: []string{"i-b"},
 			Ranges: []*peerpb.OwnedRange{{From: 0, To: 99, Owner: "i-a", Fence: 9}, {From: 100, To: 65535, Fence: 4}}}},
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -14,7 +14,7 @@
 )
 
 // noBase marks --base as not given.
-const noBase = -2
+const baseNotGiven = -2
 
 func publishCommand() *cobra.Command {
 	var file, example string
@@ -38,7 +38,7 @@
 		}}
 	cmd.Flags().StringVar(&file, "file", "", "manifest file (JSON)")
 	cmd.Flags().StringVar(&example, "example", "", "shipped manifest: "+fmt.Sprint(manifest.ExampleNames()))
-	cmd.Flags().Int64Var(&base, "base", noBase, "offset of the manifest this one was made from (-1: none yet); default: the latest")
+	cmd.Flags().Int64Var(&base, "base", baseNotGiven, "offset of the manifest this one was made from (-1: none yet); default: the latest")
 	return cmd
 }
 
@@ -59,7 +59,7 @@
 	logc := logClient(cmd)
 	ctx := cmd.Context()
 	next := base + 1
-	if base == noBase {
+	if base == baseNotGiven {
 		_, n, err := logc.Last(ctx, logservice.StreamManifests)
 		if err != nil {
 			return err
@@ -75,14 +75,14 @@
 		real, _ := logservice.ConflictNext(err)
 		return eris.Errorf("refused: a manifest was published after base %d (latest is %d); read it and rebase", next-1, real-1)
 	case errors.Is(err, logservice.ErrUnknownOutcome):
-		return confirm(cmd, data, next, err)
+		return confirmPublish(cmd, data, next, err)
 	}
 	return err
 }
 
-// confirm settles a publish whose answer was lost: it reads the offset the
+// confirmPublish settles a publish whose answer was lost: it reads the offset the
 // manifest would have taken and reports whether it is there.
-func confirm(cmd *cobra.Command, data []byte, next int64, cause error) error {
+func confirmPublish(cmd *cobra.Command, data []byte, next int64, cause error) error {
 	b, err := logClient(cmd).Read(cmd.Context(), logservice.StreamManifests, next, 1)
 	if err != nil {
 		return eris.Wrapf(cause, "publish outcome unknown and the log cannot be read back (%v); run status before retrying", err)
--- a/internal/cli/refused.go
+++ b/internal/cli/refused.go
@@ -52,7 +52,7 @@
 	ask := func(ctx context.Context, url string) (*refusedpb.ListReply, error) {
 		return refusedClient(url).List(ctx, &refusedpb.ListRequest{})
 	}
-	err := eachHost(cmd, urls, ask, func(reply *refusedpb.ListReply) error {
+	err := forEachHost(cmd, urls, ask, func(reply *refusedpb.ListReply) error {
 		for _, x := range reply.Contents {
 			left := time.Duration(x.LeftMs/time.Second.Milliseconds()) * time.Second
 			fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", reply.Host, x.Content, left, strings.Join(x.Servers, " "))
@@ -70,7 +70,7 @@
 	ask := func(ctx context.Context, url string) (*refusedpb.ClearReply, error) {
 		return refusedClient(url).Clear(ctx, &refusedpb.ClearRequest{Content: content})
 	}
-	err := eachHost(cmd, urls, ask, func(reply *refusedpb.ClearReply) error {
+	err := forEachHost(cmd, urls, ask, func(reply *refusedpb.ClearReply) error {
 		known = known || reply.Known
 		fmt.Fprintf(cmd.OutOrStdout(), "%s: cleared=%v\n", reply.Host, reply.Known)
 		return nil
--- a/internal/cli/refused_test.go
+++ b/internal/cli/refused_test.go
@@ -16,7 +16,7 @@
 
 // Operators must be able to see what is refused and to have it served again; what no
 // host refuses, and hosts that cannot be reached, make the command fail.
-func TestOperatorsListAndClearRefusedContents(t *testing.T) {
+func TestListAndClearRefusedFingerprints(t *testing.T) {
 	ledger, now := crashes.NewTracker(nil), time.Now()
 	const content = "39542d3733239a3db13ec1bc4bff5994"
 	for _, server := range []string{"s1", "s2", "s3"} {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -24,7 +24,7 @@
 			"their causes. Exits with 1 if a host cannot be reached.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if len(peers) > 0 {
-				return showPeers(cmd, peers, verbose)
+				return printPeerStatus(cmd, peers, verbose)
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 4, 2, ' ', 0)
 			defer w.Flush()
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -14,18 +14,18 @@
 
 const (
 	fatalKey = "job-that-ends-its-target"
-	// mostEnded is how many targets one request may end: the three that show
+	// maxCrashes is how many targets one request may end: the three that show
 	// what it does, and three more that it may reach before that is acted on.
-	mostEnded = 6
-	// backAfter is how long after its end a target is back.
-	backAfter = 200 * time.Millisecond
+	maxCrashes = 6
+	// restartDelay is how long after its end a target is back.
+	restartDelay = 200 * time.Millisecond
 )
 
 // One request ends the target that runs it. Its caller asks again and again;
 // the target comes back, or its shard gets another owner, which ends as well,
 // without end: the host keeps nothing of what a request did to its targets. The
 // evidence: with one host and one caller every end has a first send to itself.
-func TestRequestThatEndsItsTargetsIsSentToFew(t *testing.T) {
+func TestRequestThatCrashesTargetsIsSentToFew(t *testing.T) {
 	var mu sync.Mutex
 	var f *loopback.Fleet
 	ended := 0
@@ -37,7 +37,7 @@
 		}
 		ended++
 		f.Targets[name].Kill()
-		time.AfterFunc(backAfter, func() {
+		time.AfterFunc(restartDelay, func() {
 			mu.Lock()
 			defer mu.Unlock()
 			if f == nil {
@@ -49,7 +49,7 @@
 		})
 		return true
 	}
-	fleet := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
+	fleet := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond, CrashOn: fatal}})
 	set := func(to *loopback.Fleet) {
@@ -67,26 +67,26 @@
 	mu.Lock()
 	n := ended
 	mu.Unlock()
-	if n > mostEnded {
-		t.Errorf("it ended %d targets, at most %d may be tried", n, mostEnded)
+	if n > maxCrashes {
+		t.Errorf("it ended %d targets, at most %d may be tried", n, maxCrashes)
 	}
 	t.Logf("%d targets ended", n)
-	servedBy(t, fleet.Hosts[0], testKey, "")
+	waitServed(t, fleet.Hosts[0], testKey, "")
 }
 
 // backAfterLoss is how long after a loss callers are served again at the latest: what
 // is refused for it is tried again once in ten seconds.
-const backAfterLoss = 12 * time.Second
+const maxRecoveryTime = 12 * time.Second
 
 // All targets end at one moment, three times, while callers ask for a popular key and
 // many others. Each loss ends one more target under that key, so that it was refused
 // for a day. It is served again within seconds.
-func TestPopularKeyIsServedAfterCommonLosses(t *testing.T) {
-	fleet := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 8, HostsPerDC: 1,
+func TestPopularKeyIsServedAfterCorrelatedFailures(t *testing.T) {
+	fleet := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 8, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: 20 * time.Millisecond}})
 	host := fleet.Hosts[0]
-	servedBy(t, host, testKey, "")
+	waitServed(t, host, testKey, "")
 	over := make(chan struct{})
 	var callers sync.WaitGroup
 	for c := range 8 {
@@ -111,7 +111,7 @@
 		for _, target := range fleet.Targets {
 			target.Kill()
 		}
-		time.Sleep(backAfter)
+		time.Sleep(restartDelay)
 		for name, target := range fleet.Targets {
 			if err := target.Start(); err != nil {
 				t.Errorf("%s does not start again: %v", name, err)
@@ -120,9 +120,9 @@
 		answered := func() bool {
 			return call(t, http.MethodGet, host.URL+"/routeboard/"+testKey, "").status == http.StatusOK
 		}
-		for end := time.Now().Add(backAfterLoss); !answered(); time.Sleep(50 * time.Millisecond) {
+		for end := time.Now().Add(maxRecoveryTime); !answered(); time.Sleep(50 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("not served %v after the loss", backAfterLoss)
+				t.Fatalf("not served %v after the loss", maxRecoveryTime)
 			}
 		}
 	}
--- a/internal/daemon/failure_test.go
+++ b/internal/daemon/failure_test.go
@@ -22,14 +22,14 @@
 
 func startFleet(t *testing.T, dcs []string, checked bool, hostsPerDC int) *loopback.Fleet {
 	t.Helper()
-	return startSpec(t, loopback.Spec{DataCentres: dcs, Slots: 3, HostsPerDC: hostsPerDC,
+	return startFleetFromSpec(t, loopback.Spec{DataCentres: dcs, Slots: 3, HostsPerDC: hostsPerDC,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4 * len(dcs), FencingChecked: checked}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond}})
 }
 
-// startSpec starts a fleet, publishes its manifest and waits until every
+// startFleetFromSpec starts a fleet, publishes its manifest and waits until every
 // entry host serves every service; the fleet is closed when tb ends.
-func startSpec(tb testing.TB, spec loopback.Spec) *loopback.Fleet {
+func startFleetFromSpec(tb testing.TB, spec loopback.Spec) *loopback.Fleet {
 	tb.Helper()
 	f, err := loopback.Start(spec)
 	if err != nil {
@@ -47,14 +47,14 @@
 	return f
 }
 
-type reply struct {
-	status int
-	header http.Header
-	answer stand.Answer
-	ref    refusal.Refusal
+type callResult struct {
+	status  int
+	header  http.Header
+	body    stand.Answer
+	refusal refusal.Refusal
 }
 
-func call(t *testing.T, method, url, idemKey string) reply {
+func call(t *testing.T, method, url, idemKey string) callResult {
 	t.Helper()
 	req, _ := http.NewRequest(method, url, nil)
 	if idemKey != "" {
@@ -66,24 +66,24 @@
 	}
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(resp.Body)
-	r := reply{status: resp.StatusCode, header: resp.Header}
+	r := callResult{status: resp.StatusCode, header: resp.Header}
 	if resp.StatusCode == http.StatusOK {
-		_ = json.Unmarshal(body, &r.answer)
+		_ = json.Unmarshal(body, &r.body)
 	} else {
-		_ = json.Unmarshal(body, &r.ref)
+		_ = json.Unmarshal(body, &r.refusal)
 	}
 	return r
 }
 
-// servedBy polls host until key is answered by an upstream other than not,
+// waitServed polls host until key is answered by an upstream other than not,
 // and returns that upstream and how long it took.
-func servedBy(t *testing.T, host *loopback.Host, key, not string) (string, time.Duration) {
+func waitServed(t *testing.T, host *loopback.Host, key, not string) (string, time.Duration) {
 	t.Helper()
 	start := time.Now()
 	for time.Since(start) < 10*time.Second {
 		r := call(t, http.MethodGet, host.URL+"/routeboard/"+key, "")
-		if r.status == http.StatusOK && r.answer.Upstream != not {
-			return r.answer.Upstream, time.Since(start)
+		if r.status == http.StatusOK && r.body.Upstream != not {
+			return r.body.Upstream, time.Since(start)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -91,14 +91,14 @@
 	return "", 0
 }
 
-// lastAnswerFrom reads key through host for the duration d and returns how
+// lastResponseFrom reads key through host for the duration d and returns how
 // long after start the named upstream last answered (0 if never).
-func lastAnswerFrom(t *testing.T, host *loopback.Host, key, upstream string, start time.Time, d time.Duration) time.Duration {
+func lastResponseFrom(t *testing.T, host *loopback.Host, key, upstream string, start time.Time, d time.Duration) time.Duration {
 	t.Helper()
 	var last time.Duration
 	for time.Since(start) < d {
 		r := call(t, http.MethodGet, host.URL+"/routeboard/"+key, "")
-		if r.status == http.StatusOK && r.answer.Upstream == upstream {
+		if r.status == http.StatusOK && r.body.Upstream == upstream {
 			last = time.Since(start)
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -110,12 +110,12 @@
 // hundred milliseconds the caller gets OWNER_UNREACHABLE or HANDOVER, each
 // at once with Retry-After; then a new owner serves the key. The entry host
 // finds the death by probes and moves the shard after one grant lease.
-func TestOwnerKilledKeyServedAgain(t *testing.T) {
+func TestKeyIsServedAfterOwnerIsKilled(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
-	owner, _ := servedBy(t, h, testKey, "")
+	owner, _ := waitServed(t, h, testKey, "")
 	f.Targets[owner].Kill()
-	next, took := servedBy(t, h, testKey, owner)
+	next, took := waitServed(t, h, testKey, owner)
 	t.Logf("served again by %s after %v", next, took)
 	if took > 3*time.Second {
 		t.Fatalf("served again after %v; want under 3s", took)
@@ -128,16 +128,16 @@
 func TestRefusalIsImmediate(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
-	owner, _ := servedBy(t, h, testKey, "")
+	owner, _ := waitServed(t, h, testKey, "")
 	f.Targets[owner].Kill()
 	start := time.Now()
 	r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "")
 	took := time.Since(start)
 	if r.status == http.StatusOK {
-		t.Fatalf("served by dead owner? %+v", r.answer)
+		t.Fatalf("served by dead owner? %+v", r.body)
 	}
 	if r.header.Get("Retry-After") == "" || took > 500*time.Millisecond {
-		t.Fatalf("refusal %s took %v with Retry-After %q; want at once with Retry-After", r.ref.Code, took, r.header.Get("Retry-After"))
+		t.Fatalf("refusal %s took %v with Retry-After %q; want at once with Retry-After", r.refusal.Code, took, r.header.Get("Retry-After"))
 	}
 }
 
@@ -145,13 +145,13 @@
 // lease; when the old owner thaws it still believes it owns the shard. A
 // request carrying the old fencing token (as a stale router would send) is
 // refused as not run, because the grant lapsed while it was frozen.
-func TestPausedOwnerIsFencedOnReturn(t *testing.T) {
+func TestPausedOwnerIsFencedOnResume(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
-	owner, _ := servedBy(t, h, testKey, "")
+	owner, _ := waitServed(t, h, testKey, "")
 	old := f.Targets[owner]
 	old.Server.Pause()
-	servedBy(t, h, testKey, owner)
+	waitServed(t, h, testKey, owner)
 	old.Server.Resume()
 
 	shard := placement.ShardOf("routeboard", testKey, manifest.DefaultShards)
@@ -175,18 +175,18 @@
 // Targets that do not check fencing tokens: the owner freezes, its keys
 // move, it thaws. Every caller's write through every entry host then runs
 // on the new owner only; the router alone keeps the old one from work.
-func TestPausedUncheckedOwnerGetsNoWork(t *testing.T) {
+func TestResumedOwnerWithoutFencingGetsNoWork(t *testing.T) {
 	f := startFleet(t, []string{"bangna", "latphrao"}, false, 1)
-	owner, _ := servedBy(t, f.Hosts[0], testKey, "")
+	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	old := f.Targets[owner]
 	old.Server.Pause()
-	next, _ := servedBy(t, f.Hosts[0], testKey, owner)
+	next, _ := waitServed(t, f.Hosts[0], testKey, owner)
 	old.Server.Resume()
 	for i := 0; i < 20; i++ {
 		h := f.Hosts[i%len(f.Hosts)]
 		r := call(t, http.MethodPost, h.URL+"/routeboard/"+testKey, "op-"+strconv.Itoa(i))
-		if r.status == http.StatusOK && r.answer.Upstream != next {
-			t.Fatalf("write %d served by %s, want %s", i, r.answer.Upstream, next)
+		if r.status == http.StatusOK && r.body.Upstream != next {
+			t.Fatalf("write %d served by %s, want %s", i, r.body.Upstream, next)
 		}
 	}
 	if n := old.Server.Executed("routeboard", testKey); n != 0 {
@@ -198,10 +198,10 @@
 // idempotency key, runs once on the owner; the later answers are replays.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	f := startFleet(t, []string{"bangna", "latphrao", "nonthaburi"}, true, 1)
-	owner, _ := servedBy(t, f.Hosts[0], testKey, "")
+	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	for _, h := range f.Hosts {
 		if r := call(t, http.MethodPost, h.URL+"/routeboard/"+testKey, "charge-7"); r.status != http.StatusOK {
-			t.Fatalf("charge via %s: %d %+v", h.Name, r.status, r.ref)
+			t.Fatalf("charge via %s: %d %+v", h.Name, r.status, r.refusal)
 		}
 	}
 	if n := f.Targets[owner].Server.Executed("routeboard", testKey); n != 1 {
@@ -212,18 +212,18 @@
 // The log service goes down. Reads keep being served from the last view
 // (a cut-off data centre serves what it can); after the view lease a write
 // is refused at once as not run with Retry-After, and nothing ran.
-func TestLogOutageServesReadsRefusesWrites(t *testing.T) {
+func TestLogOutageServesReadsAndRefusesWrites(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
-	owner, _ := servedBy(t, h, testKey, "")
+	owner, _ := waitServed(t, h, testKey, "")
 	f.Log.SetFaults(logsvc.Faults{Outage: true})
 	time.Sleep(loopback.DefaultSettings().MaxViewAge + 200*time.Millisecond)
 	if r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, ""); r.status != http.StatusOK {
-		t.Fatalf("read during log outage: %d %+v", r.status, r.ref)
+		t.Fatalf("read during log outage: %d %+v", r.status, r.refusal)
 	}
 	r := call(t, http.MethodPost, h.URL+"/routeboard/"+testKey, "w-1")
-	if r.ref.Code != refusal.StaleView || r.ref.Outcome != refusal.NotRun || r.header.Get("Retry-After") == "" {
-		t.Fatalf("write during outage: %d %+v", r.status, r.ref)
+	if r.refusal.Code != refusal.StaleView || r.refusal.Outcome != refusal.NotRun || r.header.Get("Retry-After") == "" {
+		t.Fatalf("write during outage: %d %+v", r.status, r.refusal)
 	}
 	if n := f.Targets[owner].Server.Executed("routeboard", testKey); n != 0 {
 		t.Fatalf("refused write ran %d times", n)
@@ -233,13 +233,13 @@
 // Every append's answer is lost after the write took effect. An owner dies;
 // entry hosts must still agree on one new placement (they find their own
 // records by reading back) and the key is served again.
-func TestLostAcksPlacementConverges(t *testing.T) {
+func TestPlacementConvergesWhenAppendAcksAreLost(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 2)
-	owner, _ := servedBy(t, f.Hosts[0], testKey, "")
+	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	f.Log.SetFaults(logsvc.Faults{LoseAckRate: 1})
 	f.Targets[owner].Kill()
-	a, _ := servedBy(t, f.Hosts[0], testKey, owner)
-	b, _ := servedBy(t, f.Hosts[1], testKey, owner)
+	a, _ := waitServed(t, f.Hosts[0], testKey, owner)
+	b, _ := waitServed(t, f.Hosts[1], testKey, owner)
 	if a != b {
 		t.Fatalf("entry hosts disagree on the new owner: %s vs %s", a, b)
 	}
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -13,9 +13,9 @@
 // caller at the third host is refused (FENCED, at once, Retry-After) until
 // the stopped hosts' heartbeats age past the host lease, when the third
 // host takes the renewal over and the key is served again by its owner.
-func TestRenewersLostAnotherHostTakesOver(t *testing.T) {
+func TestSurvivingHostTakesOverGrantRenewal(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 3)
-	owner, _ := servedBy(t, f.Hosts[0], testKey, "")
+	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	var names []string
 	byName := map[string]*loopback.Host{}
 	for _, h := range f.Hosts {
@@ -36,7 +36,7 @@
 		}
 	}
 	time.Sleep(loopback.DefaultSettings().GrantTTL * 2)
-	got, took := servedBy(t, survivor, testKey, "")
+	got, took := waitServed(t, survivor, testKey, "")
 	t.Logf("owner %s renewed by %v; served by %s via %s %v after they stopped", owner, renewers, got, survivor.Name, time.Since(start))
 	if took > 3*time.Second {
 		t.Fatalf("served again after %v; want under 3s", took)
--- a/internal/daemon/fuzz_test.go
+++ b/internal/daemon/model_test.go
@@ -13,22 +13,22 @@
 	"github.com/papayatide/papayatide/internal/standin/loopback"
 )
 
-// fleetSUT is a running loopback fleet driven by commands.
-type fleetSUT struct {
-	t      *testing.T
-	f      *loopback.Fleet
-	names  []string
-	seq    int
-	writes []writeResult
-	down   map[int]bool
+// fleetUnderTest is a running loopback fleet driven by commands.
+type fleetUnderTest struct {
+	t          *testing.T
+	fleet      *loopback.Fleet
+	targets    []string
+	writeCount int
+	writes     []writeResult
+	stopped    map[int]bool
 }
 
 // writeResult is one write and what its caller was told; the oracle is
 // the list of them, checked against what the targets ran.
 type writeResult struct {
-	key, idem string
-	status    int
-	outcome   refusal.Outcome
+	key, idempotencyKey string
+	status              int
+	outcome             refusal.Outcome
 }
 
 var fuzzKeys = []string{"sheet-1", "sheet-2", "sheet-3", "booking-9"}
@@ -37,14 +37,14 @@
 type writeCmd struct{ key, host int }
 
 func (c writeCmd) Run(sut commands.SystemUnderTest) commands.Result {
-	s := sut.(*fleetSUT)
-	s.seq++
-	idem := fmt.Sprintf("op-%d", s.seq)
-	r := call(s.t, http.MethodPost, s.f.Hosts[c.host].URL+"/routeboard/"+fuzzKeys[c.key], idem)
-	if r.status == http.StatusOK && r.answer.Key != fuzzKeys[c.key] {
-		s.t.Errorf("caller for %s got the answer for %s", fuzzKeys[c.key], r.answer.Key)
+	s := sut.(*fleetUnderTest)
+	s.writeCount++
+	idem := fmt.Sprintf("op-%d", s.writeCount)
+	r := call(s.t, http.MethodPost, s.fleet.Hosts[c.host].URL+"/routeboard/"+fuzzKeys[c.key], idem)
+	if r.status == http.StatusOK && r.body.Key != fuzzKeys[c.key] {
+		s.t.Errorf("caller for %s got the answer for %s", fuzzKeys[c.key], r.body.Key)
 	}
-	w := writeResult{key: fuzzKeys[c.key], idem: idem, status: r.status, outcome: r.ref.Outcome}
+	w := writeResult{key: fuzzKeys[c.key], idempotencyKey: idem, status: r.status, outcome: r.refusal.Outcome}
 	s.writes = append(s.writes, w)
 	return w
 }
@@ -66,16 +66,16 @@
 type toggleCmd struct{ target int }
 
 func (c toggleCmd) Run(sut commands.SystemUnderTest) commands.Result {
-	s := sut.(*fleetSUT)
-	tg := s.f.Targets[s.names[c.target]]
-	if s.down[c.target] {
+	s := sut.(*fleetUnderTest)
+	tg := s.fleet.Targets[s.targets[c.target]]
+	if s.stopped[c.target] {
 		if err := tg.Start(); err != nil {
-			s.t.Errorf("restart %s: %v", s.names[c.target], err)
+			s.t.Errorf("restart %s: %v", s.targets[c.target], err)
 		}
 	} else {
 		tg.Kill()
 	}
-	s.down[c.target] = !s.down[c.target]
+	s.stopped[c.target] = !s.stopped[c.target]
 	return nil
 }
 func (c toggleCmd) NextState(st commands.State) commands.State { return st }
@@ -95,7 +95,7 @@
 	for _, u := range f.Manifest.Services[0].Upstreams {
 		names = append(names, u.Name)
 	}
-	sut := &fleetSUT{t: t, f: f, names: names, down: map[int]bool{}}
+	sut := &fleetUnderTest{t: t, fleet: f, targets: names, stopped: map[int]bool{}}
 	cmds := &commands.ProtoCommands{
 		NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest { return sut },
 		DestroySystemUnderTestFunc: func(commands.SystemUnderTest) {
@@ -103,7 +103,7 @@
 				if err := f.Targets[n].Start(); err != nil {
 					t.Errorf("restart %s: %v", n, err)
 				}
-				sut.down[i] = false
+				sut.stopped[i] = false
 			}
 		},
 		InitialStateGen: gen.Const(struct{}{}),
@@ -122,36 +122,36 @@
 	props := gopter.NewProperties(params)
 	props.Property("writes keep their promises", commands.Prop(cmds))
 	props.TestingRun(t)
-	checkRuns(t, f, sut.writes)
+	checkExecutions(t, f, sut.writes)
 }
 
-// checkRuns asserts the oracle over every write sent: none ran more than
+// checkExecutions asserts the oracle over every write sent: none ran more than
 // once over all targets and their restarts; one answered 200 ran once; one
 // refused as not run ran nowhere.
-func checkRuns(t *testing.T, f *loopback.Fleet, writes []writeResult) {
+func checkExecutions(t *testing.T, f *loopback.Fleet, writes []writeResult) {
 	t.Helper()
 	notRun := 0
 	for _, w := range writes {
 		var runs int64
 		for _, tg := range f.Targets {
-			runs += tg.Runs("routeboard", w.key, w.idem)
+			runs += tg.Runs("routeboard", w.key, w.idempotencyKey)
 		}
 		switch {
 		case runs > 1:
-			t.Fatalf("%s on %s ran %d times", w.idem, w.key, runs)
+			t.Fatalf("%s on %s ran %d times", w.idempotencyKey, w.key, runs)
 		case w.status == http.StatusOK && runs != 1:
-			t.Fatalf("%s on %s answered 200 but ran %d times", w.idem, w.key, runs)
+			t.Fatalf("%s on %s answered 200 but ran %d times", w.idempotencyKey, w.key, runs)
 		case w.outcome == refusal.NotRun && runs != 0:
-			t.Fatalf("%s on %s refused as not run but ran", w.idem, w.key)
+			t.Fatalf("%s on %s refused as not run but ran", w.idempotencyKey, w.key)
 		}
 		if w.outcome == refusal.NotRun {
 			notRun++
 		}
 	}
-	t.Logf("%d writes checked, %d refused as not run, %d answered", len(writes), notRun, answered(writes))
+	t.Logf("%d writes checked, %d refused as not run, %d answered", len(writes), notRun, countOK(writes))
 }
 
-func answered(writes []writeResult) int {
+func countOK(writes []writeResult) int {
 	n := 0
 	for _, w := range writes {
 		if w.status == http.StatusOK {
--- a/internal/daemon/path_bench_test.go
+++ b/internal/daemon/path_bench_test.go
@@ -18,7 +18,7 @@
 // stand-ins (work time 0) on loopback, in parallel, and reports the
 // latency quantiles the caller sees.
 func BenchmarkPath(b *testing.B) {
-	f := startSpec(b, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 64, HostsPerDC: 1,
+	f := startFleetFromSpec(b, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 64, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 20, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{}})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
--- a/internal/daemon/answers_test.go
+++ b/internal/daemon/responses_test.go
@@ -19,18 +19,18 @@
 // Callers never see another's answer: each gets 502 CROSSED_ANSWER with
 // outcome unknown (the work may have run), because the answer's request id
 // is not the one the router sent.
-func TestCrossedAnswersNeverReachTheWrongCaller(t *testing.T) {
-	f := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
+func TestMismatchedResponseNeverReachesCaller(t *testing.T) {
+	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{CrossAnswers: true}})
 	h := f.Hosts[0]
 	for _, key := range []string{"a", "b", "c", "d"} {
 		r := call(t, http.MethodGet, h.URL+"/routeboard/"+key, "")
-		if r.status == http.StatusOK && r.answer.Key != key {
-			t.Fatalf("caller for %s got the answer for %s", key, r.answer.Key)
+		if r.status == http.StatusOK && r.body.Key != key {
+			t.Fatalf("caller for %s got the answer for %s", key, r.body.Key)
 		}
-		if r.status != http.StatusOK && (r.ref.Code != refusal.MismatchedResponse || r.ref.Outcome != refusal.Unknown) {
-			t.Fatalf("key %s: %d %+v; want CROSSED_ANSWER, unknown", key, r.status, r.ref)
+		if r.status != http.StatusOK && (r.refusal.Code != refusal.MismatchedResponse || r.refusal.Outcome != refusal.Unknown) {
+			t.Fatalf("key %s: %d %+v; want CROSSED_ANSWER, unknown", key, r.status, r.refusal)
 		}
 	}
 }
@@ -41,10 +41,10 @@
 // bangna's hosts may write bangna's placement, so the newcomer cannot
 // re-propose it. It must still route to bangna's owners, learnt from a
 // snapshot: its status shows the same bangna members as a bangna host's.
-func TestNewHostAfterRetentionLearnsFromSnapshot(t *testing.T) {
+func TestNewHostReadsSnapshotAfterLogRetention(t *testing.T) {
 	settings := loopback.DefaultSettings()
 	settings.SnapshotInterval = 150 * time.Millisecond
-	f := startSpec(t, loopback.Spec{DataCentres: []string{"bangna", "latphrao"}, Slots: 3, HostsPerDC: 1,
+	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna", "latphrao"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}, {Name: "plantdesk", Upstreams: 4, FencingChecked: true}},
 		Settings: settings, Retention: 300 * time.Millisecond})
 	time.Sleep(500 * time.Millisecond)
@@ -84,16 +84,16 @@
 // connections work. A caller's read is first tried on a pooled (silent)
 // connection; after the attempt timeout it is retried on a new connection
 // and answered, long before the caller's 2 s deadline.
-func TestSilentConnectionsDoNotHoldReads(t *testing.T) {
+func TestReadOnSilentConnectionIsRetried(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
-	owner, _ := servedBy(t, h, testKey, "")
+	owner, _ := waitServed(t, h, testKey, "")
 	f.Targets[owner].Server.BlackholeConns()
 	start := time.Now()
 	r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "")
 	took := time.Since(start)
-	if r.status != http.StatusOK || r.answer.Upstream != owner {
-		t.Fatalf("read over silent connections: %d %+v after %v", r.status, r.ref, took)
+	if r.status != http.StatusOK || r.body.Upstream != owner {
+		t.Fatalf("read over silent connections: %d %+v after %v", r.status, r.refusal, took)
 	}
 	if took > time.Second {
 		t.Fatalf("read answered after %v; want well under the 2 s deadline", took)
@@ -105,13 +105,13 @@
 // Each gets 404 UNKNOWN_SERVICE at once, and the host's burn counts hold
 // one bucket for all of them, not one per name (which would let callers
 // grow the host's memory without bound).
-func TestUnknownServicesDoNotGrowCounts(t *testing.T) {
+func TestUnknownServicesShareOneBurnCount(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
 	for i := 0; i < 50; i++ {
 		r := call(t, http.MethodGet, h.URL+"/nosuch-"+strconv.Itoa(i)+"/k", "")
-		if r.ref.Code != refusal.UnknownService {
-			t.Fatalf("unknown service %d: %d %+v", i, r.status, r.ref)
+		if r.refusal.Code != refusal.UnknownService {
+			t.Fatalf("unknown service %d: %d %+v", i, r.status, r.refusal)
 		}
 	}
 	b, err := adminpb.NewAdminProtobufClient(h.AdminURL, http.DefaultClient).Burn(context.Background(), &adminpb.BurnRequest{})
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -19,7 +19,7 @@
 func TestDrainedUpstreamGetsNoNewWork(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
-	owner, _ := servedBy(t, h, testKey, "")
+	owner, _ := waitServed(t, h, testKey, "")
 	cmd := cli.Command()
 	cmd.SetArgs([]string{"--log", f.LogURL, "drain", "--upstream", owner})
 	cmd.SetOut(&bytes.Buffer{})
@@ -27,12 +27,12 @@
 	if err := cmd.Execute(); err != nil {
 		t.Fatal(err)
 	}
-	last := lastAnswerFrom(t, h, testKey, owner, drained, 2*time.Second)
+	last := lastResponseFrom(t, h, testKey, owner, drained, 2*time.Second)
 	t.Logf("drained upstream's last answer %v after the drain", last)
 	if last > time.Second {
 		t.Fatalf("drained upstream still served %v after the drain", last)
 	}
-	if _, took := servedBy(t, h, testKey, owner); took > time.Second {
+	if _, took := waitServed(t, h, testKey, owner); took > time.Second {
 		t.Fatalf("key not served by a new owner %v after the drain", took)
 	}
 }
@@ -40,19 +40,19 @@
 // A request is in flight at a slow target when its entry host gets a
 // planned stop. The caller still gets the whole answer: the host stops
 // taking new callers but waits for requests in flight.
-func TestPlannedStopCutsNothingInFlight(t *testing.T) {
-	f := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
+func TestPlannedStopCompletesInFlightRequests(t *testing.T) {
+	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: 300 * time.Millisecond}})
 	h := f.Hosts[0]
-	got := make(chan reply, 1)
+	got := make(chan callResult, 1)
 	go func() { got <- call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "") }()
 	time.Sleep(100 * time.Millisecond)
 	if err := h.Stop(); err != nil {
 		t.Fatalf("planned stop: %v", err)
 	}
-	if r := <-got; r.status != http.StatusOK || r.answer.Key != testKey {
-		t.Fatalf("request in flight during planned stop got %d %+v", r.status, r.ref)
+	if r := <-got; r.status != http.StatusOK || r.body.Key != testKey {
+		t.Fatalf("request in flight during planned stop got %d %+v", r.status, r.refusal)
 	}
 }
 
@@ -60,15 +60,15 @@
 // leaving. Callers keep getting whole answers, after at most a handover
 // refusal with Retry-After; once the list shows it, the leaving target gets
 // no new work after one grant lease.
-func TestLeavingHostGetsNoNewWork(t *testing.T) {
-	f := startSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
+func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), HostListLag: 500 * time.Millisecond})
 	h := f.Hosts[0]
-	owner, _ := servedBy(t, h, testKey, "")
+	owner, _ := waitServed(t, h, testKey, "")
 	marked := time.Now()
 	f.HostList.Set(f.Targets[owner].Upstream.Addr, hostlist.Leaving)
-	last := lastAnswerFrom(t, h, testKey, owner, marked, 3*time.Second)
+	last := lastResponseFrom(t, h, testKey, owner, marked, 3*time.Second)
 	t.Logf("leaving target's last answer %v after it was marked", last)
 	if last > 2*time.Second {
 		t.Fatalf("leaving target still served %v after it was marked", last)
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -20,11 +20,11 @@
 
 // queued bounds the lines that wait; at some 400 bytes a line this is under
 // a megabyte.
-const queued = 2048
+const maxQueuedLines = 2048
 
 // New returns a sink that writes to out.
 func New(out io.Writer) *Sink {
-	s := &Sink{lines: make(chan []byte, queued), done: make(chan struct{})}
+	s := &Sink{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go s.run(out)
 	return s
 }
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestBadManifestsNameTheFault checks that each kind of bad manifest is
+// TestInvalidManifestErrorNamesProblem checks that each kind of bad manifest is
 // refused with an error naming what is wrong.
-func TestBadManifestsNameTheFault(t *testing.T) {
+func TestInvalidManifestErrorNamesProblem(t *testing.T) {
 	good := `{"deployment":"d","data_centres":["a"],"services":[{"name":"s","upstreams":[{"name":"u","addr":"127.0.0.1:1","data_centre":"a","slots":1,"connections":1}]}]}`
 	cases := map[string]string{
 		"deployment":       strings.Replace(good, `"deployment":"d"`, `"deployment":""`, 1),
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -21,7 +21,7 @@
 )
 
 // MaxAnswerBytes bounds an answer body read from a target.
-const MaxAnswerBytes = 4 << 20
+const MaxResponseBytes = 4 << 20
 
 // ErrNotSent means the request never left papayatide: the target cannot
 // have run it, so it may be retried or refused as not run.
@@ -29,7 +29,7 @@
 
 // ErrNoAnswer means the request was sent but no whole answer came back: the
 // target may have run it, so a non-idempotent one must not be retried.
-var ErrNoAnswer = errors.New("target: sent, no answer")
+var ErrNoResponse = errors.New("target: sent, no answer")
 
 // ErrEnded is wrapped besides ErrNoAnswer where the target itself has ended:
 // nobody listens at its address any more.
@@ -64,14 +64,14 @@
 	AttemptTimeout time.Duration
 	mu             sync.Mutex
 	pools          map[string]*http.Client
-	// fresh dials a new connection for every request.
-	fresh *http.Client
+	// unpooled dials a new connection for every request.
+	unpooled *http.Client
 }
 
 // NewClient returns a target client.
 func NewClient() *Client {
 	return &Client{pools: map[string]*http.Client{},
-		fresh: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+		unpooled: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 func (c *Client) pool(u *manifest.Upstream) *http.Client {
@@ -104,7 +104,7 @@
 func (c *Client) Forward(ctx context.Context, u *manifest.Upstream, req *Request) (*Response, error) {
 	if c.AttemptTimeout <= 0 || (req.Method != http.MethodGet && req.Method != http.MethodHead) {
 		resp, err := c.attempt(ctx, c.pool(u), u, req, req.Deadline)
-		return resp, c.sayEnded(ctx, u, err)
+		return resp, c.markCrashed(ctx, u, err)
 	}
 	first := time.Now().Add(c.AttemptTimeout)
 	if !req.Deadline.IsZero() && req.Deadline.Before(first) {
@@ -116,24 +116,24 @@
 		return resp, err
 	}
 	timedOut := !now.Before(first)
-	if err = c.sayEnded(ctx, u, err); !timedOut && (errors.Is(err, ErrCrashed) || !errors.Is(err, ErrNoAnswer)) {
+	if err = c.markCrashed(ctx, u, err); !timedOut && (errors.Is(err, ErrCrashed) || !errors.Is(err, ErrNoResponse)) {
 		return nil, err
 	}
-	resp, err = c.attempt(ctx, c.fresh, u, req, req.Deadline)
-	return resp, c.sayEnded(ctx, u, err)
+	resp, err = c.attempt(ctx, c.unpooled, u, req, req.Deadline)
+	return resp, c.markCrashed(ctx, u, err)
 }
 
 // askWhetherEnded bounds the question whether a target has ended; a listener
 // that is gone refuses in a millisecond.
-const askWhetherEnded = 100 * time.Millisecond
+const crashProbeTimeout = 100 * time.Millisecond
 
-// sayEnded wraps ErrEnded into the error of a request that was sent and broke
+// markCrashed wraps ErrEnded into the error of a request that was sent and broke
 // off, if the target has ended.
-func (c *Client) sayEnded(ctx context.Context, u *manifest.Upstream, err error) error {
-	if !errors.Is(err, ErrNoAnswer) || errors.Is(err, context.DeadlineExceeded) || ctx.Err() != nil {
+func (c *Client) markCrashed(ctx context.Context, u *manifest.Upstream, err error) error {
+	if !errors.Is(err, ErrNoResponse) || errors.Is(err, context.DeadlineExceeded) || ctx.Err() != nil {
 		return err
 	}
-	d := net.Dialer{Timeout: askWhetherEnded}
+	d := net.Dialer{Timeout: crashProbeTimeout}
 	conn, dialErr := d.DialContext(ctx, "tcp", u.Addr)
 	if dialErr == nil {
 		_ = conn.Close() // nothing was sent on it
@@ -178,12 +178,12 @@
 		if !wrote.Load() {
 			return nil, eris.Wrapf(errors.Join(ErrNotSent, err), "forward to %s", u.Name)
 		}
-		return nil, eris.Wrapf(errors.Join(ErrNoAnswer, err), "forward to %s", u.Name)
+		return nil, eris.Wrapf(errors.Join(ErrNoResponse, err), "forward to %s", u.Name)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxResponseBytes))
 	if err != nil {
-		return nil, eris.Wrapf(errors.Join(ErrNoAnswer, err), "forward to %s: read answer", u.Name)
+		return nil, eris.Wrapf(errors.Join(ErrNoResponse, err), "forward to %s: read answer", u.Name)
 	}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -21,7 +21,7 @@
 	u := &manifest.Upstream{Name: "t1", Addr: ln.Addr().String(), Connections: 1}
 	req := &Request{Method: "POST", Service: "s", Key: "k", Deadline: time.Now().Add(50 * time.Millisecond)}
 	_, err = NewClient().Forward(context.Background(), u, req)
-	if !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, ErrNoAnswer) {
+	if !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, ErrNoResponse) {
 		t.Errorf("%v wraps neither its cause nor what is known", err)
 	}
 }
