--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -14,86 +14,87 @@
 
 const (
 	fatalKey = "job-that-ends-its-target"
-	// maxCrashes is how many targets one request may end: the three that show
-	// what it does, and three more that it may reach before that is acted on.
+	// maxCrashes is how many targets one request may crash: the three after which
+	// it is refused, and three more that it may reach before the refusal applies.
 	maxCrashes = 6
-	// restartDelay is how long after its end a target is back.
+	// restartDelay is how long a crashed target is down.
 	restartDelay = 200 * time.Millisecond
 )
 
-// One request ends the target that runs it. Its caller asks again and again;
-// the target comes back, or its shard gets another owner, which ends as well,
-// without end: the host keeps nothing of what a request did to its targets. The
-// evidence: with one host and one caller every end has a first send to itself.
+// A request crashes the target that runs it, and its caller retries forever. A
+// host that keeps no record of such crashes sends the request on: to the restarted
+// target, or to the shard's next owner, which crashes as well. With one host and one
+// caller, each crash happens under a separate request and the host sees every one.
 func TestRequestThatCrashesTargetsIsSentToFew(t *testing.T) {
 	var mu sync.Mutex
-	var f *loopback.Fleet
-	ended := 0
-	fatal := func(name, key string) bool {
+	var running *loopback.Fleet // nil before the start and after the test
+	crashes := 0
+	crashOn := func(name, key string) bool {
 		mu.Lock()
 		defer mu.Unlock()
-		if key != fatalKey || f == nil {
+		if key != fatalKey || running == nil {
 			return false
 		}
-		ended++
-		f.Targets[name].Kill()
+		crashes++
+		running.Targets[name].Kill()
 		time.AfterFunc(restartDelay, func() {
 			mu.Lock()
 			defer mu.Unlock()
-			if f == nil {
+			if running == nil {
 				return
 			}
-			if err := f.Targets[name].Start(); err != nil {
-				t.Errorf("%s does not start again: %v", name, err)
+			if err := running.Targets[name].Start(); err != nil {
+				t.Errorf("restart target %s: %v", name, err)
 			}
 		})
 		return true
 	}
 	fleet := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
-		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond, CrashOn: fatal}})
-	set := func(to *loopback.Fleet) {
+		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond, CrashOn: crashOn}})
+	setRunning := func(fleet *loopback.Fleet) {
 		mu.Lock()
 		defer mu.Unlock()
-		f = to
+		running = fleet
 	}
-	set(fleet)
-	t.Cleanup(func() { set(nil) })
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	setRunning(fleet)
+	t.Cleanup(func() { setRunning(nil) })
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if r := call(t, http.MethodGet, fleet.Hosts[0].URL+"/routeboard/"+fatalKey, ""); r.status == http.StatusOK {
-			t.Fatal("it was answered")
+			t.Fatal("the request that crashes its target was served")
 		}
 	}
 	mu.Lock()
-	n := ended
+	n := crashes
 	mu.Unlock()
 	if n > maxCrashes {
-		t.Errorf("it ended %d targets, at most %d may be tried", n, maxCrashes)
+		t.Errorf("the request crashed %d targets, want at most %d", n, maxCrashes)
 	}
-	t.Logf("%d targets ended", n)
+	t.Logf("%d targets crashed", n)
 	waitServed(t, fleet.Hosts[0], testKey, "")
 }
 
-// backAfterLoss is how long after a loss callers are served again at the latest: what
-// is refused for it is tried again once in ten seconds.
+// maxRecoveryTime bounds the time from a failure of all targets until the key is
+// served again: a refused fingerprint gets a trial request every ten seconds.
 const maxRecoveryTime = 12 * time.Second
 
-// All targets end at one moment, three times, while callers ask for a popular key and
-// many others. Each loss ends one more target under that key, so that it was refused
-// for a day. It is served again within seconds.
+// All targets fail at the same moment, three times, while callers request a popular
+// key and many others. Each time a target crashes under the popular key. If these
+// correlated failures counted as crashes caused by the request, the key would be
+// refused for a day; it must be served again within seconds.
 func TestPopularKeyIsServedAfterCorrelatedFailures(t *testing.T) {
 	fleet := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 8, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: 20 * time.Millisecond}})
 	host := fleet.Hosts[0]
 	waitServed(t, host, testKey, "")
-	over := make(chan struct{})
+	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for c := range 8 {
 		callers.Go(func() {
 			for n := 0; ; n++ {
 				select {
-				case <-over:
+				case <-stop:
 					return
 				default:
 				}
@@ -114,18 +115,18 @@
 		time.Sleep(restartDelay)
 		for name, target := range fleet.Targets {
 			if err := target.Start(); err != nil {
-				t.Errorf("%s does not start again: %v", name, err)
+				t.Errorf("restart target %s: %v", name, err)
 			}
 		}
-		answered := func() bool {
+		served := func() bool {
 			return call(t, http.MethodGet, host.URL+"/routeboard/"+testKey, "").status == http.StatusOK
 		}
-		for end := time.Now().Add(maxRecoveryTime); !answered(); time.Sleep(50 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("not served %v after the loss", maxRecoveryTime)
+		for deadline := time.Now().Add(maxRecoveryTime); !served(); time.Sleep(50 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("key is not served %v after all targets failed", maxRecoveryTime)
 			}
 		}
 	}
-	close(over)
+	close(stop)
 	callers.Wait()
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,11 +40,11 @@
 	return l, eris.Wrap(err, "build logger")
 }
 
-// Run runs the daemon until ctx ends or a part fails. The end of ctx is a
-// planned stop: the host reports not ready, stops accepting callers, and
-// waits up to ShutdownGrace for requests in flight.
-func Run(ctx context.Context, cfg *settings.Daemon, zl *zap.Logger) error {
-	logc := logservice.New(cfg.LogAddr, &http.Client{Timeout: 5 * time.Second})
+// Run runs the daemon until ctx ends or a component fails. The end of ctx is a
+// planned stop: the host reports not ready, stops accepting connections and
+// waits up to ShutdownGrace for requests in flight. Run then returns nil.
+func Run(ctx context.Context, cfg *settings.Daemon, logger *zap.Logger) error {
+	logClient := logservice.New(cfg.LogAddr, &http.Client{Timeout: 5 * time.Second})
 	targets := target.NewClient()
 	targets.AttemptTimeout = cfg.AttemptTimeout
 	var hosts *hostlist.Client
@@ -54,19 +54,19 @@
 	loop := control.New(control.Options{HostList: hosts, HostListInterval: cfg.HostListInterval, Host: cfg.Host, DataCentre: cfg.DataCentre, PollInterval: cfg.PollInterval,
 		ProbeInterval: cfg.ProbeInterval, ProbeFailures: cfg.ProbeFailures, GrantTTL: cfg.GrantTTL,
 		SnapshotEvery: cfg.SnapshotEvery, SnapshotInterval: cfg.SnapshotInterval, HeartbeatInterval: cfg.HeartbeatInterval, HeartbeatTimeout: cfg.HeartbeatTimeout,
-		RenewersPerUpstream: cfg.RenewersPerUpstream}, logc, targets, zl)
-	rt := router.New(router.Options{Host: cfg.Host, Timeout: cfg.RequestTimeout, MaxViewAge: cfg.MaxViewAge,
-		RetryAfter: cfg.RetryAfter, LatencyObjective: cfg.LatencyObjective}, loop.Table, targets, zl)
-	rt.OnFenced = func(string) { loop.Wake() }
+		RenewersPerUpstream: cfg.RenewersPerUpstream}, logClient, targets, logger)
+	callerRouter := router.New(router.Options{Host: cfg.Host, Timeout: cfg.RequestTimeout, MaxViewAge: cfg.MaxViewAge,
+		RetryAfter: cfg.RetryAfter, LatencyObjective: cfg.LatencyObjective}, loop.Table, targets, logger)
+	callerRouter.OnFenced = func(string) { loop.Wake() }
 
-	front := http.NewServeMux()
-	front.Handle("/{service}/{key...}", rt)
+	callerMux := http.NewServeMux()
+	callerMux.Handle("/{service}/{key...}", callerRouter)
 	var stopping atomic.Bool
 	adminMux := http.NewServeMux()
-	as := adminpb.NewAdminServer(&admin.Server{Host: cfg.Host, DataCentre: cfg.DataCentre, Table: loop.Table, Burns: rt.Burns})
-	adminMux.Handle(as.PathPrefix(), as)
-	rs := refusedpb.NewRefusedServer(&refused.Server{Host: cfg.Host, Crashes: rt.Crashes(), Log: zl})
-	adminMux.Handle(rs.PathPrefix(), rs)
+	adminServer := adminpb.NewAdminServer(&admin.Server{Host: cfg.Host, DataCentre: cfg.DataCentre, Table: loop.Table, Burns: callerRouter.Burns})
+	adminMux.Handle(adminServer.PathPrefix(), adminServer)
+	refusedServer := refusedpb.NewRefusedServer(&refused.Server{Host: cfg.Host, Crashes: callerRouter.Crashes(), Log: logger})
+	adminMux.Handle(refusedServer.PathPrefix(), refusedServer)
 	adminMux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
 	adminMux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if stopping.Load() || loop.Table() == nil {
@@ -81,24 +81,24 @@
 	g.Add(func() error { return loop.Run(loopCtx) }, func(error) { cancel() })
 	stopCtx, stop := context.WithCancel(ctx)
 	g.Add(func() error { <-stopCtx.Done(); return ctx.Err() }, func(error) { stop() })
-	if err := addServer(&g, cfg.Listen, front, cfg.ShutdownGrace, &stopping); err != nil {
+	if err := addServer(&g, cfg.Listen, callerMux, cfg.ShutdownGrace, &stopping); err != nil {
 		return err
 	}
 	if err := addServer(&g, cfg.AdminListen, adminMux, time.Second, nil); err != nil {
 		return err
 	}
-	zl.Info("started", zap.Int("event", events.Started), zap.String("host", cfg.Host),
+	logger.Info("started", zap.Int("event", events.Started), zap.String("host", cfg.Host),
 		zap.String("data_centre", cfg.DataCentre), zap.String("listen", cfg.Listen))
 	err := g.Run()
-	zl.Info("stopped", zap.Int("event", events.Stopped), zap.Error(err))
+	logger.Info("stopped", zap.Int("event", events.Stopped), zap.Error(err))
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
 }
 
-// addServer adds an HTTP server to g; on interrupt it marks stopping and
-// shuts down gracefully within grace.
+// addServer listens on addr and adds an HTTP server to g. On interrupt it sets
+// stopping, if not nil, and shuts the server down gracefully within grace.
 func addServer(g *run.Group, addr string, h http.Handler, grace time.Duration, stopping *atomic.Bool) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,4 +1,5 @@
-// Package daemon wires the entry-host daemon together: settings, logger,
-// log-service client, control loop, router, admin API and metrics, run as
-// one oklog/run group so that any part ending stops the whole process.
+// Package daemon assembles and runs the entry host of deployments with
+// published manifests: logger, log-service client, control loop, router,
+// admin API and metrics. All run in one oklog/run group, so that the process
+// stops when any of them fails.
 package daemon
--- a/internal/daemon/failure_test.go
+++ b/internal/daemon/failure_test.go
@@ -20,6 +20,8 @@
 
 const testKey = "job-42"
 
+// startFleet starts a fleet with one service, routeboard, that has four
+// upstreams per data centre. checked makes the targets check fencing tokens.
 func startFleet(t *testing.T, dcs []string, checked bool, hostsPerDC int) *loopback.Fleet {
 	t.Helper()
 	return startFleetFromSpec(t, loopback.Spec{DataCentres: dcs, Slots: 3, HostsPerDC: hostsPerDC,
@@ -28,7 +30,7 @@
 }
 
 // startFleetFromSpec starts a fleet, publishes its manifest and waits until every
-// entry host serves every service; the fleet is closed when tb ends.
+// entry host serves every service. It closes the fleet when tb ends.
 func startFleetFromSpec(tb testing.TB, spec loopback.Spec) *loopback.Fleet {
 	tb.Helper()
 	f, err := loopback.Start(spec)
@@ -47,6 +49,7 @@
 	return f
 }
 
+// callResult is a response to call. body is set if status is 200, else refusal.
 type callResult struct {
 	status  int
 	header  http.Header
@@ -54,6 +57,8 @@
 	refusal refusal.Refusal
 }
 
+// call sends a request without a body to url, with idemKey as idempotency key
+// unless it is empty.
 func call(t *testing.T, method, url, idemKey string) callResult {
 	t.Helper()
 	req, _ := http.NewRequest(method, url, nil)
@@ -75,24 +80,24 @@
 	return r
 }
 
-// waitServed polls host until key is answered by an upstream other than not,
-// and returns that upstream and how long it took.
-func waitServed(t *testing.T, host *loopback.Host, key, not string) (string, time.Duration) {
+// waitServed polls host until an upstream other than excluded serves key. It
+// returns that upstream and how long it took.
+func waitServed(t *testing.T, host *loopback.Host, key, excluded string) (string, time.Duration) {
 	t.Helper()
 	start := time.Now()
 	for time.Since(start) < 10*time.Second {
 		r := call(t, http.MethodGet, host.URL+"/routeboard/"+key, "")
-		if r.status == http.StatusOK && r.body.Upstream != not {
+		if r.status == http.StatusOK && r.body.Upstream != excluded {
 			return r.body.Upstream, time.Since(start)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("key %s not served by anyone but %q within 10s", key, not)
+	t.Fatalf("key %s not served by an upstream other than %q within 10s", key, excluded)
 	return "", 0
 }
 
-// lastResponseFrom reads key through host for the duration d and returns how
-// long after start the named upstream last answered (0 if never).
+// lastResponseFrom reads key through host until d after start. It returns how long
+// after start upstream last responded, 0 if it never did.
 func lastResponseFrom(t *testing.T, host *loopback.Host, key, upstream string, start time.Time, d time.Duration) time.Duration {
 	t.Helper()
 	var last time.Duration
@@ -106,10 +111,9 @@
 	return last
 }
 
-// The caller's key is served by its owner; the owner is killed; for a few
-// hundred milliseconds the caller gets OWNER_UNREACHABLE or HANDOVER, each
-// at once with Retry-After; then a new owner serves the key. The entry host
-// finds the death by probes and moves the shard after one grant lease.
+// The owner of a key is killed. The entry host detects this by health probes and
+// moves the shard after one grant TTL. Callers get OWNER_UNREACHABLE or HANDOVER
+// with Retry-After for some hundred milliseconds, then a new owner serves the key.
 func TestKeyIsServedAfterOwnerIsKilled(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
@@ -122,9 +126,8 @@
 	}
 }
 
-// A refused request gets its final answer at once, not at its deadline:
-// the caller sets a 2 s timeout, the owner has just died, and the refusal
-// (with Retry-After) must arrive far sooner than the 2 s.
+// The owner has just been killed. A caller must be refused with Retry-After at
+// once, and not only at its deadline of 2 s.
 func TestRefusalIsImmediate(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
@@ -134,28 +137,28 @@
 	r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "")
 	took := time.Since(start)
 	if r.status == http.StatusOK {
-		t.Fatalf("served by dead owner? %+v", r.body)
+		t.Fatalf("the killed owner served the request: %+v", r.body)
 	}
 	if r.header.Get("Retry-After") == "" || took > 500*time.Millisecond {
 		t.Fatalf("refusal %s took %v with Retry-After %q; want at once with Retry-After", r.refusal.Code, took, r.header.Get("Retry-After"))
 	}
 }
 
-// The owner freezes holding a grant; its keys move to a new owner after the
-// lease; when the old owner thaws it still believes it owns the shard. A
-// request carrying the old fencing token (as a stale router would send) is
-// refused as not run, because the grant lapsed while it was frozen.
+// The owner is paused while it has a grant, and its keys move to a new owner after
+// the grant TTL. When it resumes, its state still shows it as the owner. It must
+// refuse a request with the old fencing token, as a router with an old view sends
+// it, as not run, because its grant expired during the pause.
 func TestPausedOwnerIsFencedOnResume(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
 	owner, _ := waitServed(t, h, testKey, "")
-	old := f.Targets[owner]
-	old.Server.Pause()
+	oldOwner := f.Targets[owner]
+	oldOwner.Server.Pause()
 	waitServed(t, h, testKey, owner)
-	old.Server.Resume()
+	oldOwner.Server.Resume()
 
 	shard := placement.ShardOf("routeboard", testKey, manifest.DefaultShards)
-	req, _ := http.NewRequest(http.MethodPost, "http://"+old.Upstream.Addr+target.PathWork+"routeboard/"+testKey, nil)
+	req, _ := http.NewRequest(http.MethodPost, "http://"+oldOwner.Upstream.Addr+target.PathWork+"routeboard/"+testKey, nil)
 	req.Header.Set(target.HeaderShard, strconv.Itoa(shard))
 	req.Header.Set(target.HeaderFencingToken, "1")
 	req.Header.Set(target.HeaderIdempotencyKey, "stale-1")
@@ -165,23 +168,23 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusConflict || resp.Header.Get(target.HeaderNotRun) != "1" {
-		t.Fatalf("thawed old owner answered %d (not-run %q); want 409 not run", resp.StatusCode, resp.Header.Get(target.HeaderNotRun))
+		t.Fatalf("resumed old owner responded %d (not-run %q); want 409, not run", resp.StatusCode, resp.Header.Get(target.HeaderNotRun))
 	}
-	if n := old.Server.Executed("routeboard", testKey); n != 0 {
+	if n := oldOwner.Server.Executed("routeboard", testKey); n != 0 {
 		t.Fatalf("old owner ran %d operations on the key", n)
 	}
 }
 
-// Targets that do not check fencing tokens: the owner freezes, its keys
-// move, it thaws. Every caller's write through every entry host then runs
-// on the new owner only; the router alone keeps the old one from work.
+// Targets do not check fencing tokens. The owner is paused, its keys move, and it
+// resumes. Writes through every entry host must run on the new owner only: only
+// the router can keep requests from the old owner.
 func TestResumedOwnerWithoutFencingGetsNoWork(t *testing.T) {
 	f := startFleet(t, []string{"bangna", "latphrao"}, false, 1)
 	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
-	old := f.Targets[owner]
-	old.Server.Pause()
+	oldOwner := f.Targets[owner]
+	oldOwner.Server.Pause()
 	next, _ := waitServed(t, f.Hosts[0], testKey, owner)
-	old.Server.Resume()
+	oldOwner.Server.Resume()
 	for i := 0; i < 20; i++ {
 		h := f.Hosts[i%len(f.Hosts)]
 		r := call(t, http.MethodPost, h.URL+"/routeboard/"+testKey, "op-"+strconv.Itoa(i))
@@ -189,19 +192,19 @@
 			t.Fatalf("write %d served by %s, want %s", i, r.body.Upstream, next)
 		}
 	}
-	if n := old.Server.Executed("routeboard", testKey); n != 0 {
-		t.Fatalf("thawed old owner ran %d operations", n)
+	if n := oldOwner.Server.Executed("routeboard", testKey); n != 0 {
+		t.Fatalf("resumed old owner ran %d operations", n)
 	}
 }
 
-// One charge, sent through every data centre's entry host with the same
-// idempotency key, runs once on the owner; the later answers are replays.
+// A charge is sent with the same idempotency key through the entry hosts of all
+// data centres. The owner must run it once and replay the response afterwards.
 func TestNonIdempotentRunsOnce(t *testing.T) {
 	f := startFleet(t, []string{"bangna", "latphrao", "nonthaburi"}, true, 1)
 	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	for _, h := range f.Hosts {
 		if r := call(t, http.MethodPost, h.URL+"/routeboard/"+testKey, "charge-7"); r.status != http.StatusOK {
-			t.Fatalf("charge via %s: %d %+v", h.Name, r.status, r.refusal)
+			t.Fatalf("charge via %s: status %d, refusal %+v", h.Name, r.status, r.refusal)
 		}
 	}
 	if n := f.Targets[owner].Server.Executed("routeboard", testKey); n != 1 {
@@ -209,9 +212,9 @@
 	}
 }
 
-// The log service goes down. Reads keep being served from the last view
-// (a cut-off data centre serves what it can); after the view lease a write
-// is refused at once as not run with Retry-After, and nothing ran.
+// The log service fails. Reads must still be served from the last view, so that a
+// data centre that is cut off serves what it can. Once the view is older than
+// MaxViewAge, a write must be refused as not run with Retry-After and not run.
 func TestLogOutageServesReadsAndRefusesWrites(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
@@ -219,28 +222,28 @@
 	f.Log.SetFaults(logsvc.Faults{Outage: true})
 	time.Sleep(loopback.DefaultSettings().MaxViewAge + 200*time.Millisecond)
 	if r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, ""); r.status != http.StatusOK {
-		t.Fatalf("read during log outage: %d %+v", r.status, r.refusal)
+		t.Fatalf("read during log outage: status %d, refusal %+v", r.status, r.refusal)
 	}
 	r := call(t, http.MethodPost, h.URL+"/routeboard/"+testKey, "w-1")
 	if r.refusal.Code != refusal.StaleView || r.refusal.Outcome != refusal.NotRun || r.header.Get("Retry-After") == "" {
-		t.Fatalf("write during outage: %d %+v", r.status, r.refusal)
+		t.Fatalf("write during log outage: status %d, refusal %+v", r.status, r.refusal)
 	}
 	if n := f.Targets[owner].Server.Executed("routeboard", testKey); n != 0 {
 		t.Fatalf("refused write ran %d times", n)
 	}
 }
 
-// Every append's answer is lost after the write took effect. An owner dies;
-// entry hosts must still agree on one new placement (they find their own
-// records by reading back) and the key is served again.
+// The response to every append is lost after the write took effect, and an owner is
+// killed. Entry hosts find their own records by reading the log back, so they must
+// still agree on one new placement and serve the key again.
 func TestPlacementConvergesWhenAppendAcksAreLost(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 2)
 	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	f.Log.SetFaults(logsvc.Faults{LoseAckRate: 1})
 	f.Targets[owner].Kill()
-	a, _ := waitServed(t, f.Hosts[0], testKey, owner)
-	b, _ := waitServed(t, f.Hosts[1], testKey, owner)
-	if a != b {
-		t.Fatalf("entry hosts disagree on the new owner: %s vs %s", a, b)
+	ownerAtFirst, _ := waitServed(t, f.Hosts[0], testKey, owner)
+	ownerAtSecond, _ := waitServed(t, f.Hosts[1], testKey, owner)
+	if ownerAtFirst != ownerAtSecond {
+		t.Fatalf("entry hosts disagree on the new owner: %s and %s", ownerAtFirst, ownerAtSecond)
 	}
 }
--- a/internal/daemon/membership_test.go
+++ b/internal/daemon/membership_test.go
@@ -8,11 +8,10 @@
 	"github.com/papayatide/papayatide/internal/standin/loopback"
 )
 
-// Each upstream is renewed by two of the data centre's three entry hosts.
-// Both renewers of the key's owner stop; the owner's grant lapses and the
-// caller at the third host is refused (FENCED, at once, Retry-After) until
-// the stopped hosts' heartbeats age past the host lease, when the third
-// host takes the renewal over and the key is served again by its owner.
+// Two of a data centre's three entry hosts renew each upstream's grant. Both
+// renewers of the key's owner stop and its grant expires. The third host gets
+// FENCED with Retry-After until their heartbeats have timed out. It must then take over
+// the renewal, so that the owner serves the key again.
 func TestSurvivingHostTakesOverGrantRenewal(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 3)
 	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
@@ -36,8 +35,8 @@
 		}
 	}
 	time.Sleep(loopback.DefaultSettings().GrantTTL * 2)
-	got, took := waitServed(t, survivor, testKey, "")
-	t.Logf("owner %s renewed by %v; served by %s via %s %v after they stopped", owner, renewers, got, survivor.Name, time.Since(start))
+	server, took := waitServed(t, survivor, testKey, "")
+	t.Logf("owner %s, renewers %v: %s served the key via %s %v after the renewers stopped", owner, renewers, server, survivor.Name, time.Since(start))
 	if took > 3*time.Second {
 		t.Fatalf("served again after %v; want under 3s", took)
 	}
--- a/internal/daemon/model_test.go
+++ b/internal/daemon/model_test.go
@@ -13,38 +13,38 @@
 	"github.com/papayatide/papayatide/internal/standin/loopback"
 )
 
-// fleetUnderTest is a running loopback fleet driven by commands.
+// fleetUnderTest is a running loopback fleet on which commands run.
 type fleetUnderTest struct {
-	t          *testing.T
-	fleet      *loopback.Fleet
-	targets    []string
-	writeCount int
-	writes     []writeResult
-	stopped    map[int]bool
+	t           *testing.T
+	fleet       *loopback.Fleet
+	targetNames []string
+	writeCount  int
+	writes      []writeResult
+	stopped     map[int]bool
 }
 
-// writeResult is one write and what its caller was told; the oracle is
-// the list of them, checked against what the targets ran.
+// writeResult is one write with the response that its caller got. The oracle
+// compares all of them with the executions that the targets counted.
 type writeResult struct {
 	key, idempotencyKey string
 	status              int
 	outcome             refusal.Outcome
 }
 
-var fuzzKeys = []string{"sheet-1", "sheet-2", "sheet-3", "booking-9"}
+var modelKeys = []string{"sheet-1", "sheet-2", "sheet-3", "booking-9"}
 
-// writeCmd sends a charge with a fresh idempotency key through one host.
+// writeCmd sends a charge with a new idempotency key through one host.
 type writeCmd struct{ key, host int }
 
 func (c writeCmd) Run(sut commands.SystemUnderTest) commands.Result {
 	s := sut.(*fleetUnderTest)
 	s.writeCount++
-	idem := fmt.Sprintf("op-%d", s.writeCount)
-	r := call(s.t, http.MethodPost, s.fleet.Hosts[c.host].URL+"/routeboard/"+fuzzKeys[c.key], idem)
-	if r.status == http.StatusOK && r.body.Key != fuzzKeys[c.key] {
-		s.t.Errorf("caller for %s got the answer for %s", fuzzKeys[c.key], r.body.Key)
+	idempotencyKey := fmt.Sprintf("op-%d", s.writeCount)
+	r := call(s.t, http.MethodPost, s.fleet.Hosts[c.host].URL+"/routeboard/"+modelKeys[c.key], idempotencyKey)
+	if r.status == http.StatusOK && r.body.Key != modelKeys[c.key] {
+		s.t.Errorf("caller for %s received the response for %s", modelKeys[c.key], r.body.Key)
 	}
-	w := writeResult{key: fuzzKeys[c.key], idempotencyKey: idem, status: r.status, outcome: r.refusal.Outcome}
+	w := writeResult{key: modelKeys[c.key], idempotencyKey: idempotencyKey, status: r.status, outcome: r.refusal.Outcome}
 	s.writes = append(s.writes, w)
 	return w
 }
@@ -58,19 +58,19 @@
 	return gopter.NewPropResult(true, "")
 }
 func (c writeCmd) String() string {
-	return fmt.Sprintf("write(%s via host %d)", fuzzKeys[c.key], c.host)
+	return fmt.Sprintf("write(%s via host %d)", modelKeys[c.key], c.host)
 }
 
-// toggleCmd kills a running target, or restarts a killed one with fresh
-// state, as a replaced process would come back.
+// toggleCmd kills a running target, or restarts a killed one without its state,
+// like a replaced process.
 type toggleCmd struct{ target int }
 
 func (c toggleCmd) Run(sut commands.SystemUnderTest) commands.Result {
 	s := sut.(*fleetUnderTest)
-	tg := s.fleet.Targets[s.targets[c.target]]
+	tg := s.fleet.Targets[s.targetNames[c.target]]
 	if s.stopped[c.target] {
 		if err := tg.Start(); err != nil {
-			s.t.Errorf("restart %s: %v", s.targets[c.target], err)
+			s.t.Errorf("restart %s: %v", s.targetNames[c.target], err)
 		}
 	} else {
 		tg.Kill()
@@ -85,17 +85,16 @@
 }
 func (c toggleCmd) String() string { return fmt.Sprintf("toggle(target %d)", c.target) }
 
-// TestFleetAgainstOracle runs random writes, target kills and restarts
-// against a live loopback fleet (two entry hosts, three upstreams). After
-// each sequence, for every write: a caller told "not run" finds it ran on
-// no target, and no write ran more than once anywhere.
+// Runs random sequences of writes, target kills and target restarts on a fleet with
+// two entry hosts. Afterwards no write may have run more than once over all
+// targets, and one refused as not run must not have run on any.
 func TestFleetAgainstOracle(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 2)
 	names := make([]string, 0, len(f.Manifest.Services[0].Upstreams))
 	for _, u := range f.Manifest.Services[0].Upstreams {
 		names = append(names, u.Name)
 	}
-	sut := &fleetUnderTest{t: t, fleet: f, targets: names, stopped: map[int]bool{}}
+	sut := &fleetUnderTest{t: t, fleet: f, targetNames: names, stopped: map[int]bool{}}
 	cmds := &commands.ProtoCommands{
 		NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest { return sut },
 		DestroySystemUnderTestFunc: func(commands.SystemUnderTest) {
@@ -109,7 +108,7 @@
 		InitialStateGen: gen.Const(struct{}{}),
 		GenCommandFunc: func(commands.State) gopter.Gen {
 			return gen.Weighted([]gen.WeightedGen{
-				{Weight: 6, Gen: gopter.CombineGens(gen.IntRange(0, len(fuzzKeys)-1), gen.IntRange(0, 1)).
+				{Weight: 6, Gen: gopter.CombineGens(gen.IntRange(0, len(modelKeys)-1), gen.IntRange(0, 1)).
 					Map(func(v []any) commands.Command { return writeCmd{key: v[0].(int), host: v[1].(int)} })},
 				{Weight: 2, Gen: gen.IntRange(0, len(names)-1).
 					Map(func(v int) commands.Command { return toggleCmd{target: v} })},
@@ -125,9 +124,9 @@
 	checkExecutions(t, f, sut.writes)
 }
 
-// checkExecutions asserts the oracle over every write sent: none ran more than
-// once over all targets and their restarts; one answered 200 ran once; one
-// refused as not run ran nowhere.
+// checkExecutions checks each write against the executions counted by all targets,
+// those before their restarts included: a write ran at most once, exactly once if
+// its response was 200, and never if it was refused as not run.
 func checkExecutions(t *testing.T, f *loopback.Fleet, writes []writeResult) {
 	t.Helper()
 	notRun := 0
@@ -140,7 +139,7 @@
 		case runs > 1:
 			t.Fatalf("%s on %s ran %d times", w.idempotencyKey, w.key, runs)
 		case w.status == http.StatusOK && runs != 1:
-			t.Fatalf("%s on %s answered 200 but ran %d times", w.idempotencyKey, w.key, runs)
+			t.Fatalf("%s on %s got 200 but ran %d times", w.idempotencyKey, w.key, runs)
 		case w.outcome == refusal.NotRun && runs != 0:
 			t.Fatalf("%s on %s refused as not run but ran", w.idempotencyKey, w.key)
 		}
@@ -148,9 +147,10 @@
 			notRun++
 		}
 	}
-	t.Logf("%d writes checked, %d refused as not run, %d answered", len(writes), notRun, countOK(writes))
+	t.Logf("%d writes checked, %d refused as not run, %d got 200", len(writes), notRun, countOK(writes))
 }
 
+// countOK returns how many writes got 200.
 func countOK(writes []writeResult) int {
 	n := 0
 	for _, w := range writes {
--- a/internal/daemon/path_bench_test.go
+++ b/internal/daemon/path_bench_test.go
@@ -14,19 +14,19 @@
 	stand "github.com/papayatide/papayatide/internal/standin/target"
 )
 
-// BenchmarkPath measures keyed GETs through one entry host to 20 target
-// stand-ins (work time 0) on loopback, in parallel, and reports the
-// latency quantiles the caller sees.
+// BenchmarkPath measures parallel GETs through one entry host to 20 stand-in
+// targets on loopback. Targets respond at once. It reports the latency quantiles
+// of the callers.
 func BenchmarkPath(b *testing.B) {
 	f := startFleetFromSpec(b, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 64, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 20, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{}})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
-	done := make(chan []float64, 64)
+	perWorker := make(chan []float64, 64)
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
-		var local []float64
-		defer func() { done <- local }()
+		var latencies []float64
+		defer func() { perWorker <- latencies }()
 		i := 0
 		for pb.Next() {
 			i++
@@ -42,13 +42,13 @@
 				b.Errorf("status %d", resp.StatusCode)
 				return
 			}
-			local = append(local, float64(time.Since(start).Microseconds()))
+			latencies = append(latencies, float64(time.Since(start).Microseconds()))
 		}
 	})
 	b.StopTimer()
-	close(done)
+	close(perWorker)
 	h := histogram.NewFast()
-	for samples := range done {
+	for samples := range perWorker {
 		for _, v := range samples {
 			h.Update(v)
 		}
--- a/internal/daemon/responses_test.go
+++ b/internal/daemon/responses_test.go
@@ -15,10 +15,10 @@
 	"github.com/papayatide/papayatide/rpc/adminpb"
 )
 
-// Every target hands each caller the answer meant for the request before.
-// Callers never see another's answer: each gets 502 CROSSED_ANSWER with
-// outcome unknown (the work may have run), because the answer's request id
-// is not the one the router sent.
+// Every target responds with the response to its previous request. No caller
+// may receive another caller's response: the response's request ID is not the
+// one that the router sent, so the router refuses with 502 CROSSED_ANSWER and
+// outcome unknown, as the target may have executed the request.
 func TestMismatchedResponseNeverReachesCaller(t *testing.T) {
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
@@ -27,20 +27,18 @@
 	for _, key := range []string{"a", "b", "c", "d"} {
 		r := call(t, http.MethodGet, h.URL+"/routeboard/"+key, "")
 		if r.status == http.StatusOK && r.body.Key != key {
-			t.Fatalf("caller for %s got the answer for %s", key, r.body.Key)
+			t.Fatalf("caller for %s received the response for %s", key, r.body.Key)
 		}
 		if r.status != http.StatusOK && (r.refusal.Code != refusal.MismatchedResponse || r.refusal.Outcome != refusal.Unknown) {
-			t.Fatalf("key %s: %d %+v; want CROSSED_ANSWER, unknown", key, r.status, r.refusal)
+			t.Fatalf("key %s: status %d, refusal %+v; want CROSSED_ANSWER, outcome unknown", key, r.status, r.refusal)
 		}
 	}
 }
 
-// The log keeps records for 300 ms only (snapshots every 150 ms), so the
-// placement records of bangna's services are gone when a new latphrao
-// entry host starts; only
-// bangna's hosts may write bangna's placement, so the newcomer cannot
-// re-propose it. It must still route to bangna's owners, learnt from a
-// snapshot: its status shows the same bangna members as a bangna host's.
+// The log retains records for 300 ms, so bangna's placement records are gone
+// when a new entry host starts in latphrao. The new host can't propose that
+// placement again, as only bangna's hosts may write it. It has to read it from
+// a snapshot (one every 150 ms) and report the same members as a bangna host.
 func TestNewHostReadsSnapshotAfterLogRetention(t *testing.T) {
 	settings := loopback.DefaultSettings()
 	settings.SnapshotInterval = 150 * time.Millisecond
@@ -48,21 +46,23 @@
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}, {Name: "plantdesk", Upstreams: 4, FencingChecked: true}},
 		Settings: settings, Retention: 300 * time.Millisecond})
 	time.Sleep(500 * time.Millisecond)
-	late, err := f.AddHost("latphrao-late", "latphrao")
+	newHost, err := f.AddHost("latphrao-late", "latphrao")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if err := f.WaitReady(ctx); err != nil {
-		t.Fatalf("late host: %v", err)
+		t.Fatalf("new host is not ready: %v", err)
 	}
-	want, got := bangnaMembers(t, f.Hosts[0]), bangnaMembers(t, late)
+	want, got := bangnaMembers(t, f.Hosts[0]), bangnaMembers(t, newHost)
 	if len(want) == 0 || !maps.Equal(want, got) {
-		t.Fatalf("late host's bangna members %v, bangna host's %v", got, want)
+		t.Fatalf("bangna members are %v at the new host, %v at a bangna host", got, want)
 	}
 }
 
+// bangnaMembers returns the shard count of each member upstream in bangna, as
+// h reports it.
 func bangnaMembers(t *testing.T, h *loopback.Host) map[string]int32 {
 	t.Helper()
 	st, err := adminpb.NewAdminProtobufClient(h.AdminURL, http.DefaultClient).Status(context.Background(), &adminpb.StatusRequest{})
@@ -80,10 +80,10 @@
 	return out
 }
 
-// Every connection open to the key's owner goes silent for good, while new
-// connections work. A caller's read is first tried on a pooled (silent)
-// connection; after the attempt timeout it is retried on a new connection
-// and answered, long before the caller's 2 s deadline.
+// All connections open to the key's owner stop carrying data, while new
+// connections work. A read sent on a pooled connection gets no response; after
+// the attempt timeout it is retried on a new connection and must succeed well
+// before the caller's 2 s deadline.
 func TestReadOnSilentConnectionIsRetried(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
@@ -93,25 +93,24 @@
 	r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "")
 	took := time.Since(start)
 	if r.status != http.StatusOK || r.body.Upstream != owner {
-		t.Fatalf("read over silent connections: %d %+v after %v", r.status, r.refusal, took)
+		t.Fatalf("read over silent connections: status %d, refusal %+v after %v", r.status, r.refusal, took)
 	}
 	if took > time.Second {
-		t.Fatalf("read answered after %v; want well under the 2 s deadline", took)
+		t.Fatalf("read took %v; want well under the 2 s deadline", took)
 	}
-	t.Logf("answered after %v", took)
+	t.Logf("read took %v", took)
 }
 
-// Callers send requests for 50 service names the manifest does not have.
-// Each gets 404 UNKNOWN_SERVICE at once, and the host's burn counts hold
-// one bucket for all of them, not one per name (which would let callers
-// grow the host's memory without bound).
+// Callers request 50 service names that are not in the manifest. Each gets 404
+// UNKNOWN_SERVICE, and the host counts all of them under one name: one counter
+// per name would let callers grow the host's memory without bound.
 func TestUnknownServicesShareOneBurnCount(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
 	for i := 0; i < 50; i++ {
 		r := call(t, http.MethodGet, h.URL+"/nosuch-"+strconv.Itoa(i)+"/k", "")
 		if r.refusal.Code != refusal.UnknownService {
-			t.Fatalf("unknown service %d: %d %+v", i, r.status, r.refusal)
+			t.Fatalf("unknown service %d: status %d, refusal %+v", i, r.status, r.refusal)
 		}
 	}
 	b, err := adminpb.NewAdminProtobufClient(h.AdminURL, http.DefaultClient).Burn(context.Background(), &adminpb.BurnRequest{})
@@ -123,6 +122,6 @@
 		names[w.Service] = true
 	}
 	if len(names) > 2 {
-		t.Fatalf("burn counts kept %d service names; want routeboard and one for unknown", len(names))
+		t.Fatalf("%d service names have burn counts; want routeboard and one for unknown services", len(names))
 	}
 }
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -13,9 +13,9 @@
 	stand "github.com/papayatide/papayatide/internal/standin/target"
 )
 
-// An operator drains the key's owner. Callers keep getting whole answers
-// (after at most one handover refusal with Retry-After); from one grant
-// lease after the drain on, the drained upstream gets no new work.
+// An operator drains the key's owner. Callers must still get complete responses,
+// after at most one HANDOVER refusal with Retry-After, and the drained upstream
+// must get no new work from one grant TTL after the drain on.
 func TestDrainedUpstreamGetsNoNewWork(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
@@ -28,38 +28,38 @@
 		t.Fatal(err)
 	}
 	last := lastResponseFrom(t, h, testKey, owner, drained, 2*time.Second)
-	t.Logf("drained upstream's last answer %v after the drain", last)
+	t.Logf("last response of the drained upstream was %v after the drain", last)
 	if last > time.Second {
 		t.Fatalf("drained upstream still served %v after the drain", last)
 	}
 	if _, took := waitServed(t, h, testKey, owner); took > time.Second {
-		t.Fatalf("key not served by a new owner %v after the drain", took)
+		t.Fatalf("a new owner served the key only %v after the drain", took)
 	}
 }
 
-// A request is in flight at a slow target when its entry host gets a
-// planned stop. The caller still gets the whole answer: the host stops
-// taking new callers but waits for requests in flight.
+// A request is in flight at a slow target when its entry host is stopped as planned.
+// The host accepts no new connections but must wait for requests in flight, so the
+// caller still gets the complete response.
 func TestPlannedStopCompletesInFlightRequests(t *testing.T) {
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: 300 * time.Millisecond}})
 	h := f.Hosts[0]
-	got := make(chan callResult, 1)
-	go func() { got <- call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "") }()
+	results := make(chan callResult, 1)
+	go func() { results <- call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "") }()
 	time.Sleep(100 * time.Millisecond)
 	if err := h.Stop(); err != nil {
 		t.Fatalf("planned stop: %v", err)
 	}
-	if r := <-got; r.status != http.StatusOK || r.body.Key != testKey {
-		t.Fatalf("request in flight during planned stop got %d %+v", r.status, r.refusal)
+	if r := <-results; r.status != http.StatusOK || r.body.Key != testKey {
+		t.Fatalf("request in flight during planned stop: status %d, refusal %+v", r.status, r.refusal)
 	}
 }
 
-// The platform's host list (500 ms behind) marks the key's owner as
-// leaving. Callers keep getting whole answers, after at most a handover
-// refusal with Retry-After; once the list shows it, the leaving target gets
-// no new work after one grant lease.
+// The platform's host list, which lags by 500 ms, marks the key's owner as leaving.
+// Callers must still get complete responses, after at most one HANDOVER refusal with
+// Retry-After, and the leaving target must get no new work from one grant TTL after
+// the list shows the mark.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
@@ -69,7 +69,7 @@
 	marked := time.Now()
 	f.HostList.Set(f.Targets[owner].Upstream.Addr, hostlist.Leaving)
 	last := lastResponseFrom(t, h, testKey, owner, marked, 3*time.Second)
-	t.Logf("leaving target's last answer %v after it was marked", last)
+	t.Logf("last response of the leaving target was %v after it was marked", last)
 	if last > 2*time.Second {
 		t.Fatalf("leaving target still served %v after it was marked", last)
 	}
