--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,3 +1,4 @@
-// Package admin serves the entry host's admin API (twirp) that the
-// papayatide command-line tool reads: the manifest and placement in force.
+// Package admin serves the admin API (twirp) of an entry host with a published
+// manifest: the manifest and placement in force, and counts for burn rates. The
+// papayatide command-line tool is its client.
 package admin
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -11,7 +11,8 @@
 	"github.com/papayatide/papayatide/rpc/adminpb"
 )
 
-// Server implements adminpb.Admin over the routing table in force.
+// Server implements adminpb.Admin. Table returns the routing table in force, nil if
+// there is none yet.
 type Server struct {
 	Host       string
 	DataCentre string
@@ -19,40 +20,41 @@
 	Burns      *burn.Recorder
 }
 
-// Status implements adminpb.Admin.
+// Status returns the manifest and, for each upstream, its placement. The epochs are
+// the newest of all data centres. It fails with Unavailable without a routing table.
 func (s *Server) Status(ctx context.Context, _ *adminpb.StatusRequest) (*adminpb.StatusResponse, error) {
-	t := s.Table()
-	if t == nil {
+	table := s.Table()
+	if table == nil {
 		return nil, twirp.NewError(twirp.Unavailable, "no manifest in force yet")
 	}
-	resp := &adminpb.StatusResponse{Host: s.Host, DataCentre: s.DataCentre, Deployment: t.Manifest.Deployment,
-		ManifestOffset: t.ManifestOffset, ViewAgeMs: time.Since(t.ViewAt).Milliseconds()}
-	for _, spec := range t.Manifest.Services {
-		rs := t.Services[spec.Name]
-		ss := &adminpb.ServiceStatus{Name: spec.Name}
+	resp := &adminpb.StatusResponse{Host: s.Host, DataCentre: s.DataCentre, Deployment: table.Manifest.Deployment,
+		ManifestOffset: table.ManifestOffset, ViewAgeMs: time.Since(table.ViewAt).Milliseconds()}
+	for _, spec := range table.Manifest.Services {
+		route := table.Services[spec.Name]
+		status := &adminpb.ServiceStatus{Name: spec.Name}
 		shards := map[string]int32{}
-		member := map[string]bool{}
-		for _, a := range rs.ByDC {
-			if a == nil {
+		members := map[string]bool{}
+		for _, assignment := range route.ByDC {
+			if assignment == nil {
 				continue
 			}
-			ss.Epoch = max(ss.Epoch, a.Epoch)
-			for _, m := range a.Members {
-				member[m.Name] = true
-				shards[m.Name] = int32(len(a.ShardsOf(m.Name)))
+			status.Epoch = max(status.Epoch, assignment.Epoch)
+			for _, m := range assignment.Members {
+				members[m.Name] = true
+				shards[m.Name] = int32(len(assignment.ShardsOf(m.Name)))
 			}
 		}
-		resp.PlacementEpoch = max(resp.PlacementEpoch, ss.Epoch)
+		resp.PlacementEpoch = max(resp.PlacementEpoch, status.Epoch)
 		for _, u := range spec.Upstreams {
-			ss.Upstreams = append(ss.Upstreams, &adminpb.UpstreamStatus{Name: u.Name, Addr: u.Addr,
-				DataCentre: u.DataCentre, Member: member[u.Name], Shards: shards[u.Name]})
+			status.Upstreams = append(status.Upstreams, &adminpb.UpstreamStatus{Name: u.Name, Addr: u.Addr,
+				DataCentre: u.DataCentre, Member: members[u.Name], Shards: shards[u.Name]})
 		}
-		resp.Services = append(resp.Services, ss)
+		resp.Services = append(resp.Services, status)
 	}
 	return resp, nil
 }
 
-// Burn implements adminpb.Admin.
+// Burn returns the request counts of each service and window.
 func (s *Server) Burn(ctx context.Context, _ *adminpb.BurnRequest) (*adminpb.BurnResponse, error) {
 	resp := &adminpb.BurnResponse{Host: s.Host}
 	for _, c := range s.Burns.Snapshot(time.Now()) {
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -7,46 +7,49 @@
 	"time"
 )
 
-// BucketWidth is the time one bucket covers.
+// BucketWidth is the time that one bucket covers.
 const BucketWidth = 10 * time.Second
 
-// Buckets covers one hour, the longest window reported.
+// Buckets is the number of buckets per service. They cover one hour, the longest of
+// Windows.
 const Buckets = 360
 
-// Windows are the windows reported, short first: a fast burn shows in the
-// first, a slow leak in the last.
+// Windows are the reported windows in ascending order. The short one shows a fast
+// burn early, the long one shows a slow burn.
 var Windows = []time.Duration{5 * time.Minute, time.Hour}
 
+// bucket counts the requests of one BucketWidth.
 type bucket struct {
-	number           int64 // bucket number, from the recorder's first time on
+	number           int64 // counted from Recorder.origin, see bucketNumber
 	total, bad, slow int64
 }
 
-// Counts are one service's requests over one window.
+// Counts are the counts of one service's requests in one window. Bad is the number
+// of refused requests, Slow that of requests slower than the latency objective.
 type Counts struct {
 	Service          string
 	Window           time.Duration
 	Total, Bad, Slow int64
 }
 
-// Recorder counts requests. It is safe for concurrent use; the lock is
-// held for a few additions per request.
+// Recorder counts requests. It is safe for concurrent use; its lock is held only for a
+// few additions per request.
 type Recorder struct {
-	// LatencyObjective is the latency past which a request counts as slow.
+	// LatencyObjective is the latency above which a request counts as slow.
 	LatencyObjective time.Duration
 	mu               sync.Mutex
 	services         map[string]*[Buckets]bucket
-	// origin is the first time that was told. Buckets are counted from it by
-	// the steady clock: the time of day may jump.
+	// origin is the time of the first call. Buckets are numbered from it by the
+	// monotonic clock, as the wall clock may jump.
 	origin time.Time
 }
 
-// NewRecorder returns a recorder with the given latency objective.
+// NewRecorder returns a recorder with latency as its LatencyObjective.
 func NewRecorder(latency time.Duration) *Recorder {
 	return &Recorder{LatencyObjective: latency, services: map[string]*[Buckets]bucket{}}
 }
 
-// bucketNumber returns the number of the bucket of a time. The caller holds mu.
+// bucketNumber returns the number of the bucket that contains now. The caller holds mu.
 func (r *Recorder) bucketNumber(now time.Time) int64 {
 	if r.origin.IsZero() {
 		r.origin = now
@@ -55,8 +58,8 @@
 	return int64(now.Sub(r.origin)/BucketWidth) + Buckets
 }
 
-// Record counts one request of service answered at now after took; bad
-// says it was refused for a cause other than the caller's own.
+// Record counts a request of service that completed at now after the duration took. bad is
+// set if it was refused for a reason that the caller did not cause.
 func (r *Recorder) Record(service string, bad bool, took time.Duration, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,17 +82,17 @@
 	}
 }
 
-// Snapshot returns every service's counts over each of Windows at now,
-// sorted by service then window.
+// Snapshot returns the counts of every service in each of Windows up to now, sorted by
+// service, then by window.
 func (r *Recorder) Snapshot(now time.Time) []Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := r.bucketNumber(now)
 	var out []Counts
-	for svc, ring := range r.services {
-		for _, w := range Windows {
-			c := Counts{Service: svc, Window: w}
-			oldest := n - int64(w/BucketWidth) + 1
+	for service, ring := range r.services {
+		for _, window := range Windows {
+			c := Counts{Service: service, Window: window}
+			oldest := n - int64(window/BucketWidth) + 1
 			for _, b := range ring {
 				if b.number >= oldest && b.number <= n {
 					c.Total += b.total
@@ -109,12 +112,13 @@
 	return out
 }
 
-// fewestBad is how many failures the budget must allow in a window before a
-// burn is told: with less, one failed request looks like a burn of hundreds.
+// minAllowedFailures is how many failures the error budget must allow in a window for
+// a burn rate to be reported. Otherwise one failed request looks like a rate of
+// hundreds.
 const minAllowedFailures = 1
 
-// MinRequests returns how many requests a window needs for its burn of the
-// objective to mean anything: 1,000 for 0.999.
+// MinRequests returns how many requests a window needs for a meaningful burn rate of
+// the objective: 1,000 for 0.999.
 func MinRequests(objective float64) int64 {
 	if objective >= 1 {
 		return 1
@@ -122,13 +126,13 @@
 	return int64(math.Ceil(minAllowedFailures/(1-objective) - roundingTolerance))
 }
 
-// rounding keeps 1/(1-0.999), which is a little over 1,000 in floating point,
-// from counting as 1,001.
+// roundingTolerance is subtracted before rounding up: 1/(1-0.999) is slightly above
+// 1,000 in floating point and would give 1,001.
 const roundingTolerance = 1e-6
 
-// Rate returns how many times faster than allowed the error budget of an
-// objective (e.g. 0.999) is being spent: 1 spends it exactly over the
-// objective's period, 14.4 over an hour spends a 30-day budget in ~2 days.
+// Rate returns the burn rate of an objective such as 0.999. A rate of 1 spends the
+// error budget exactly in the objective's period; 14.4 spends a 30-day budget in some
+// two days.
 func Rate(bad, total int64, objective float64) float64 {
 	if total == 0 || objective >= 1 {
 		return 0
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,4 +1,4 @@
-// Package logsink writes log lines without ever making their writers wait.
+// Package logsink writes log lines asynchronously, so that logging never blocks.
 package logsink
 
 import (
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// Sink is a writer whose Write only queues. Lines that find the queue full
-// are dropped and counted: a reader of the log that stalls must not stall
+// Sink queues lines and writes them to its output in the background. It drops and
+// counts lines while the queue is full: a stalled reader of the log must not block
 // requests, and memory must stay bounded.
 type Sink struct {
 	lines   chan []byte
@@ -18,11 +18,10 @@
 	once    sync.Once
 }
 
-// queued bounds the lines that wait; at some 400 bytes a line this is under
-// a megabyte.
+// maxQueuedLines takes less than a megabyte with lines of some 400 bytes.
 const maxQueuedLines = 2048
 
-// New returns a sink that writes to out.
+// New returns a sink that writes to out until it is closed.
 func New(out io.Writer) *Sink {
 	s := &Sink{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go s.run(out)
@@ -32,12 +31,12 @@
 func (s *Sink) run(out io.Writer) {
 	defer close(s.done)
 	for line := range s.lines {
-		// There is nowhere to report that the log cannot be written.
+		// A write error can't be reported anywhere else.
 		_, _ = out.Write(line)
 	}
 }
 
-// Write queues one line.
+// Write queues a copy of one line. It never fails and never blocks.
 func (s *Sink) Write(p []byte) (int, error) {
 	select {
 	case s.lines <- bytes.Clone(p):
@@ -50,10 +49,10 @@
 // Sync implements zapcore.WriteSyncer.
 func (s *Sink) Sync() error { return nil }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes out what is queued. Nothing may be written after it.
+// Close waits until all queued lines are written. Write must not be called after it.
 func (s *Sink) Close() {
 	s.once.Do(func() { close(s.lines) })
 	<-s.done
--- a/internal/manifest/doc.go
+++ b/internal/manifest/doc.go
@@ -1,7 +1,7 @@
-// Package manifest holds the operators' manifests: the services, data
-// centres and upstreams of one deployment, as the build pipeline generates
-// them and operators publish them to the log service.
+// Package manifest defines manifests: the services, data centres and upstreams of
+// one deployment. A build pipeline generates them as JSON, and operators publish
+// them to the log service.
 //
-// A manifest is JSON (encoding/json); Parse checks it whole before anything
-// uses it, so a manifest that fails validation changes nothing in force.
+// Parse validates a whole manifest before any of it is used, so an invalid manifest
+// leaves the previous one in force.
 package manifest
--- a/internal/manifest/examples.go
+++ b/internal/manifest/examples.go
@@ -12,9 +12,9 @@
 //go:embed examples/*.json
 var examples embed.FS
 
-// Example returns a shipped manifest by name ("siam-sludge",
-// "shannonvale"). The shipped manifests put every upstream on loopback so
-// the whole path runs on one machine.
+// Example returns an embedded example manifest by name ("siam-sludge",
+// "shannonvale"). Its upstreams have loopback addresses, so that entry hosts and
+// targets can run on one machine.
 func Example(name string) ([]byte, error) {
 	data, err := examples.ReadFile("examples/" + name + ".json")
 	if err != nil {
@@ -23,36 +23,37 @@
 	return data, nil
 }
 
-// ExampleNames lists the shipped manifests.
+// ExampleNames returns the names of the example manifests, sorted.
 func ExampleNames() []string {
 	entries, _ := examples.ReadDir("examples")
 	var names []string
-	for _, e := range entries {
-		names = append(names, strings.TrimSuffix(e.Name(), ".json"))
+	for _, entry := range entries {
+		names = append(names, strings.TrimSuffix(entry.Name(), ".json"))
 	}
 	sort.Strings(names)
 	return names
 }
 
-// ServiceSize is one row of a generated manifest: a service and how many
-// upstreams it has.
+// ServiceSize describes one service of a generated manifest by its name and its
+// number of upstreams.
 type ServiceSize struct {
 	Name           string
 	Upstreams      int
 	FencingChecked bool
 }
 
-// Generate builds a loopback manifest with upstreams spread round-robin
-// over the data centres and ports counted up from firstPort. It is how the
-// shipped examples were made and how benchmarks build larger ones.
+// Generate returns a manifest whose upstreams have loopback addresses with
+// consecutive ports from firstPort on, round-robin over the data centres dcs. slots
+// and conns are each upstream's Slots and Connections. The examples were generated
+// by it; tests and benchmarks use it as well.
 func Generate(deployment string, dcs []string, services []ServiceSize, slots, conns, firstPort int) *Manifest {
 	m := &Manifest{Deployment: deployment, DataCentres: dcs}
 	port := firstPort
-	for _, ss := range services {
-		s := Service{Name: ss.Name, FencingChecked: ss.FencingChecked}
-		for i := 0; i < ss.Upstreams; i++ {
+	for _, size := range services {
+		s := Service{Name: size.Name, FencingChecked: size.FencingChecked}
+		for i := 0; i < size.Upstreams; i++ {
 			s.Upstreams = append(s.Upstreams, Upstream{
-				Name:        fmt.Sprintf("%s-%02d", ss.Name, i+1),
+				Name:        fmt.Sprintf("%s-%02d", size.Name, i+1),
 				Addr:        fmt.Sprintf("127.0.0.1:%d", port),
 				DataCentre:  dcs[i%len(dcs)],
 				Slots:       slots,
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -10,54 +10,53 @@
 	"github.com/rotisserie/eris"
 )
 
-// DefaultShards is the number of shards a service's keys are hashed into
-// when its manifest names none. Placement moves whole shards, so the count
-// bounds both the smallest unit of churn and the size of a grant.
+// DefaultShards is the number of shards of a service whose manifest sets none.
+// Placement moves whole shards: fewer shards move more keys at once, more shards
+// make grants larger.
 const DefaultShards = 4096
 
-// MaxShards bounds a service's shard count so that a placement table stays
-// a few hundred kilobytes per service.
+// MaxShards is the most shards that a service may have. It limits the service's
+// placement table to a few hundred kilobytes.
 const MaxShards = 1 << 16
 
 // Manifest describes one deployment: its data centres and services.
 type Manifest struct {
-	// Deployment names the customer deployment, e.g. "siam-sludge".
+	// Deployment is the name of the customer's deployment, e.g. "siam-sludge".
 	Deployment string `json:"deployment"`
-	// DataCentres lists the data centres by name.
-	DataCentres []string `json:"data_centres"`
-	// Services lists the keyed services.
-	Services []Service `json:"services"`
+	// DataCentres are the names of the data centres.
+	DataCentres []string  `json:"data_centres"`
+	Services    []Service `json:"services"`
 }
 
-// Service is one keyed service whose keys are divided among upstreams.
+// Service is a service whose keys are divided among its upstreams.
 type Service struct {
 	// Name is the service name used in request paths, e.g. "routeboard".
 	Name string `json:"name"`
-	// Shards is the number of shards keys hash into (0 means DefaultShards).
+	// Shards is the number of shards that keys hash to; 0 means DefaultShards.
 	Shards int `json:"shards,omitempty"`
-	// FencingChecked says the service's targets check fencing tokens; when
-	// false the router alone keeps a second owner from getting work.
+	// FencingChecked is set if the service's targets check fencing tokens. If
+	// they don't, only the router keeps requests from a previous owner.
 	FencingChecked bool `json:"fencing_checked"`
 	// Upstreams are the servers that own the service's keys.
 	Upstreams []Upstream `json:"upstreams"`
 }
 
-// Upstream is one target server of a service.
+// Upstream is a target server of a service.
 type Upstream struct {
-	// Name is unique within the manifest, e.g. "routeboard-07".
+	// Name is unique in the manifest, e.g. "routeboard-07".
 	Name string `json:"name"`
-	// Addr is host:port of the target's HTTP endpoint.
+	// Addr is the host:port of the target's HTTP endpoint.
 	Addr string `json:"addr"`
-	// DataCentre is where the target runs; it must be one of DataCentres.
+	// DataCentre is where the target runs, one of Manifest.DataCentres.
 	DataCentre string `json:"data_centre"`
-	// Slots is how many requests the target serves at once; it is also the
-	// target's weight in placement.
+	// Slots is how many requests the target serves concurrently. It is also
+	// the target's weight in placement.
 	Slots int `json:"slots"`
-	// Connections is the most connections an entry host keeps to it.
+	// Connections is the maximum of connections from one entry host.
 	Connections int `json:"connections"`
 }
 
-// ShardCount returns the service's shard count with the default applied.
+// ShardCount returns the number of shards, DefaultShards if none is set.
 func (s *Service) ShardCount() int {
 	if s.Shards == 0 {
 		return DefaultShards
@@ -65,8 +64,8 @@
 	return s.Shards
 }
 
-// Parse decodes and validates a manifest. Unknown fields are refused so a
-// misspelt key in a generated manifest is caught at publish time.
+// Parse decodes and validates a manifest. It rejects unknown fields, so that a
+// misspelt field is found when the manifest is published.
 func Parse(data []byte) (*Manifest, error) {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -89,7 +88,7 @@
 	return data, nil
 }
 
-// Validate reports the first problem found, naming the field at fault.
+// Validate returns an error that names the first invalid field, or nil.
 func (m *Manifest) Validate() error {
 	if m.Deployment == "" {
 		return eris.New("manifest: deployment is empty")
@@ -122,6 +121,8 @@
 	return nil
 }
 
+// validate checks s. dcs are the manifest's data centres; the names of s's upstreams
+// are added to seen, as they must be unique in the manifest.
 func (s *Service) validate(dcs, seen map[string]bool) error {
 	if s.Shards < 0 || s.Shards > MaxShards {
 		return eris.Errorf("manifest: service %s: shards %d outside 0..%d", s.Name, s.Shards, MaxShards)
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// Service returns the named service, or nil.
+// Service returns the service with the given name, or nil.
 func (m *Manifest) Service(name string) *Service {
 	for i := range m.Services {
 		if m.Services[i].Name == name {
@@ -167,7 +168,7 @@
 	return names
 }
 
-// String names the manifest briefly for logs.
+// String returns a short description for logs.
 func (m *Manifest) String() string {
 	return fmt.Sprintf("%s (%d services)", m.Deployment, len(m.Services))
 }
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestExamplesParse checks the shipped manifests against the brief's sizes.
+// The example manifests must be valid and have the service sizes that the deployments
+// require.
 func TestExamplesParse(t *testing.T) {
 	want := map[string]map[string]int{
 		"siam-sludge": {"routeboard": 20, "plantdesk": 12, "tankbill": 6},
@@ -28,31 +29,31 @@
 	}
 }
 
-// TestInvalidManifestErrorNamesProblem checks that each kind of bad manifest is
-// refused with an error naming what is wrong.
+// Each kind of invalid manifest must be rejected with an error that names the
+// problem.
 func TestInvalidManifestErrorNamesProblem(t *testing.T) {
-	good := `{"deployment":"d","data_centres":["a"],"services":[{"name":"s","upstreams":[{"name":"u","addr":"127.0.0.1:1","data_centre":"a","slots":1,"connections":1}]}]}`
+	valid := `{"deployment":"d","data_centres":["a"],"services":[{"name":"s","upstreams":[{"name":"u","addr":"127.0.0.1:1","data_centre":"a","slots":1,"connections":1}]}]}`
 	cases := map[string]string{
-		"deployment":       strings.Replace(good, `"deployment":"d"`, `"deployment":""`, 1),
-		"not in data_cent": strings.Replace(good, `"data_centre":"a"`, `"data_centre":"b"`, 1),
-		"addr":             strings.Replace(good, `127.0.0.1:1`, `nowhere`, 1),
-		"slots":            strings.Replace(good, `"slots":1`, `"slots":0`, 1),
-		"unknown field":    strings.Replace(good, `"slots":1`, `"slot":1`, 1),
-		"repeated":         strings.Replace(good, `"data_centres":["a"]`, `"data_centres":["a","a"]`, 1),
+		"deployment":       strings.Replace(valid, `"deployment":"d"`, `"deployment":""`, 1),
+		"not in data_cent": strings.Replace(valid, `"data_centre":"a"`, `"data_centre":"b"`, 1),
+		"addr":             strings.Replace(valid, `127.0.0.1:1`, `nowhere`, 1),
+		"slots":            strings.Replace(valid, `"slots":1`, `"slots":0`, 1),
+		"unknown field":    strings.Replace(valid, `"slots":1`, `"slot":1`, 1),
+		"repeated":         strings.Replace(valid, `"data_centres":["a"]`, `"data_centres":["a","a"]`, 1),
 	}
-	if _, err := Parse([]byte(good)); err != nil {
-		t.Fatalf("good manifest refused: %v", err)
+	if _, err := Parse([]byte(valid)); err != nil {
+		t.Fatalf("valid manifest is rejected: %v", err)
 	}
-	for want, bad := range cases {
-		_, err := Parse([]byte(bad))
+	for want, invalid := range cases {
+		_, err := Parse([]byte(invalid))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want error naming %q, got %v", want, err)
+			t.Errorf("want an error that contains %q, got %v", want, err)
 		}
 	}
 }
 
-// FuzzParse checks that no input crashes the parser and that whatever it
-// accepts re-encodes to a manifest it accepts again.
+// FuzzParse checks that no input makes Parse panic, and that Parse accepts what
+// Encode returns for an accepted manifest.
 func FuzzParse(f *testing.F) {
 	data, _ := Example("siam-sludge")
 	f.Add(data)
@@ -67,7 +68,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Parse(out); err != nil {
-			t.Fatalf("accepted manifest does not re-parse: %v", err)
+			t.Fatalf("accepted manifest is rejected after encoding: %v", err)
 		}
 	})
 }
--- a/internal/refused/server.go
+++ b/internal/refused/server.go
@@ -1,5 +1,6 @@
-// Package refused lets operators see and clear the contents that a host refuses
-// as servers ended while they ran them. Both interfaces serve it.
+// Package refused serves the API by which operators list and clear the request
+// fingerprints that a host refuses because servers crashed while they ran them. The
+// admin interface and the peer interface both serve it.
 package refused
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/papayatide/papayatide/rpc/refusedpb"
 )
 
-// Server implements refusedpb.Refused over a host's ledger.
+// Server implements refusedpb.Refused for one host's crash tracker.
 type Server struct {
 	// Host is this host's name.
 	Host    string
@@ -21,21 +22,22 @@
 	Log     *zap.Logger
 }
 
-// List implements refusedpb.Refused.
+// List returns the fingerprints that the host refuses now.
 func (s *Server) List(context.Context, *refusedpb.ListRequest) (*refusedpb.ListReply, error) {
 	now := time.Now()
-	out := &refusedpb.ListReply{Host: s.Host}
-	for _, c := range s.Crashes.RefusedFingerprints(now) {
-		out.Contents = append(out.Contents, &refusedpb.Content{Content: string(c), Servers: s.Crashes.CrashedServers(c),
-			LeftMs: s.Crashes.RefusedFor(c, now).Milliseconds()})
+	reply := &refusedpb.ListReply{Host: s.Host}
+	for _, fingerprint := range s.Crashes.RefusedFingerprints(now) {
+		reply.Contents = append(reply.Contents, &refusedpb.Content{Content: string(fingerprint), Servers: s.Crashes.CrashedServers(fingerprint),
+			LeftMs: s.Crashes.RefusedFor(fingerprint, now).Milliseconds()})
 	}
-	return out, nil
+	return reply, nil
 }
 
-// Clear implements refusedpb.Refused.
-func (s *Server) Clear(_ context.Context, m *refusedpb.ClearRequest) (*refusedpb.ClearReply, error) {
-	known := s.Crashes.RecordSuccess(crashes.Fingerprint(m.Content))
-	s.Log.Info("refused content cleared by an operator", zap.Int("event", events.FingerprintCleared), zap.String("content", m.Content),
+// Clear makes the host forget the crashes recorded under a fingerprint, so that it is
+// no longer refused. Known is set in the reply if there were any.
+func (s *Server) Clear(_ context.Context, req *refusedpb.ClearRequest) (*refusedpb.ClearReply, error) {
+	known := s.Crashes.RecordSuccess(crashes.Fingerprint(req.Content))
+	s.Log.Info("operator cleared a refused request fingerprint", zap.Int("event", events.FingerprintCleared), zap.String("content", req.Content),
 		zap.Bool("known", known))
 	return &refusedpb.ClearReply{Host: s.Host, Known: known}, nil
 }
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -20,22 +20,23 @@
 	"github.com/papayatide/papayatide/internal/manifest"
 )
 
-// MaxAnswerBytes bounds an answer body read from a target.
+// MaxResponseBytes is the most that is read of a target's response body.
 const MaxResponseBytes = 4 << 20
 
-// ErrNotSent means the request never left papayatide: the target cannot
-// have run it, so it may be retried or refused as not run.
+// ErrNotSent means that the request was not sent. The target can't have run it, so
+// it may be retried or refused as not run.
 var ErrNotSent = errors.New("target: request not sent")
 
-// ErrNoAnswer means the request was sent but no whole answer came back: the
-// target may have run it, so a non-idempotent one must not be retried.
+// ErrNoResponse means that the request was sent but no complete response was
+// received. The target may have run it, so it must not be retried unless it is
+// idempotent.
 var ErrNoResponse = errors.New("target: sent, no answer")
 
-// ErrEnded is wrapped besides ErrNoAnswer where the target itself has ended:
-// nobody listens at its address any more.
+// ErrCrashed is wrapped in addition to ErrNoResponse if the target has crashed: its
+// address refuses connections.
 var ErrCrashed = errors.New("target: ended")
 
-// Request is one caller request bound for a target.
+// Request is a caller's request to a target.
 type Request struct {
 	Method         string
 	Service        string
@@ -48,74 +49,70 @@
 	Deadline       time.Time
 }
 
-// Response is a target's whole answer.
+// Response is a target's complete response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Client forwards to targets over pooled connections, one pool per upstream
-// sized by the upstream's connection limit.
+// Client sends requests, grants and health probes to targets. It has a connection
+// pool per upstream, limited to the upstream's Connections.
 type Client struct {
-	// AttemptTimeout bounds the first attempt of an idempotent request;
-	// past it the request is tried once more on a new connection. Zero
-	// disables the second attempt.
+	// AttemptTimeout bounds the first attempt of an idempotent request, which
+	// is then retried on a new connection. Zero disables the second attempt.
 	AttemptTimeout time.Duration
 	mu             sync.Mutex
-	pools          map[string]*http.Client
-	// unpooled dials a new connection for every request.
+	// pools are by upstream address.
+	pools map[string]*http.Client
+	// unpooled opens a new connection for every request.
 	unpooled *http.Client
 }
 
-// NewClient returns a target client.
+// NewClient returns a client that makes one attempt per request; set AttemptTimeout
+// to enable the second.
 func NewClient() *Client {
 	return &Client{pools: map[string]*http.Client{},
 		unpooled: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
+// pool returns the HTTP client with the connection pool of u.
 func (c *Client) pool(u *manifest.Upstream) *http.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	hc := c.pools[u.Addr]
-	if hc == nil {
-		hc = &http.Client{Transport: &http.Transport{
+	httpClient := c.pools[u.Addr]
+	if httpClient == nil {
+		httpClient = &http.Client{Transport: &http.Transport{
 			MaxConnsPerHost:     u.Connections,
 			MaxIdleConnsPerHost: u.Connections,
-			// A connection that went silent is found when it idles out
-			// rather than kept forever; new requests then dial afresh.
+			// Pooled connections that no longer carry data are closed once
+			// they are idle; later requests then open new ones.
 			IdleConnTimeout: 30 * time.Second,
 		}}
-		c.pools[u.Addr] = hc
+		c.pools[u.Addr] = httpClient
 	}
-	return hc
+	return httpClient
 }
 
-// Forward sends req to upstream u and returns the whole answer. Its errors
-// wrap ErrNotSent or ErrNoAnswer and name the upstream.
-//
-// An idempotent request whose first attempt gets no answer within
-// AttemptTimeout is sent once more on a new connection. This is the remedy
-// for pooled connections that went silent for good (something between the
-// two ends lost track of them): without it such a request waits out the
-// caller's whole deadline although new connections work. So is one
-// whose pooled connection broke off, unless the target has ended.
-// Non-idempotent work is never sent twice.
+// Forward sends req to upstream u and returns the complete response. Its errors
+// name the upstream and wrap ErrNotSent or ErrNoResponse, the latter with ErrCrashed
+// if the target crashed. Only GET and HEAD requests may be sent twice; see the
+// package comment.
 func (c *Client) Forward(ctx context.Context, u *manifest.Upstream, req *Request) (*Response, error) {
 	if c.AttemptTimeout <= 0 || (req.Method != http.MethodGet && req.Method != http.MethodHead) {
 		resp, err := c.attempt(ctx, c.pool(u), u, req, req.Deadline)
 		return resp, c.markCrashed(ctx, u, err)
 	}
-	first := time.Now().Add(c.AttemptTimeout)
-	if !req.Deadline.IsZero() && req.Deadline.Before(first) {
-		first = req.Deadline
+	firstDeadline := time.Now().Add(c.AttemptTimeout)
+	if !req.Deadline.IsZero() && req.Deadline.Before(firstDeadline) {
+		firstDeadline = req.Deadline
 	}
-	resp, err := c.attempt(ctx, c.pool(u), u, req, first)
+	resp, err := c.attempt(ctx, c.pool(u), u, req, firstDeadline)
 	now := time.Now()
 	if err == nil || ctx.Err() != nil || (!req.Deadline.IsZero() && !now.Before(req.Deadline)) {
 		return resp, err
 	}
-	timedOut := !now.Before(first)
+	timedOut := !now.Before(firstDeadline)
 	if err = c.markCrashed(ctx, u, err); !timedOut && (errors.Is(err, ErrCrashed) || !errors.Is(err, ErrNoResponse)) {
 		return nil, err
 	}
@@ -123,20 +120,20 @@
 	return resp, c.markCrashed(ctx, u, err)
 }
 
-// askWhetherEnded bounds the question whether a target has ended; a listener
-// that is gone refuses in a millisecond.
+// crashProbeTimeout bounds the connection attempt that tells whether a target has
+// crashed. Without a listener the connection is refused within a millisecond.
 const crashProbeTimeout = 100 * time.Millisecond
 
-// markCrashed wraps ErrEnded into the error of a request that was sent and broke
-// off, if the target has ended.
+// markCrashed adds ErrCrashed to err if err is a broken send to u and u refuses
+// connections. Timeouts and cancelled requests are returned unchanged.
 func (c *Client) markCrashed(ctx context.Context, u *manifest.Upstream, err error) error {
 	if !errors.Is(err, ErrNoResponse) || errors.Is(err, context.DeadlineExceeded) || ctx.Err() != nil {
 		return err
 	}
-	d := net.Dialer{Timeout: crashProbeTimeout}
-	conn, dialErr := d.DialContext(ctx, "tcp", u.Addr)
+	dialer := net.Dialer{Timeout: crashProbeTimeout}
+	conn, dialErr := dialer.DialContext(ctx, "tcp", u.Addr)
 	if dialErr == nil {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // no data was sent
 		return err
 	}
 	if !errors.Is(dialErr, syscall.ECONNREFUSED) {
@@ -145,7 +142,9 @@
 	return errors.Join(ErrCrashed, err)
 }
 
-func (c *Client) attempt(ctx context.Context, hc *http.Client, u *manifest.Upstream, req *Request, deadline time.Time) (*Response, error) {
+// attempt sends req once through httpClient. Its errors wrap ErrNotSent until the
+// request is written, ErrNoResponse afterwards.
+func (c *Client) attempt(ctx context.Context, httpClient *http.Client, u *manifest.Upstream, req *Request, deadline time.Time) (*Response, error) {
 	var wrote atomic.Bool
 	trace := &httptrace.ClientTrace{WroteRequest: func(httptrace.WroteRequestInfo) { wrote.Store(true) }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
@@ -155,25 +154,25 @@
 		defer cancel()
 	}
 	url := "http://" + u.Addr + PathWork + req.Service + "/" + req.Key
-	// A body of no type that net/http knows keeps it from sending the request
-	// again by itself, unseen, when a pooled connection breaks off: it would
-	// reach the target's next life.
-	hr, err := http.NewRequestWithContext(ctx, req.Method, url, io.NopCloser(bytes.NewReader(req.Body)))
+	// net/http can't replay a body of an unknown type. With a bytes.Reader it
+	// would silently retry when a pooled connection breaks, and the request
+	// would reach the target's next incarnation.
+	httpReq, err := http.NewRequestWithContext(ctx, req.Method, url, io.NopCloser(bytes.NewReader(req.Body)))
 	if err != nil {
 		return nil, eris.Wrapf(errors.Join(ErrNotSent, err), "forward to %s: build request", u.Name)
 	}
-	hr.ContentLength = int64(len(req.Body))
-	hr.Header.Set(HeaderShard, strconv.Itoa(req.Shard))
-	hr.Header.Set(HeaderFencingToken, strconv.FormatInt(req.FencingToken, 10))
-	hr.Header.Set(HeaderRequestID, req.RequestID)
-	hr.Header.Set(HeaderKey, req.Key)
+	httpReq.ContentLength = int64(len(req.Body))
+	httpReq.Header.Set(HeaderShard, strconv.Itoa(req.Shard))
+	httpReq.Header.Set(HeaderFencingToken, strconv.FormatInt(req.FencingToken, 10))
+	httpReq.Header.Set(HeaderRequestID, req.RequestID)
+	httpReq.Header.Set(HeaderKey, req.Key)
 	if req.IdempotencyKey != "" {
-		hr.Header.Set(HeaderIdempotencyKey, req.IdempotencyKey)
+		httpReq.Header.Set(HeaderIdempotencyKey, req.IdempotencyKey)
 	}
 	if !req.Deadline.IsZero() {
-		hr.Header.Set(HeaderDeadline, strconv.FormatInt(req.Deadline.UnixMilli(), 10))
+		httpReq.Header.Set(HeaderDeadline, strconv.FormatInt(req.Deadline.UnixMilli(), 10))
 	}
-	resp, err := hc.Do(hr)
+	resp, err := httpClient.Do(httpReq)
 	if err != nil {
 		if !wrote.Load() {
 			return nil, eris.Wrapf(errors.Join(ErrNotSent, err), "forward to %s", u.Name)
@@ -188,18 +187,18 @@
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// SendGrant posts a grant to upstream u and returns the body's size in
-// bytes.
+// SendGrant posts a grant to upstream u. It returns the size of the request body in
+// bytes, also if the upstream did not accept the grant.
 func (c *Client) SendGrant(ctx context.Context, u *manifest.Upstream, g *Grant) (int, error) {
 	body, err := json.Marshal(g)
 	if err != nil {
 		return 0, eris.Wrapf(err, "grant to %s: encode", u.Name)
 	}
-	hr, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+u.Addr+PathGrant, bytes.NewReader(body))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+u.Addr+PathGrant, bytes.NewReader(body))
 	if err != nil {
 		return 0, eris.Wrapf(err, "grant to %s", u.Name)
 	}
-	resp, err := c.pool(u).Do(hr)
+	resp, err := c.pool(u).Do(httpReq)
 	if err != nil {
 		return len(body), eris.Wrapf(err, "grant to %s", u.Name)
 	}
@@ -211,13 +210,13 @@
 	return len(body), nil
 }
 
-// Probe asks upstream u's health endpoint; nil means healthy.
+// Probe requests the health endpoint of upstream u. It returns nil if u is healthy.
 func (c *Client) Probe(ctx context.Context, u *manifest.Upstream) error {
-	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+u.Addr+PathHealth, nil)
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+u.Addr+PathHealth, nil)
 	if err != nil {
 		return eris.Wrapf(err, "probe %s", u.Name)
 	}
-	resp, err := c.pool(u).Do(hr)
+	resp, err := c.pool(u).Do(httpReq)
 	if err != nil {
 		return eris.Wrapf(err, "probe %s", u.Name)
 	}
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -10,8 +10,8 @@
 	"github.com/papayatide/papayatide/internal/manifest"
 )
 
-// A target that accepts and never answers: the caller of Forward can tell a
-// timeout from other failures, and that the request may have run.
+// A target accepts the connection and never responds. The error must show both the
+// timeout and that the request may have run.
 func TestForwardErrorsWrapTheirCause(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -22,6 +22,6 @@
 	req := &Request{Method: "POST", Service: "s", Key: "k", Deadline: time.Now().Add(50 * time.Millisecond)}
 	_, err = NewClient().Forward(context.Background(), u, req)
 	if !errors.Is(err, context.DeadlineExceeded) || !errors.Is(err, ErrNoResponse) {
-		t.Errorf("%v wraps neither its cause nor what is known", err)
+		t.Errorf("error %v, want one that wraps DeadlineExceeded and ErrNoResponse", err)
 	}
 }
