--- a/internal/cli/burn.go
+++ b/internal/cli/burn.go
@@ -18,26 +18,27 @@
 	var availability, latency float64
 	cmd := &cobra.Command{
 		Use:   "burn",
-		Short: "Report service-level burn across entry hosts",
-		Long: `Burn sums every entry host's request counts per service over the last 5
-minutes and hour and prints how fast each objective's error budget is being
-spent: a burn of 1 spends the budget exactly over the objective's period; 14
-or more over both windows is a page, 1 to 6 is a ticket.`,
+		Short: "Report burn rates of service-level objectives across entry hosts",
+		Long: `Burn sums the request counts of all entry hosts per service over the last 5
+minutes and the last hour, and prints the burn rate of each objective. A rate
+of 1 spends the error budget exactly in the objective's period. A rate of 14
+or more in both windows should page the operator, 1 to 6 should open a ticket.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
+			// sums are by service ID and window in seconds.
 			sums := map[[2]int64]*adminpb.WindowCounts{}
-			names := map[string]int64{}
+			serviceIDs := map[string]int64{}
 			for _, a := range admins {
 				c := adminpb.NewAdminProtobufClient(a, &http.Client{Timeout: 3 * time.Second})
 				resp, err := c.Burn(cmd.Context(), &adminpb.BurnRequest{})
 				if err != nil {
-					fmt.Fprintf(cmd.ErrOrStderr(), "%s unreachable, not counted: %v\n", a, err)
+					fmt.Fprintf(cmd.ErrOrStderr(), "%s is unreachable and not counted: %v\n", a, err)
 					continue
 				}
 				for _, w := range resp.Windows {
-					id, ok := names[w.Service]
+					id, ok := serviceIDs[w.Service]
 					if !ok {
-						id = int64(len(names))
-						names[w.Service] = id
+						id = int64(len(serviceIDs))
+						serviceIDs[w.Service] = id
 					}
 					k := [2]int64{id, w.WindowS}
 					if sums[k] == nil {
@@ -52,19 +53,21 @@
 			return nil
 		}}
 	cmd.Flags().StringSliceVar(&admins, "admin", []string{"http://127.0.0.1:9081"}, "admin URLs of entry hosts")
-	cmd.Flags().Float64Var(&availability, "availability", 0.999, "availability objective: share of requests not refused")
-	cmd.Flags().Float64Var(&latency, "latency", 0.99, "latency objective: share answered within [objectives] latency")
+	cmd.Flags().Float64Var(&availability, "availability", 0.999, "availability objective: share of requests that are not refused")
+	cmd.Flags().Float64Var(&latency, "latency", 0.99, "latency objective: share of requests served within the latency set in [objectives]")
 	return cmd
 }
 
-// formatBurnRate is the burn, or that too few requests were seen to tell one.
+// formatBurnRate returns the burn rate, or the minimum number of requests if there were
+// fewer.
 func formatBurnRate(bad, total int64, objective float64) string {
-	if least := burn.MinRequests(objective); total < least {
-		return fmt.Sprintf("under %d requests", least)
+	if minRequests := burn.MinRequests(objective); total < minRequests {
+		return fmt.Sprintf("under %d requests", minRequests)
 	}
 	return fmt.Sprintf("%.2f", burn.Rate(bad, total, objective))
 }
 
+// printBurn prints one row per service and window, sorted by both.
 func printBurn(cmd *cobra.Command, sums map[[2]int64]*adminpb.WindowCounts, availability, latency float64) {
 	rows := make([]*adminpb.WindowCounts, 0, len(sums))
 	for _, w := range sums {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -9,7 +9,7 @@
 	"github.com/papayatide/papayatide/internal/logservice"
 )
 
-// Command returns the root command.
+// Command returns the papayatide root command with all subcommands.
 func Command() *cobra.Command {
 	root := &cobra.Command{Use: "papayatide", Short: "Operate papayatide entry hosts", SilenceUsage: true}
 	root.PersistentFlags().String("log", "http://127.0.0.1:7000", "base URL of the log service")
@@ -17,6 +17,7 @@
 	return root
 }
 
+// logClient returns a client of the log service at --log.
 func logClient(cmd *cobra.Command) *logservice.Client {
 	addr, _ := cmd.Flags().GetString("log")
 	return logservice.New(addr, &http.Client{Timeout: 5 * time.Second})
--- a/internal/cli/doc.go
+++ b/internal/cli/doc.go
@@ -1,4 +1,5 @@
-// Package cli is the papayatide operator command line (cobra): publish a
-// manifest with a guard against racing operators, show the status of entry
-// hosts, drain an upstream for a planned stop, and report service-level burn.
+// Package cli implements the papayatide command line for operators (cobra). It
+// publishes manifests with protection against concurrent publishers, drains upstreams,
+// shows the status and burn rates of entry hosts, explains requests from the hosts'
+// logs, and lists or clears refused requests.
 package cli
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -19,18 +19,19 @@
 	var undo bool
 	cmd := &cobra.Command{
 		Use:   "drain",
-		Short: "Take an upstream out of placement for a planned stop (or --undo)",
+		Short: "Remove an upstream from placement for a planned stop, or allow it again (--undo)",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return drain(cmd, upstream, undo)
 		}}
 	cmd.Flags().StringVar(&upstream, "upstream", "", "upstream to drain, e.g. routeboard-03")
-	cmd.Flags().BoolVar(&undo, "undo", false, "let a drained upstream back in")
+	cmd.Flags().BoolVar(&undo, "undo", false, "allow a drained upstream in placement again")
 	_ = cmd.MarkFlagRequired("upstream")
 	return cmd
 }
 
-// drain appends a members record without the upstream, marking it drained,
-// at the placement stream's next offset; a racing write makes it retry.
+// drain appends a members record that leaves out the upstream and marks it as drained,
+// or with undo one that removes the mark. It appends at the placement stream's next
+// offset and retries if another record took that offset.
 func drain(cmd *cobra.Command, upstream string, undo bool) error {
 	logc := logClient(cmd)
 	ctx := cmd.Context()
@@ -49,7 +50,7 @@
 	if svc == "" {
 		return eris.Errorf("upstream %q is not in the manifest in force", upstream)
 	}
-	for try := 0; try < 5; try++ {
+	for attempt := 0; attempt < 5; attempt++ {
 		cur, next, err := currentState(cmd, logc, svc, dc)
 		if err != nil {
 			return err
@@ -77,9 +78,11 @@
 		fmt.Fprintf(cmd.OutOrStdout(), "%s: drained=%v at epoch %d\n", upstream, !undo, off)
 		return nil
 	}
-	return eris.New("placement kept moving; try again")
+	return eris.New("placement changed during every attempt; try again")
 }
 
+// findUpstream returns the service and data centre of the named upstream, or empty
+// strings.
 func findUpstream(m *manifest.Manifest, name string) (string, string) {
 	for _, s := range m.Services {
 		for _, u := range s.Upstreams {
@@ -91,14 +94,14 @@
 	return "", ""
 }
 
-// currentState reads the whole placement stream and returns the latest
-// state of (svc, dc) and the stream's next offset.
+// currentState reads the whole placement stream. It returns the latest state of svc in
+// dc and the stream's next offset.
 func currentState(cmd *cobra.Command, logc *logservice.Client, svc, dc string) (placement.State, int64, error) {
 	var cur placement.State
 	next, err := logc.Scan(cmd.Context(), logservice.StreamPlacement, 0, func(int64) {}, func(r *logsvcpb.Record) {
 		rec, err := placement.DecodeRecord(r.Data)
 		if err != nil {
-			return // the entry hosts skip and log it
+			return // entry hosts log and skip it as well
 		}
 		for _, s := range recordStates(rec) {
 			if s.Service == svc && s.DataCentre == dc {
@@ -109,6 +112,7 @@
 	return cur, next, err
 }
 
+// recordStates returns the states in a record of any kind.
 func recordStates(r *placement.Record) []placement.State {
 	if r.Kind == placement.KindMembers {
 		return []placement.State{*r.State}
--- a/internal/cli/peers.go
+++ b/internal/cli/peers.go
@@ -16,20 +16,20 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// hostTimeout bounds a question to one entry host.
+// hostTimeout bounds a call to one entry host.
 const hostTimeout = 3 * time.Second
 
-// printPeerStatus prints what the entry hosts at the given peer addresses believe.
+// printPeerStatus prints the status of the entry hosts at the given peer addresses.
 func printPeerStatus(cmd *cobra.Command, addrs []string, verbose bool) error {
 	return forEachHost(cmd, addrs, fetchPeerStatus, func(st *peerpb.StatusReply) error { return printHostStatus(cmd.OutOrStdout(), st, verbose) })
 }
 
-// forEachHost asks every host and shows its reply. It returns an error that names the
-// hosts that did not answer.
-func forEachHost[Reply any](cmd *cobra.Command, addrs []string, ask func(ctx context.Context, addr string) (Reply, error), show func(Reply) error) error {
+// forEachHost runs call for each address and passes its reply to show. It returns
+// an error that names the addresses for which call failed.
+func forEachHost[Reply any](cmd *cobra.Command, addrs []string, call func(ctx context.Context, addr string) (Reply, error), show func(Reply) error) error {
 	var failed []string
 	for _, a := range addrs {
-		reply, err := ask(cmd.Context(), a)
+		reply, err := call(cmd.Context(), a)
 		if err != nil {
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s: %v\n", a, err)
 			failed = append(failed, a)
@@ -45,12 +45,14 @@
 	return nil
 }
 
+// fetchPeerStatus returns the status of the host at a peer address.
 func fetchPeerStatus(ctx context.Context, addr string) (*peerpb.StatusReply, error) {
 	c := peerpb.NewPeerProtobufClient("http://"+addr, &http.Client{Timeout: hostTimeout})
 	st, err := c.Status(ctx, &peerpb.StatusRequest{})
 	return st, eris.Wrapf(err, "peer %s: status", addr)
 }
 
+// printHostStatus prints a host's status, and each range of keys if verbose.
 func printHostStatus(out io.Writer, st *peerpb.StatusReply, verbose bool) error {
 	w := tabwriter.NewWriter(out, 2, 4, 2, ' ', 0)
 	role := "follows " + st.Follows
@@ -78,6 +80,7 @@
 	return w.Flush()
 }
 
+// ownerName returns the owner ID as printed.
 func ownerName(id string) string {
 	if id == "" {
 		return "(nobody)"
@@ -85,31 +88,32 @@
 	return id
 }
 
-// ownerSummary is what one owner has of a service.
+// ownerSummary sums up the ranges of a service that one owner has.
 type ownerSummary struct {
 	owner        string
 	ranges, keys int
 	maxFence     int64
 }
 
+// printOwners prints a summary of each owner, sorted by ID.
 func printOwners(w io.Writer, s *peerpb.ServiceStatus) {
-	by := map[string]*ownerSummary{}
+	byOwner := map[string]*ownerSummary{}
 	for _, r := range s.Ranges {
-		h := by[r.Owner]
-		if h == nil {
-			h = &ownerSummary{owner: r.Owner}
-			by[r.Owner] = h
+		summary := byOwner[r.Owner]
+		if summary == nil {
+			summary = &ownerSummary{owner: r.Owner}
+			byOwner[r.Owner] = summary
 		}
-		h.ranges++
-		h.keys += int(r.To-r.From) + 1
-		h.maxFence = max(h.maxFence, r.Fence)
+		summary.ranges++
+		summary.keys += int(r.To-r.From) + 1
+		summary.maxFence = max(summary.maxFence, r.Fence)
 	}
-	all := make([]*ownerSummary, 0, len(by))
-	for _, h := range by {
-		all = append(all, h)
+	all := make([]*ownerSummary, 0, len(byOwner))
+	for _, summary := range byOwner {
+		all = append(all, summary)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].owner < all[j].owner })
-	for _, h := range all {
-		fmt.Fprintf(w, "    %s\t%d keys in %d ranges\tfence up to %d\n", ownerName(h.owner), h.keys, h.ranges, h.maxFence)
+	for _, summary := range all {
+		fmt.Fprintf(w, "    %s\t%d keys in %d ranges\tfence up to %d\n", ownerName(summary.owner), summary.keys, summary.ranges, summary.maxFence)
 	}
 }
--- a/internal/cli/refused.go
+++ b/internal/cli/refused.go
@@ -18,9 +18,9 @@
 	var admins, peers []string
 	cmd := &cobra.Command{
 		Use:   "refused",
-		Short: "List or clear requests that are refused as they end their servers",
-		Long: "Requests are named by their content, as it stands in the logs. On the platform one host's --peer address\n" +
-			"is enough, as all hosts share what they refuse; with --admin each host is asked, as each counts for itself."}
+		Short: "List or clear requests that are refused because they crash their servers",
+		Long: "Requests are identified by their fingerprint, logged as content. On the platform, the --peer address of one\n" +
+			"host is enough, as all hosts share refusals; with --admin, give all hosts, as each counts crashes by itself."}
 	cmd.PersistentFlags().StringSliceVar(&admins, "admin", []string{"http://127.0.0.1:9081"}, "admin URLs of entry hosts")
 	cmd.PersistentFlags().StringSliceVar(&peers, "peer", nil, "peer addresses (host:port) of entry hosts on the platform")
 	urls := func() []string {
@@ -33,50 +33,53 @@
 		}
 		return out
 	}
-	list := &cobra.Command{Use: "list", Short: "List what is refused", Args: cobra.NoArgs,
+	list := &cobra.Command{Use: "list", Short: "List refused requests", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return listRefused(cmd, urls()) }}
-	clear := &cobra.Command{Use: "clear CONTENT", Short: "Have a content served again", Args: cobra.ExactArgs(1),
+	clear := &cobra.Command{Use: "clear CONTENT", Short: "Stop refusing the requests with a fingerprint", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return clearRefused(cmd, urls(), args[0]) }}
 	cmd.AddCommand(list, clear)
 	return cmd
 }
 
-// refusedClient returns a client for the host at the URL.
+// refusedClient returns a client of the host with the base URL url.
 func refusedClient(url string) refusedpb.Refused {
 	return refusedpb.NewRefusedProtobufClient(url, &http.Client{Timeout: hostTimeout})
 }
 
+// listRefused prints the fingerprints that the hosts refuse.
 func listRefused(cmd *cobra.Command, urls []string) error {
 	w := tabwriter.NewWriter(cmd.OutOrStdout(), 2, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tCONTENT\tREFUSED FOR\tSERVERS THAT ENDED")
-	ask := func(ctx context.Context, url string) (*refusedpb.ListReply, error) {
+	call := func(ctx context.Context, url string) (*refusedpb.ListReply, error) {
 		return refusedClient(url).List(ctx, &refusedpb.ListRequest{})
 	}
-	err := forEachHost(cmd, urls, ask, func(reply *refusedpb.ListReply) error {
-		for _, x := range reply.Contents {
-			left := time.Duration(x.LeftMs/time.Second.Milliseconds()) * time.Second
-			fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", reply.Host, x.Content, left, strings.Join(x.Servers, " "))
+	err := forEachHost(cmd, urls, call, func(reply *refusedpb.ListReply) error {
+		for _, entry := range reply.Contents {
+			left := time.Duration(entry.LeftMs/time.Second.Milliseconds()) * time.Second
+			fmt.Fprintf(w, "%s\t%s\t%v\t%s\n", reply.Host, entry.Content, left, strings.Join(entry.Servers, " "))
 		}
 		return nil
 	})
-	if flushed := w.Flush(); err == nil {
-		err = flushed
+	if flushErr := w.Flush(); err == nil {
+		err = flushErr
 	}
 	return err
 }
 
-func clearRefused(cmd *cobra.Command, urls []string, content string) error {
+// clearRefused makes the hosts serve a fingerprint again. It fails if no host has a
+// crash recorded under it.
+func clearRefused(cmd *cobra.Command, urls []string, fingerprint string) error {
 	known := false
-	ask := func(ctx context.Context, url string) (*refusedpb.ClearReply, error) {
-		return refusedClient(url).Clear(ctx, &refusedpb.ClearRequest{Content: content})
+	call := func(ctx context.Context, url string) (*refusedpb.ClearReply, error) {
+		return refusedClient(url).Clear(ctx, &refusedpb.ClearRequest{Content: fingerprint})
 	}
-	err := forEachHost(cmd, urls, ask, func(reply *refusedpb.ClearReply) error {
+	err := forEachHost(cmd, urls, call, func(reply *refusedpb.ClearReply) error {
 		known = known || reply.Known
 		fmt.Fprintf(cmd.OutOrStdout(), "%s: cleared=%v\n", reply.Host, reply.Known)
 		return nil
 	})
 	if err == nil && !known {
-		return eris.Errorf("no host knows of servers that ended under %s", content)
+		return eris.Errorf("no host has a record of servers that crashed under %s", fingerprint)
 	}
 	return err
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -17,11 +17,11 @@
 	var verbose bool
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show what is in force on entry hosts",
-		Long: "With --admin, asks hosts for their manifest and placement. With --peer, asks hosts that run on the\n" +
-			"platform, at peer_listen of their settings: who plans, whose copy of the log a host follows and how\n" +
-			"old that is, the owners of keys with their fencing tokens, and the last changes of ownership with\n" +
-			"their causes. Exits with 1 if a host cannot be reached.",
+		Short: "Show the status of entry hosts",
+		Long: "With --admin, shows the manifest and placement of hosts. With --peer, shows hosts on the platform, at the\n" +
+			"address that is peer_listen in their settings: which host is the planner, whose replica of the log a\n" +
+			"host follows, the age of its view, the owners of keys with their fencing tokens, and the last changes\n" +
+			"of ownership with their causes. Exits with 1 if a host is unreachable.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if len(peers) > 0 {
 				return printPeerStatus(cmd, peers, verbose)
@@ -38,17 +38,17 @@
 					failed = append(failed, a)
 					continue
 				}
-				members, total := 0, 0
+				members, upstreams := 0, 0
 				for _, s := range st.Services {
 					for _, u := range s.Upstreams {
-						total++
+						upstreams++
 						if u.Member {
 							members++
 						}
 					}
 				}
 				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%dms\t%d/%d\n", st.Host, st.DataCentre, st.Deployment,
-					st.ManifestOffset, st.PlacementEpoch, st.ViewAgeMs, members, total)
+					st.ManifestOffset, st.PlacementEpoch, st.ViewAgeMs, members, upstreams)
 				if verbose {
 					printServices(w, st)
 				}
@@ -60,10 +60,11 @@
 		}}
 	cmd.Flags().StringSliceVar(&admins, "admin", []string{"http://127.0.0.1:9081"}, "admin URLs of entry hosts")
 	cmd.Flags().StringSliceVar(&peers, "peer", nil, "peer addresses (host:port) of entry hosts on the platform")
-	cmd.Flags().BoolVarP(&verbose, "verbose", "v", false, "list every upstream, or every range of keys")
+	cmd.Flags().BoolVarP(&verbose, "verbose", "v", false, "with --admin, list every upstream; with --peer, every range of keys")
 	return cmd
 }
 
+// printServices prints one row per upstream.
 func printServices(w *tabwriter.Writer, st *adminpb.StatusResponse) {
 	for _, s := range st.Services {
 		for _, u := range s.Upstreams {
