--- a/cmd/papayatide-standin/main.go
+++ b/cmd/papayatide-standin/main.go
@@ -1,5 +1,5 @@
-// Command papayatide-standin runs papayatide's stand-ins for the platform's
-// peers: the append-only log service and target servers.
+// Command papayatide-standin runs stand-ins for the servers that papayatide uses: the
+// append-only log service and target servers.
 package main
 
 import (
--- a/cmd/papayatide/main.go
+++ b/cmd/papayatide/main.go
@@ -1,4 +1,4 @@
-// Command papayatide is the operator's command-line tool for papayatide.
+// Command papayatide is the command-line tool for operators of papayatide.
 package main
 
 import (
--- a/cmd/papayatided/daemon.go
+++ b/cmd/papayatided/daemon.go
@@ -11,7 +11,8 @@
 	"github.com/papayatide/papayatide/internal/settings"
 )
 
-// runDaemon runs the entry host of deployments that publish manifests.
+// runDaemon runs the entry host of a deployment with published manifests until it is
+// stopped by a signal or fails.
 func runDaemon() error {
 	path := flag.String("config", "papayatided.ini", "path of the INI settings file")
 	flag.Parse()
@@ -19,12 +20,12 @@
 	if err != nil {
 		return settingsError{err}
 	}
-	zl, err := daemon.NewLogger(cfg.LogLevel)
+	logger, err := daemon.NewLogger(cfg.LogLevel)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = zl.Sync() }()
+	defer func() { _ = logger.Sync() }()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return daemon.Run(ctx, cfg, zl)
+	return daemon.Run(ctx, cfg, logger)
 }
--- a/cmd/papayatided/entry.go
+++ b/cmd/papayatided/entry.go
@@ -18,18 +18,20 @@
 )
 
 const (
-	// settingsPollInterval is how often the settings file is looked at; it may change
-	// without a signal.
+	// settingsPollInterval is how often the settings file is checked for changes,
+	// as it may change without a signal.
 	settingsPollInterval = time.Second
-	// logServiceConns and orderConns are the connections used to the log service
-	// and, for orders, to each upstream.
+	// logServiceConns is the number of connections to the log service.
 	logServiceConns = 8
-	// Of the latter some may end while the log service is away and none may
-	// be opened.
+	// grantConns is the number of connections to each upstream for grants. One is
+	// not enough: some may close while the log service is unreachable, and no new
+	// connection may be opened then.
 	grantConns = 3
 )
 
-// runEntryHost runs an entry host on the users' platform.
+// runEntryHost runs an entry host on the platform until it is stopped by a signal or
+// fails. The environment variable platform.SettingsEnv holds the path of its
+// settings file.
 func runEntryHost() error {
 	path := os.Getenv(platform.SettingsEnv)
 	cfg, err := settings.LoadEntryHost(path)
@@ -38,44 +40,46 @@
 	}
 	sink := logsink.New(os.Stdout)
 	defer sink.Close()
-	zl, err := newLogger(cfg.LogLevel, sink)
+	logger, err := newLogger(cfg.LogLevel, sink)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	reload := make(chan *settings.EntryHost)
-	go watchSettings(ctx, path, reload, zl)
-	plat := entryhost.Platform{Store: platform.NewStore(cfg.LogAddr, platform.NewHTTPClient(logServiceConns)), Decoder: platform.Decoder{},
+	go watchSettings(ctx, path, reload, logger)
+	deps := entryhost.Platform{Store: platform.NewStore(cfg.LogAddr, platform.NewHTTPClient(logServiceConns)), Decoder: platform.Decoder{},
 		Granter: platform.NewGranter(grantConns), Headers: platform.Headers, ReadyPath: platform.PathReady,
 		LogDropped: sink.Dropped}
-	return entryhost.Run(ctx, cfg, plat, reload, zl)
+	return entryhost.Run(ctx, cfg, deps, reload, logger)
 }
 
+// newLogger returns a JSON logger that writes to out from level on.
 func newLogger(level string, out zapcore.WriteSyncer) (*zap.Logger, error) {
 	lvl, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
 	}
-	enc := zap.NewProductionEncoderConfig()
-	enc.EncodeDuration = zapcore.StringDurationEncoder
-	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(enc), out, lvl)), nil
+	encoderConfig := zap.NewProductionEncoderConfig()
+	encoderConfig.EncodeDuration = zapcore.StringDurationEncoder
+	return zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(encoderConfig), out, lvl)), nil
 }
 
-// watchSettings reads the settings file again when told to by a signal and
-// when it has changed. Settings that are not valid leave the old in force.
-func watchSettings(ctx context.Context, path string, out chan<- *settings.EntryHost, zl *zap.Logger) {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+// watchSettings sends the settings to out when the file has changed. It reads the file
+// every settingsPollInterval and on SIGHUP. Invalid settings are logged and leave the
+// previous ones in force.
+func watchSettings(ctx context.Context, path string, out chan<- *settings.EntryHost, logger *zap.Logger) {
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
 	last, _ := os.ReadFile(path)
-	t := time.NewTicker(settingsPollInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(settingsPollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
-		case <-t.C:
+		case <-sighup:
+		case <-ticker.C:
 		}
 		data, err := os.ReadFile(path)
 		if err == nil && string(data) == string(last) {
@@ -84,7 +88,7 @@
 		last = data
 		cfg, err := settings.LoadEntryHost(path)
 		if err != nil {
-			zl.Error("changed settings refused; the old ones stay", zap.Int("event", events.SettingsRejected), entryhost.ErrorField(err))
+			logger.Error("changed settings rejected; the previous ones stay in force", zap.Int("event", events.SettingsRejected), entryhost.ErrorField(err))
 			continue
 		}
 		select {
--- a/cmd/papayatided/main.go
+++ b/cmd/papayatided/main.go
@@ -2,8 +2,8 @@
 //
 // Usage:
 //
-//	papayatided -config FILE   on hosts with manifests and hashed shards
-//	papayatided entry          on the users' platform; see docs/PLATFORM.md
+//	papayatided -config FILE   on hosts with published manifests and hashed shards
+//	papayatided entry          on the platform; see docs/PLATFORM.md
 package main
 
 import (
@@ -23,20 +23,22 @@
 	}
 }
 
-// Exit codes. A supervisor need not start again what has bad settings.
+// Exit codes. After exitSettings, a supervisor need not restart the daemon until its
+// settings change.
 const (
 	exitFailed   = 1
 	exitSettings = 2
 )
 
-// settingsError says that the settings are not valid.
+// settingsError marks an error in the settings.
 type settingsError struct{ error }
 
 func (e settingsError) Unwrap() error { return e.error }
 
+// exitCode returns the exit code of the process for an error of its run.
 func exitCode(err error) int {
-	var bad settingsError
-	if errors.As(err, &bad) {
+	var invalid settingsError
+	if errors.As(err, &invalid) {
 		return exitSettings
 	}
 	return exitFailed
--- a/cmd/papayatided/main_test.go
+++ b/cmd/papayatided/main_test.go
@@ -9,8 +9,8 @@
 	"github.com/papayatide/papayatide/platform"
 )
 
-// A host is started with settings that are not valid: it ends with 2 and
-// names the key, whatever else it might have done.
+// A host that is started with invalid settings must exit with 2, so that a supervisor
+// does not restart it, and the error must name the section.
 func TestInvalidSettingsExitCode(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.ini")
 	if err := os.WriteFile(path, []byte("[host]\nname = h\nlisten = nowhere\n"), 0o600); err != nil {
