--- a/internal/daemon/model_test.go
+++ b/internal/daemon/model_test.go
@@ -23,8 +23,8 @@
 	stopped     map[int]bool
 }
 
-// writeResult is one write with the response that its caller got. The oracle
-// compares all of them with the executions that the targets counted.
+// writeResult is one write with the response that its caller got. checkExecutions
+// is the oracle: it compares all results with what the targets ran.
 type writeResult struct {
 	key, idempotencyKey string
 	status              int
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// validate checks s. dcs are the manifest's data centres; the names of s's upstreams
-// are added to seen, as they must be unique in the manifest.
+// validate checks s. dcs are the manifest's data centres. seen holds the upstream
+// names of the services checked before, and gets those of s.
 func (s *Service) validate(dcs, seen map[string]bool) error {
 	if s.Shards < 0 || s.Shards > MaxShards {
 		return eris.Errorf("manifest: service %s: shards %d outside 0..%d", s.Name, s.Shards, MaxShards)
