--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -27,52 +27,52 @@
 	header     http.Header
 	// err is set if there was no whole answer.
 	err error
-	// left is set if the caller left early.
-	left         bool
+	// canceled is set if the caller left early.
+	canceled     bool
 	began, ended time.Time
 }
 
 const (
 	// callerPause is the pause between a caller's requests.
 	callerPause = 15 * time.Millisecond
-	// callerPatience is a caller's own time limit.
-	callerPatience = 5 * time.Second
-	// stayFor is how many requests a caller sends to one host before it
+	// callerTimeout is a caller's own time limit.
+	callerTimeout = 5 * time.Second
+	// requestsPerConnection is how many requests a caller sends to one host before it
 	// moves on, keeping its connection open all the while.
-	stayFor = 60
-	// pollReady is how often a balancer asks hosts whether they are ready;
+	requestsPerConnection = 60
+	// readinessPollInterval is how often a balancer asks hosts whether they are ready;
 	// two misses take one out.
-	pollReady = time.Second
-	misses    = 2
+	readinessPollInterval = time.Second
+	maxReadinessMisses    = 2
 )
 
 // callers send requests until they are told to stop.
 type callers struct {
-	hosts []*Host
-	seq   atomic.Int64
-	out   sync.Map // host name to misses in a row, int
+	hosts           []*Host
+	lastID          atomic.Int64
+	readinessMisses sync.Map // host name to misses in a row, int
 
 	mu       sync.Mutex
 	outcomes []*outcome
 }
 
-// balance keeps the hosts that are in rotation.
-func (c *callers) balance(ctx context.Context) {
-	hc := &http.Client{Timeout: pollReady / 2}
+// pollReadiness keeps the hosts that are in rotation.
+func (c *callers) pollReadiness(ctx context.Context) {
+	hc := &http.Client{Timeout: readinessPollInterval / 2}
 	for ctx.Err() == nil {
 		for _, h := range c.hosts {
 			n := 0
-			if !answersReady(ctx, hc, h) {
-				old, _ := c.out.LoadOrStore(h.Name, misses)
+			if !isReady(ctx, hc, h) {
+				old, _ := c.readinessMisses.LoadOrStore(h.Name, maxReadinessMisses)
 				n = old.(int) + 1
 			}
-			c.out.Store(h.Name, n)
+			c.readinessMisses.Store(h.Name, n)
 		}
-		sleep(ctx, pollReady)
+		sleep(ctx, readinessPollInterval)
 	}
 }
 
-func answersReady(ctx context.Context, hc *http.Client, h *Host) bool {
+func isReady(ctx context.Context, hc *http.Client, h *Host) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.readyURL, nil)
 	if err != nil {
 		return false
@@ -85,11 +85,11 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// inRotation returns a host that takes new connections.
-func (c *callers) inRotation(r *rand.Rand) *Host {
+// pickHost returns a host that takes new connections.
+func (c *callers) pickHost(r *rand.Rand) *Host {
 	var in []*Host
 	for _, h := range c.hosts {
-		if n, known := c.out.Load(h.Name); known && n.(int) < misses {
+		if n, known := c.readinessMisses.Load(h.Name); known && n.(int) < maxReadinessMisses {
 			in = append(in, h)
 		}
 	}
@@ -103,12 +103,12 @@
 func (c *callers) run(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 99))
 	for ctx.Err() == nil {
-		h := c.inRotation(r)
-		hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: callerPatience}
-		for range stayFor {
-			o := c.send(ctx, hc, h, r)
-			o.left = o.left || ctx.Err() != nil
-			c.note(o)
+		h := c.pickHost(r)
+		hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: callerTimeout}
+		for range requestsPerConnection {
+			o := c.sendRequest(ctx, hc, h, r)
+			o.canceled = o.canceled || ctx.Err() != nil
+			c.record(o)
 			if o.err != nil || strings.EqualFold(o.header.Get("Connection"), "close") {
 				break
 			}
@@ -118,7 +118,7 @@
 	}
 }
 
-func (c *callers) note(o *outcome) {
+func (c *callers) record(o *outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes = append(c.outcomes, o)
@@ -127,11 +127,11 @@
 // shares of the kinds of requests; one caller in leaveEarly leaves early.
 const (
 	readShare, chargeShare = 0.5, 0.3
-	leaveEarly             = 40
+	cancelOneIn            = 40
 )
 
-func (c *callers) send(ctx context.Context, hc *http.Client, h *Host, r *rand.Rand) *outcome {
-	o := &outcome{id: fmt.Sprint("q-", c.seq.Add(1)), host: h, began: time.Now()}
+func (c *callers) sendRequest(ctx context.Context, hc *http.Client, h *Host, r *rand.Rand) *outcome {
+	o := &outcome{id: fmt.Sprint("q-", c.lastID.Add(1)), host: h, began: time.Now()}
 	method, vhost := http.MethodPost, plainHost
 	switch x := r.Float64(); {
 	case x < readShare:
@@ -139,30 +139,30 @@
 	case x < readShare+chargeShare:
 		vhost = chargeHost
 	}
-	if r.IntN(leaveEarly) == 0 {
-		o.left = true
+	if r.IntN(cancelOneIn) == 0 {
+		o.canceled = true
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(r.IntN(int(2*work))))
+		ctx, cancel = context.WithTimeout(ctx, time.Duration(r.IntN(int(2*workTime))))
 		defer cancel()
 	}
 	var body io.Reader
 	if method == http.MethodPost {
-		body = bodyOf("body of " + o.id)
+		body = nonReplayableBody("body of " + o.id)
 	}
-	o.exchange(ctx, hc, method, vhost, plainPath, body, r.IntN(ownership.KeySpaceSize))
+	o.roundTrip(ctx, hc, method, vhost, normalPath, body, r.IntN(ownership.KeySpaceSize))
 	o.ended = time.Now()
 	return o
 }
 
-// bodyOf returns a body that, being no *strings.Reader, keeps net/http from
+// nonReplayableBody returns a body that, being no *strings.Reader, keeps net/http from
 // sending the request again by itself.
-func bodyOf(text string) io.Reader { return io.MultiReader(strings.NewReader(text)) }
+func nonReplayableBody(text string) io.Reader { return io.MultiReader(strings.NewReader(text)) }
 
 // plainPath is the target of requests that end nothing.
-const plainPath = "/x"
+const normalPath = "/x"
 
-// exchange sends the request once.
-func (o *outcome) exchange(ctx context.Context, hc *http.Client, method, vhost, path string, body io.Reader, key int) {
+// roundTrip sends the request once.
+func (o *outcome) roundTrip(ctx context.Context, hc *http.Client, method, vhost, path string, body io.Reader, key int) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.host.Front.Addr()+path, body)
 	if err != nil {
 		o.err = err
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -16,42 +16,42 @@
 	// the keyed service, one to the other.
 	fatalPath = "/ends-its-server"
 	fatalKey  = 28264
-	// askFatal is the pause between two asks for either.
-	askFatal = 150 * time.Millisecond
+	// fatalRequestPause is the pause between two asks for either.
+	fatalRequestPause = 150 * time.Millisecond
 	// triedLast is how often such a request may be sent after it has ended
 	// fatalLimit upstreams, by hosts that were undisturbed for settleSpan.
-	fatalLimit, triedLast = 3, 3
-	// downLeast and downMost bound how long an upstream that ended so is down.
-	downLeast, downMost = time.Second, 2 * time.Second
+	maxFatalCrashes, maxLateCrashes = 3, 3
+	// minDowntime and downMost bound how long an upstream that ended so is down.
+	minDowntime, maxDowntime = time.Second, 2 * time.Second
 )
 
-// ended is an upstream's end under a request: its ID, and the name of the route
+// crash is an upstream's end under a request: its ID, and the name of the route
 // it came on.
-type ended struct {
-	at        time.Time
-	id, route string
+type crash struct {
+	at               time.Time
+	requestID, route string
 }
 
-// endUnder ends an upstream that has begun to run a fatal request.
-func (in *injector) endUnder(l *life, r *http.Request) bool {
+// crashUpstream ends an upstream that has begun to run a fatal request.
+func (in *injector) crashUpstream(l *incarnation, r *http.Request) bool {
 	if r.URL.Path != fatalPath {
 		return false
 	}
 	now := time.Now()
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.over {
+	if in.stopped {
 		return false
 	}
-	in.world.kill(l.place)
-	in.ended = append(in.ended, ended{now, r.Header.Get(platform.Headers.RequestID), r.Host})
-	f := &fault{from: now, what: "request ends upstream " + l.place.proxy.Addr()}
+	in.env.kill(l.endpoint)
+	in.crashes = append(in.crashes, crash{now, r.Header.Get(platform.Headers.RequestID), r.Host})
+	f := &fault{from: now, description: "request ends upstream " + l.endpoint.proxy.Addr()}
 	in.faults = append(in.faults, f)
-	down := downLeast + time.Duration(in.downs.Int64N(int64(downMost-downLeast)))
-	time.AfterFunc(down/2, func() { in.world.unlist(l) })
+	down := minDowntime + time.Duration(in.downtimeRNG.Int64N(int64(maxDowntime-minDowntime)))
+	time.AfterFunc(down/2, func() { in.env.expireEntry(l) })
 	in.wg.Go(func() {
 		time.Sleep(down)
-		in.revive(l.place)
+		in.startUpstream(l.endpoint)
 		in.mu.Lock()
 		defer in.mu.Unlock()
 		f.to = time.Now()
@@ -59,51 +59,51 @@
 	return true
 }
 
-// askForFatal asks for the fatal requests on any host until ctx ends, each time
+// sendFatalRequests asks for the fatal requests on any host until ctx ends, each time
 // as another request.
-func (c *callers) askForFatal(ctx context.Context, seed uint64) {
+func (c *callers) sendFatalRequests(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
-	hc := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callerPatience}
+	hc := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callerTimeout}
 	for ctx.Err() == nil {
-		o := &outcome{id: fmt.Sprint("q-", c.seq.Add(1)), host: c.inRotation(r), began: time.Now(), left: true}
+		o := &outcome{id: fmt.Sprint("q-", c.lastID.Add(1)), host: c.pickHost(r), began: time.Now(), canceled: true}
 		method, vhost := http.MethodPost, plainHost
 		if o.idempotent = r.IntN(2) == 0; o.idempotent {
 			method, vhost = http.MethodGet, readHost
 		}
 		var body io.Reader
 		if method == http.MethodPost {
-			body = bodyOf("always the same")
+			body = nonReplayableBody("always the same")
 		}
-		o.exchange(ctx, hc, method, vhost, fatalPath, body, fatalKey)
+		o.roundTrip(ctx, hc, method, vhost, fatalPath, body, fatalKey)
 		o.ended = time.Now()
-		c.note(o)
-		sleep(ctx, askFatal)
+		c.record(o)
+		sleep(ctx, fatalRequestPause)
 	}
 }
 
-// checkFatal returns which fatal request reached upstreams too often.
-func (in *injector) checkFatal(outcomes []*outcome) []string {
+// checkFatalRequests returns which fatal request reached upstreams too often.
+func (in *injector) checkFatalRequests(outcomes []*outcome) []string {
 	through := map[string]*Host{}
 	for _, o := range outcomes {
 		through[o.id] = o.host
 	}
-	byRoute := map[string][]ended{}
-	for _, e := range in.ended {
+	byRoute := map[string][]crash{}
+	for _, e := range in.crashes {
 		byRoute[e.route] = append(byRoute[e.route], e)
 	}
 	var bad []string
 	for route, ends := range byRoute {
-		if len(ends) <= fatalLimit {
+		if len(ends) <= maxFatalCrashes {
 			continue
 		}
-		third, late := ends[fatalLimit-1].at, 0
-		for _, e := range ends[fatalLimit:] {
-			if e.at.Sub(third) > settleSpan && in.inTouch(through[e.id], e.at.Add(-settleSpan), e.at) {
+		third, late := ends[maxFatalCrashes-1].at, 0
+		for _, e := range ends[maxFatalCrashes:] {
+			if e.at.Sub(third) > settleTime && in.hostAndLogFaultFree(through[e.requestID], e.at.Add(-settleTime), e.at) {
 				late++
 			}
 		}
-		if late > triedLast {
-			bad = append(bad, fmt.Sprintf("BUDGET: the fatal request to %s, under which %d upstreams had ended, ended %d more", route, fatalLimit, late))
+		if late > maxLateCrashes {
+			bad = append(bad, fmt.Sprintf("BUDGET: the fatal request to %s, under which %d upstreams had ended, ended %d more", route, maxFatalCrashes, late))
 		}
 	}
 	return bad
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -10,8 +10,8 @@
 
 // fault is one fault's span and what it touched.
 type fault struct {
-	from, to time.Time
-	what     string
+	from, to    time.Time
+	description string
 	// host is the one whose process or links it touched; nil for faults of
 	// upstreams and of the log service.
 	host *Host
@@ -19,7 +19,7 @@
 
 // injector draws faults from a seed and lets them overlap.
 type injector struct {
-	world *Environment
+	env   *Environment
 	hosts []*Host
 	rng   *rand.Rand
 	// forgeSeed is that of forgeEntries.
@@ -28,32 +28,32 @@
 	wg     sync.WaitGroup
 	mu     sync.Mutex
 	faults []*fault
-	// over is set once no more faults begin.
-	over bool
-	// downs draws how long upstreams that a request ended are down, apart from
+	// stopped is set once no more faults begin.
+	stopped bool
+	// downtimeRNG draws how long upstreams that a request ended are down, apart from
 	// the other faults.
-	downs *rand.Rand
-	// ended are the ends of upstreams under requests, in order.
-	ended []ended
+	downtimeRNG *rand.Rand
+	// crashes are the ends of upstreams under requests, in order.
+	crashes []crash
 	// reports are what upstreams reported in their answers.
 	reports []report
-	// empty are the times for which the far data centre was evacuated.
-	empty []emptySpan
+	// evacuations are the times for which the far data centre was evacuated.
+	evacuations []evacuation
 	// busy holds what a fault is under way on, so that two do not undo each
 	// other.
 	busy map[any]bool
 }
 
 const (
-	// gapMost is the longest pause between two faults' starts.
-	gapMost = 900 * time.Millisecond
-	// graceTime is how long a stopping host may take; the platform kills it
+	// maxFaultGap is the longest pause between two faults' starts.
+	maxFaultGap = 900 * time.Millisecond
+	// stopGrace is how long a stopping host may take; the platform kills it
 	// then.
-	graceTime = 6 * time.Second
+	stopGrace = 6 * time.Second
 )
 
 // kinds are the faults, each drawn as often.
-var kinds = []struct {
+var faultKinds = []struct {
 	name string
 	do   func(*injector, context.Context)
 }{
@@ -66,33 +66,33 @@
 	{"log link", (*injector).logLink},
 	{"upstream link", (*injector).upstreamLink},
 	{"log outage", (*injector).logOutage},
-	{"new desired state", (*injector).publish},
+	{"new desired state", (*injector).publishDesired},
 }
 
 // run injects faults until ctx ends, and then waits for those under way.
 func (in *injector) run(ctx context.Context) {
 	in.wg.Go(func() { in.forgeEntries(ctx) })
 	for ctx.Err() == nil {
-		k := kinds[in.rng.IntN(len(kinds))]
+		k := faultKinds[in.rng.IntN(len(faultKinds))]
 		k.do(in, ctx)
-		sleep(ctx, time.Duration(in.rng.Int64N(int64(gapMost))))
+		sleep(ctx, time.Duration(in.rng.Int64N(int64(maxFaultGap))))
 	}
 	in.mu.Lock()
-	in.over = true
+	in.stopped = true
 	in.mu.Unlock()
 	in.wg.Wait()
 }
 
-// during runs begin, waits, and runs end, as one fault on a thing that no
+// runFault runs begin, waits, and runs end, as one fault on a thing that no
 // other fault is under way on.
-func (in *injector) during(what string, h *Host, on any, d time.Duration, begin, end func()) {
+func (in *injector) runFault(what string, h *Host, on any, d time.Duration, begin, end func()) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.busy[on] {
 		return
 	}
 	in.busy[on] = true
-	f := &fault{from: time.Now(), what: what, host: h}
+	f := &fault{from: time.Now(), description: what, host: h}
 	in.faults = append(in.faults, f)
 	in.wg.Go(func() {
 		begin()
@@ -105,23 +105,25 @@
 	})
 }
 
-func (in *injector) between(lo, hi time.Duration) time.Duration {
+func (in *injector) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(in.rng.Int64N(int64(hi-lo)))
 }
 
-func (in *injector) host() *Host { return in.hosts[in.rng.IntN(len(in.hosts))] }
+func (in *injector) randomHost() *Host { return in.hosts[in.rng.IntN(len(in.hosts))] }
 
-func (in *injector) place() *place { return in.world.places[in.rng.IntN(len(in.world.places))] }
+func (in *injector) randomEndpoint() *endpoint {
+	return in.env.endpoints[in.rng.IntN(len(in.env.endpoints))]
+}
 
 func (in *injector) killHost(context.Context) {
-	h := in.host()
-	in.during("kill "+h.Name, h, h, in.between(100*time.Millisecond, 3*time.Second), h.Kill, func() { in.restart(h) })
+	h := in.randomHost()
+	in.runFault("kill "+h.Name, h, h, in.randomDuration(100*time.Millisecond, 3*time.Second), h.Kill, func() { in.restart(h) })
 }
 
 func (in *injector) stopHost(context.Context) {
-	h := in.host()
-	in.during("stop "+h.Name, h, h, 0, h.Stop, func() {
-		if !h.AwaitExit(graceTime) {
+	h := in.randomHost()
+	in.runFault("stop "+h.Name, h, h, 0, h.Stop, func() {
+		if !h.AwaitExit(stopGrace) {
 			h.Kill()
 		}
 		in.restart(h)
@@ -130,49 +132,49 @@
 
 // restart starts a host again once its process is gone.
 func (in *injector) restart(h *Host) {
-	if !h.AwaitExit(endPatience) {
-		in.breach(fmt.Sprintf("%s: a killed process does not end", h.Name))
+	if !h.AwaitExit(exitTimeout) {
+		in.addViolation(fmt.Sprintf("%s: a killed process does not end", h.Name))
 		return
 	}
 	if err := h.Start(); err != nil {
-		in.breach(err.Error())
+		in.addViolation(err.Error())
 	}
 }
 
 func (in *injector) pauseHost(context.Context) {
-	h := in.host()
-	in.during("pause "+h.Name, h, h, in.between(100*time.Millisecond, 8*time.Second), h.Pause, func() {
-		in.world.noteResumed()
+	h := in.randomHost()
+	in.runFault("pause "+h.Name, h, h, in.randomDuration(100*time.Millisecond, 8*time.Second), h.Pause, func() {
+		in.env.recordResume()
 		h.Resume()
-		in.world.noteResumed()
+		in.env.recordResume()
 	})
 }
 
 func (in *injector) killUpstream(context.Context) {
-	p := in.place()
-	lapse := in.between(time.Second, 2*time.Second)
-	var dead *life
-	in.during("kill upstream "+p.proxy.Addr(), nil, p, in.between(50*time.Millisecond, 3*time.Second),
+	p := in.randomEndpoint()
+	lapse := in.randomDuration(time.Second, 2*time.Second)
+	var dead *incarnation
+	in.runFault("kill upstream "+p.proxy.Addr(), nil, p, in.randomDuration(50*time.Millisecond, 3*time.Second),
 		func() {
-			dead = in.world.kill(p)
-			time.AfterFunc(lapse, func() { in.world.unlist(dead) })
-		}, func() { in.revive(p) })
+			dead = in.env.kill(p)
+			time.AfterFunc(lapse, func() { in.env.expireEntry(dead) })
+		}, func() { in.startUpstream(p) })
 }
 
-func (in *injector) revive(p *place) {
-	if err := in.world.revive(p); err != nil {
-		in.breach(err.Error())
+func (in *injector) startUpstream(p *endpoint) {
+	if err := in.env.startUpstream(p); err != nil {
+		in.addViolation(err.Error())
 	}
 }
 
 // forged are entries that no upstream wrote.
-var forged = [][]byte{[]byte("\xff\x00"), []byte(`{"Service":"keyed"}`), []byte(`{"Service":"keyed","Slots":"many"}`)}
+var forgedEntries = [][]byte{[]byte("\xff\x00"), []byte(`{"Service":"keyed"}`), []byte(`{"Service":"keyed","Slots":"many"}`)}
 
 const (
-	// forgedFor is how long a forged entry stands: the upstream writes its own
+	// forgedTime is how long a forged entry stands: the upstream writes its own
 	// again with its next heartbeat.
-	forgedFor    = 900 * time.Millisecond
-	forgePeriods = 8 * time.Second
+	forgedTime  = 900 * time.Millisecond
+	maxForgeGap = 8 * time.Second
 )
 
 // forgeEntries has another writer replace upstreams' entries now and then. It
@@ -180,69 +182,69 @@
 func (in *injector) forgeEntries(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(in.forgeSeed, 2))
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(rng.Int64N(int64(forgePeriods))))
-		p := in.world.places[rng.IntN(len(in.world.places))]
-		entry := forged[rng.IntN(len(forged))]
-		in.during("forged entry of "+p.proxy.Addr(), nil, &forged, forgedFor, func() { in.world.forge(p, entry, forgedFor) }, func() {})
+		sleep(ctx, time.Duration(rng.Int64N(int64(maxForgeGap))))
+		p := in.env.endpoints[rng.IntN(len(in.env.endpoints))]
+		entry := forgedEntries[rng.IntN(len(forgedEntries))]
+		in.runFault("forged entry of "+p.proxy.Addr(), nil, &forgedEntries, forgedTime, func() { in.env.forgeEntry(p, entry, forgedTime) }, func() {})
 	}
 }
 
 // drainUpstream has an upstream leave as planned.
 func (in *injector) drainUpstream(context.Context) {
-	p := in.place()
-	in.during("drain upstream "+p.proxy.Addr(), nil, p, 4*time.Second,
-		func() { in.world.list(p.life, true) },
+	p := in.randomEndpoint()
+	in.runFault("drain upstream "+p.proxy.Addr(), nil, p, 4*time.Second,
+		func() { in.env.writeEntry(p.current, true) },
 		func() {
-			in.world.unlist(in.world.kill(p))
-			in.revive(p)
+			in.env.expireEntry(in.env.kill(p))
+			in.startUpstream(p)
 		})
 }
 
 func (in *injector) frontLink(context.Context) {
-	h := in.host()
-	in.link("front link of "+h.Name, h, h.Front)
+	h := in.randomHost()
+	in.faultLink("front link of "+h.Name, h, h.Front)
 }
 
 func (in *injector) logLink(context.Context) {
-	h := in.host()
-	in.link("log link of "+h.Name, h, h.Log)
+	h := in.randomHost()
+	in.faultLink("log link of "+h.Name, h, h.Log)
 }
 
 func (in *injector) upstreamLink(context.Context) {
-	p := in.place()
-	in.link("link of upstream "+p.proxy.Addr(), nil, p.proxy)
+	p := in.randomEndpoint()
+	in.faultLink("link of upstream "+p.proxy.Addr(), nil, p.proxy)
 }
 
-// link makes a proxy misbehave in one of five ways.
-func (in *injector) link(what string, h *Host, p *Proxy) {
-	d := in.between(200*time.Millisecond, 5*time.Second)
+// faultLink makes a proxy misbehave in one of five ways.
+func (in *injector) faultLink(what string, h *Host, p *Proxy) {
+	d := in.randomDuration(200*time.Millisecond, 5*time.Second)
 	heal := func() { p.Cut() }
 	switch in.rng.IntN(5) {
 	case 0:
-		in.during("reset "+what, h, p, 0, p.Reset, func() {})
+		in.runFault("reset "+what, h, p, 0, p.Reset, func() {})
 	case 1:
-		delay := in.between(5*time.Millisecond, 80*time.Millisecond)
-		in.during("delay "+what, h, p, d, func() { p.SetDelay(delay) }, func() { p.SetDelay(0) })
+		delay := in.randomDuration(5*time.Millisecond, 80*time.Millisecond)
+		in.runFault("delay "+what, h, p, d, func() { p.SetDelay(delay) }, func() { p.SetDelay(0) })
 	case 2:
-		in.during("silence "+what, h, p, d, func() { p.Cut(toTarget, toCaller) }, heal)
+		in.runFault("silence "+what, h, p, d, func() { p.Cut(toTarget, toCaller) }, heal)
 	case 3:
-		in.during("cut to caller "+what, h, p, d, func() { p.Cut(toCaller) }, heal)
+		in.runFault("cut to caller "+what, h, p, d, func() { p.Cut(toCaller) }, heal)
 	case 4:
-		in.during("cut to target "+what, h, p, d, func() { p.Cut(toTarget) }, heal)
+		in.runFault("cut to target "+what, h, p, d, func() { p.Cut(toTarget) }, heal)
 	}
 }
 
 // logOutage makes the log service fail, forget its history, or both; entries
 // lapse meanwhile and are back soon after.
 func (in *injector) logOutage(context.Context) {
-	log := in.world.log
-	back := in.between(200*time.Millisecond, 1800*time.Millisecond)
+	log := in.env.log
+	back := in.randomDuration(200*time.Millisecond, 1800*time.Millisecond)
 	switch in.rng.IntN(3) {
 	case 0:
-		in.during("log service forgets", nil, log, 0, log.Compact, func() {})
+		in.runFault("log service forgets", nil, log, 0, log.Compact, func() {})
 	default:
-		in.during("log service down", nil, log, in.between(300*time.Millisecond, 6*time.Second), func() { log.SetDown(true) }, func() {
-			in.world.relist(back)
+		in.runFault("log service down", nil, log, in.randomDuration(300*time.Millisecond, 6*time.Second), func() { log.SetDown(true) }, func() {
+			in.env.expireAndRestoreEntries(back)
 			log.SetDown(false)
 			// Until they are back no other outage may begin.
 			time.Sleep(back)
@@ -250,26 +252,26 @@
 	}
 }
 
-func (in *injector) publish(context.Context) {
-	if err := in.world.publish(); err != nil {
-		in.breach(err.Error())
+func (in *injector) publishDesired(context.Context) {
+	if err := in.env.publish(); err != nil {
+		in.addViolation(err.Error())
 	}
 }
 
-func (in *injector) breach(what string) {
-	in.world.mu.Lock()
-	defer in.world.mu.Unlock()
-	in.world.breaches = append(in.world.breaches, what)
+func (in *injector) addViolation(what string) {
+	in.env.mu.Lock()
+	defer in.env.mu.Unlock()
+	in.env.violations = append(in.env.violations, what)
 }
 
-// calm reports whether no fault touched the host's process, the host's links,
+// faultFree reports whether no fault touched the host's process, the host's links,
 // an upstream or the log service between from and to.
-func (in *injector) calm(h *Host, from, to time.Time, except string) bool {
+func (in *injector) faultFree(h *Host, from, to time.Time, except string) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, f := range in.faults {
 		over := !f.to.IsZero() && f.to.Before(from)
-		if over || f.from.After(to) || (f.host != nil && f.host != h) || f.what == except {
+		if over || f.from.After(to) || (f.host != nil && f.host != h) || f.description == except {
 			continue
 		}
 		return false
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -23,22 +23,22 @@
 	Front *Proxy
 	Log   *Proxy
 
-	binary, settings, output string
-	readyURL                 string
+	binary, settingsPath, outputPath string
+	readyURL                         string
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// gone is closed when the present process has ended.
-	gone chan struct{}
-	// told is set once the process was told to end, by any signal.
-	told   bool
-	paused bool
-	// wrote is the size of output before the present process started.
-	wrote    int64
-	failures []string
+	// exited is closed when the present process has ended.
+	exited chan struct{}
+	// signaled is set once the process was told to end, by any signal.
+	signaled bool
+	paused   bool
+	// outputStart is the size of output before the present process started.
+	outputStart int64
+	failures    []string
 }
 
-const settingsText = `[host]
+const settingsTemplate = `[host]
 name = %s
 data_centre = dc
 listen = %s
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &Host{Name: name, binary: binary, settings: filepath.Join(dir, name+".ini"), output: filepath.Join(dir, name+".log"),
+	h := &Host{Name: name, binary: binary, settingsPath: filepath.Join(dir, name+".ini"), outputPath: filepath.Join(dir, name+".log"),
 		readyURL: "http://" + addrs[1] + platform.PathReady}
 	if h.Front, err = NewProxy(addrs[4], addrs[0]); err != nil {
 		return nil, err
@@ -67,8 +67,8 @@
 	if h.Log, err = NewProxy(addrs[5], logAddr); err != nil {
 		return nil, err
 	}
-	text := fmt.Sprintf(settingsText, name, addrs[0], addrs[1], addrs[2], addrs[3], h.Log.Addr())
-	return h, eris.Wrap(os.WriteFile(h.settings, []byte(text), 0o600), "settings")
+	text := fmt.Sprintf(settingsTemplate, name, addrs[0], addrs[1], addrs[2], addrs[3], h.Log.Addr())
+	return h, eris.Wrap(os.WriteFile(h.settingsPath, []byte(text), 0o600), "settings")
 }
 
 func freeAddrs(n int) ([]string, error) {
@@ -90,19 +90,19 @@
 	if h.cmd != nil {
 		return nil
 	}
-	out, err := os.OpenFile(h.output, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(h.outputPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return eris.Wrap(err, "output")
 	}
 	defer func() { _ = out.Close() }() // the process has its own copy
 	cmd := exec.Command(h.binary, "entry")
-	cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+h.settings)
+	cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+h.settingsPath)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return eris.Wrap(err, "start")
 	}
-	h.cmd, h.told, h.gone, h.wrote = cmd, false, make(chan struct{}), outputSize(out)
-	go h.wait(cmd, h.gone)
+	h.cmd, h.signaled, h.exited, h.outputStart = cmd, false, make(chan struct{}), outputSize(out)
+	go h.awaitProcess(cmd, h.exited)
 	return nil
 }
 
@@ -115,31 +115,31 @@
 	return info.Size()
 }
 
-// wait notes how the process ends. One that was told to stop ends with 0, or by the
+// awaitProcess notes how the process ends. One that was told to stop ends with 0, or by the
 // signal if it came before the process wrote its first line; one that was not told
 // does not end.
-func (h *Host) wait(cmd *exec.Cmd, gone chan struct{}) {
+func (h *Host) awaitProcess(cmd *exec.Cmd, gone chan struct{}) {
 	err := cmd.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	by := cmd.ProcessState.Sys().(syscall.WaitStatus).Signal()
-	killed := by == syscall.SIGKILL || (by == syscall.SIGTERM && h.wroteNothing())
-	if !h.told || (err != nil && !killed) {
-		h.failures = append(h.failures, fmt.Sprintf("%s ended: told %v, %v", h.Name, h.told, err))
+	killed := by == syscall.SIGKILL || (by == syscall.SIGTERM && h.wroteNoOutput())
+	if !h.signaled || (err != nil && !killed) {
+		h.failures = append(h.failures, fmt.Sprintf("%s ended: told %v, %v", h.Name, h.signaled, err))
 	}
 	h.cmd, h.paused = nil, false
 	close(gone)
 }
 
-// wroteNothing reports whether the process has written nothing since its start.
-func (h *Host) wroteNothing() bool {
-	info, err := os.Stat(h.output)
-	return err == nil && info.Size() == h.wrote
+// wroteNoOutput reports whether the process has written nothing since its start.
+func (h *Host) wroteNoOutput() bool {
+	info, err := os.Stat(h.outputPath)
+	return err == nil && info.Size() == h.outputStart
 }
 
-// lastLine returns the last line of the host's output, or why it cannot be read.
-func (h *Host) lastLine() string {
-	data, err := os.ReadFile(h.output)
+// lastOutputLine returns the last line of the host's output, or why it cannot be read.
+func (h *Host) lastOutputLine() string {
+	data, err := os.ReadFile(h.outputPath)
 	if err != nil {
 		return err.Error()
 	}
@@ -156,7 +156,7 @@
 	}
 	switch s {
 	case syscall.SIGKILL, syscall.SIGTERM:
-		h.told = true
+		h.signaled = true
 	case syscall.SIGSTOP:
 		h.paused = true
 	case syscall.SIGCONT:
@@ -179,7 +179,7 @@
 // AwaitExit waits until the process has ended, for at most d.
 func (h *Host) AwaitExit(d time.Duration) bool {
 	h.mu.Lock()
-	gone, running := h.gone, h.cmd != nil
+	gone, running := h.exited, h.cmd != nil
 	h.mu.Unlock()
 	if !running {
 		return true
@@ -203,10 +203,10 @@
 func (h *Host) shutDown() {
 	h.Resume()
 	h.Kill()
-	h.AwaitExit(endPatience)
+	h.AwaitExit(exitTimeout)
 	h.Front.Close()
 	h.Log.Close()
 }
 
 // endPatience is how long a killed process may take to be gone.
-const endPatience = 5 * time.Second
+const exitTimeout = 5 * time.Second
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -21,7 +21,7 @@
 	delay  time.Duration
 	// cut holds which directions deliver nothing.
 	cut   map[direction]bool
-	links map[*link]bool
+	conns map[*proxyConn]bool
 }
 
 type direction int
@@ -31,15 +31,15 @@
 	toCaller
 )
 
-// link is one connection through the proxy. Once a byte of it was lost it is
+// proxyConn is one connection through the proxy. Once a byte of it was lost it is
 // broken: it carries nothing more and is reset when the cut ends.
-type link struct {
+type proxyConn struct {
 	caller, target *net.TCPConn
 	broken         bool
 }
 
 // reset ends both sides at once.
-func (l *link) reset() {
+func (l *proxyConn) reset() {
 	for _, c := range []*net.TCPConn{l.caller, l.target} {
 		_ = c.SetLinger(0)
 		_ = c.Close()
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "proxy")
 	}
-	p := &Proxy{ln: ln, target: target, cut: map[direction]bool{}, links: map[*link]bool{}}
+	p := &Proxy{ln: ln, target: target, cut: map[direction]bool{}, conns: map[*proxyConn]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -86,7 +86,7 @@
 	if len(ds) > 0 {
 		return
 	}
-	for l := range p.links {
+	for l := range p.conns {
 		if l.broken {
 			l.reset()
 		}
@@ -97,7 +97,7 @@
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.links {
+	for l := range p.conns {
 		l.reset()
 	}
 }
@@ -129,16 +129,16 @@
 		_ = caller.Close()
 		return
 	}
-	l := &link{caller: caller, target: c.(*net.TCPConn)}
+	l := &proxyConn{caller: caller, target: c.(*net.TCPConn)}
 	p.mu.Lock()
-	p.links[l] = true
+	p.conns[l] = true
 	p.mu.Unlock()
 	var wg sync.WaitGroup
 	wg.Go(func() { p.pump(l, caller, l.target, toTarget) })
 	wg.Go(func() { p.pump(l, l.target, caller, toCaller) })
 	wg.Wait()
 	p.mu.Lock()
-	delete(p.links, l)
+	delete(p.conns, l)
 	p.mu.Unlock()
 }
 
@@ -146,11 +146,11 @@
 
 // pump copies one direction. An orderly end of one side ends the other in
 // order, anything else resets it.
-func (p *Proxy) pump(l *link, from, to *net.TCPConn, d direction) {
+func (p *Proxy) pump(l *proxyConn, from, to *net.TCPConn, d direction) {
 	buf := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && p.passes(l, d) {
+		if n > 0 && p.deliver(l, d) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
 			}
@@ -167,8 +167,8 @@
 	}
 }
 
-// passes reports whether a chunk is delivered, after its delay.
-func (p *Proxy) passes(l *link, d direction) bool {
+// deliver reports whether a chunk is delivered, after its delay.
+func (p *Proxy) deliver(l *proxyConn, d direction) bool {
 	p.mu.Lock()
 	delay := p.delay
 	l.broken = l.broken || p.cut[d]
@@ -180,7 +180,7 @@
 	return !broken
 }
 
-func (p *Proxy) isBroken(l *link) bool {
+func (p *Proxy) isBroken(l *proxyConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return l.broken
--- a/internal/soak/reports.go
+++ b/internal/soak/reports.go
@@ -12,74 +12,74 @@
 )
 
 const (
-	// reportPeriods is the longest pause between two upstreams' reports.
-	reportPeriods = 2 * time.Second
-	// reportMost is how long an upstream reports a limit or asks for rests at most.
-	reportMost = 8 * time.Second
-	// restFor is the rest that it asks for.
-	restFor = 3 * time.Second
-	// leavingFor is how long an upstream that reports that it leaves stays.
-	leavingFor = 5 * time.Second
+	// maxReportGap is the longest pause between two upstreams' reports.
+	maxReportGap = 2 * time.Second
+	// maxReportTime is how long an upstream reports a limit or asks for rests at most.
+	maxReportTime = 8 * time.Second
+	// backoffTime is the rest that it asks for.
+	backoffTime = 3 * time.Second
+	// leavingTime is how long an upstream that reports that it leaves stays.
+	leavingTime = 5 * time.Second
 )
 
 // report is a time for which an upstream's life reported the same.
 type report struct {
-	life *life
-	says rangeowner.Report
-	from time.Time
+	inc   *incarnation
+	value rangeowner.Report
+	from  time.Time
 }
 
-// reportsOf names what reports of a place exclude each other by.
-type reportsOf struct{ *place }
+// reportKey names what reports of a place exclude each other by.
+type reportKey struct{ *endpoint }
 
-// report has upstreams report limits, rests and that they leave until ctx ends. It
+// runReports has upstreams report limits, rests and that they leave until ctx ends. It
 // draws apart from the other faults.
-func (in *injector) report(ctx context.Context, seed uint64) {
+func (in *injector) runReports(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(rng.Int64N(int64(reportPeriods))))
-		p := in.world.places[rng.IntN(len(in.world.places))]
-		d := time.Duration(rng.Int64N(int64(reportMost)))
+		sleep(ctx, time.Duration(rng.Int64N(int64(maxReportGap))))
+		p := in.env.endpoints[rng.IntN(len(in.env.endpoints))]
+		d := time.Duration(rng.Int64N(int64(maxReportTime)))
 		switch rng.IntN(3) {
 		case 0:
-			in.say(p, rangeowner.Report{RateLimit: 0.5 + 8*rng.Float64()}, d)
+			in.reportFor(p, rangeowner.Report{RateLimit: 0.5 + 8*rng.Float64()}, d)
 		case 1:
-			in.say(p, rangeowner.Report{Backoff: restFor}, d)
+			in.reportFor(p, rangeowner.Report{Backoff: backoffTime}, d)
 		case 2:
-			in.leave(p, rng.IntN(2) == 0)
+			in.reportLeaving(p, rng.IntN(2) == 0)
 		}
 	}
 }
 
-// say has the place's upstream report for a time, or until its life ends.
-func (in *injector) say(p *place, says rangeowner.Report, d time.Duration) {
-	var l *life
-	in.during(fmt.Sprintf("upstream %s reports %+v", p.proxy.Addr(), says), nil, reportsOf{p}, d,
-		func() { l = in.begin(p, says) },
+// reportFor has the place's upstream report for a time, or until its life ends.
+func (in *injector) reportFor(p *endpoint, says rangeowner.Report, d time.Duration) {
+	var l *incarnation
+	in.runFault(fmt.Sprintf("upstream %s reports %+v", p.proxy.Addr(), says), nil, reportKey{p}, d,
+		func() { l = in.startReport(p, says) },
 		func() { l.SetReport(rangeowner.Report{}) })
 }
 
-// leave has the place's upstream report that it leaves, and end some time later. Its
+// reportLeaving has the place's upstream report that it leaves, and end some time later. Its
 // entry says the same only if listed.
-func (in *injector) leave(p *place, listed bool) {
-	in.during("upstream "+p.proxy.Addr()+" reports that it leaves", nil, p, leavingFor,
+func (in *injector) reportLeaving(p *endpoint, listed bool) {
+	in.runFault("upstream "+p.proxy.Addr()+" reports that it leaves", nil, p, leavingTime,
 		func() {
-			l := in.begin(p, rangeowner.Report{Leaving: true})
+			l := in.startReport(p, rangeowner.Report{Leaving: true})
 			if listed {
-				in.world.list(l, true)
+				in.env.writeEntry(l, true)
 			}
 		},
 		func() {
-			in.world.unlist(in.world.kill(p))
-			in.revive(p)
+			in.env.expireEntry(in.env.kill(p))
+			in.startUpstream(p)
 		})
 }
 
-// begin has the place's present life report something and notes it.
-func (in *injector) begin(p *place, says rangeowner.Report) *life {
-	in.world.mu.Lock()
-	l := p.life
-	in.world.mu.Unlock()
+// startReport has the place's present life report something and notes it.
+func (in *injector) startReport(p *endpoint, says rangeowner.Report) *incarnation {
+	in.env.mu.Lock()
+	l := p.current
+	in.env.mu.Unlock()
 	l.SetReport(says)
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -95,27 +95,27 @@
 		by[o.id] = o
 	}
 	for _, r := range in.reports {
-		all := r.life.Arrivals(r.from, time.Now())
+		all := r.inc.Arrivals(r.from, time.Now())
 		for i, a := range all {
-			if a.Report != r.says {
+			if a.Report != r.value {
 				all = all[:i]
 				break
 			}
 		}
 		switch {
-		case r.says.RateLimit > 0:
-			bad = append(bad, in.checkLimit(r, all, by)...)
-		case r.says.Leaving:
+		case r.value.RateLimit > 0:
+			bad = append(bad, in.checkRateLimit(r, all, by)...)
+		case r.value.Leaving:
 			bad = append(bad, in.checkLeaving(r, all, by)...)
-		case r.says.Backoff > 0:
-			bad = append(bad, in.checkRest(r, all, by)...)
+		case r.value.Backoff > 0:
+			bad = append(bad, in.checkBackoff(r, all, by)...)
 		}
 	}
 	return bad
 }
 
-// passedOn returns when each host first passed on an answer with the report.
-func passedOn(all []rangeowner.Arrival, by map[string]*outcome) map[*Host]time.Time {
+// firstForwarded returns when each host first passed on an answer with the report.
+func firstForwarded(all []rangeowner.Arrival, by map[string]*outcome) map[*Host]time.Time {
 	first := map[*Host]time.Time{}
 	for _, a := range all {
 		o := by[a.ID]
@@ -129,8 +129,8 @@
 	return first
 }
 
-func (in *injector) checkLimit(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
-	first := passedOn(all, by)
+func (in *injector) checkRateLimit(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
+	first := firstForwarded(all, by)
 	var counted []rangeowner.Arrival
 	for _, a := range all {
 		o := by[a.ID]
@@ -138,34 +138,34 @@
 			continue
 		}
 		at, ok := first[o.host]
-		if ok && a.At.Sub(at) > rangeowner.ReportGrace && in.untouched(o.host, r.life.place, at, a.At) {
+		if ok && a.At.Sub(at) > rangeowner.ReportGrace && in.hostAndLinkFaultFree(o.host, r.inc.endpoint, at, a.At) {
 			counted = append(counted, a)
 		}
 	}
-	if n, most := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(r.says.RateLimit); n > most {
+	if n, most := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(r.value.RateLimit); n > most {
 		bad = append(bad, fmt.Sprintf("%s: LIMIT: %d requests within %v reached %s, which takes %.2f a second; at most %d",
-			r.from.Format(stamp), n, rangeowner.RateLimitWindow, r.life.ID, r.says.RateLimit, most))
+			r.from.Format(timestampFormat), n, rangeowner.RateLimitWindow, r.inc.ID, r.value.RateLimit, most))
 	}
 	return bad
 }
 
 func (in *injector) checkLeaving(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
-	first := passedOn(all, by)
+	first := firstForwarded(all, by)
 	for _, a := range all {
 		o := by[a.ID]
 		if o == nil {
 			continue
 		}
 		at, ok := first[o.host]
-		if ok && o.began.Sub(at) > rangeowner.DrainGrace && in.unstopped(o.host, at, a.At) {
+		if ok && o.began.Sub(at) > rangeowner.DrainGrace && in.hostProcessFaultFree(o.host, at, a.At) {
 			bad = append(bad, fmt.Sprintf("%s: DRAIN: %s reached %s through %s %v after that had passed on that it leaves",
-				a.At.Format(stamp), a.ID, r.life.ID, o.host.Name, a.At.Sub(at)))
+				a.At.Format(timestampFormat), a.ID, r.inc.ID, o.host.Name, a.At.Sub(at)))
 		}
 	}
 	return bad
 }
 
-func (in *injector) checkRest(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
+func (in *injector) checkBackoff(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
 	byHost := map[*Host][]rangeowner.Arrival{}
 	for _, a := range all {
 		if o := by[a.ID]; o != nil {
@@ -173,29 +173,29 @@
 		}
 	}
 	for h, its := range byHost {
-		n, asked := rangeowner.BackoffViolation(its, restFor, func(asked, at time.Time) bool { return in.untouched(h, r.life.place, asked, at) })
+		n, asked := rangeowner.BackoffViolation(its, backoffTime, func(asked, at time.Time) bool { return in.hostAndLinkFaultFree(h, r.inc.endpoint, asked, at) })
 		if n > 0 {
-			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a rest of %v", asked.Format(stamp), n, h.Name, r.life.ID, restFor))
+			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a rest of %v", asked.Format(timestampFormat), n, h.Name, r.inc.ID, backoffTime))
 		}
 	}
 	return bad
 }
 
-// untouched reports whether no fault touched the host, or the way to the upstream,
+// hostAndLinkFaultFree reports whether no fault touched the host, or the way to the upstream,
 // within a time.
-func (in *injector) untouched(h *Host, p *place, from, to time.Time) bool {
-	return !in.touched(from, to, func(f *fault) bool {
-		return f.host == h || strings.HasSuffix(f.what, "link of upstream "+p.proxy.Addr())
+func (in *injector) hostAndLinkFaultFree(h *Host, p *endpoint, from, to time.Time) bool {
+	return !in.anyFault(from, to, func(f *fault) bool {
+		return f.host == h || strings.HasSuffix(f.description, "link of upstream "+p.proxy.Addr())
 	})
 }
 
-// unstopped reports whether the host's process ran all the time.
-func (in *injector) unstopped(h *Host, from, to time.Time) bool {
-	return !in.touched(from, to, func(f *fault) bool { return f.host == h && !strings.Contains(f.what, "link") })
+// hostProcessFaultFree reports whether the host's process ran all the time.
+func (in *injector) hostProcessFaultFree(h *Host, from, to time.Time) bool {
+	return !in.anyFault(from, to, func(f *fault) bool { return f.host == h && !strings.Contains(f.description, "link") })
 }
 
-// touched reports whether such a fault was under way within a time.
-func (in *injector) touched(from, to time.Time, such func(*fault) bool) bool {
+// anyFault reports whether such a fault was under way within a time.
+func (in *injector) anyFault(from, to time.Time, such func(*fault) bool) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, f := range in.faults {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -51,14 +51,14 @@
 }
 
 const (
-	// startWithin and recoverWithin bound the time until every key is served
+	// startTimeout and recoverWithin bound the time until every key is served
 	// through every host, from the start and from the last fault's end.
-	startWithin   = 15 * time.Second
-	recoverWithin = 15 * time.Second
-	// calmSpan is how long callers go on after everything is served again.
-	calmSpan = 2 * time.Second
-	// calmShare is the least share of their requests that is served.
-	calmShare = 0.95
+	startTimeout    = 15 * time.Second
+	recoveryTimeout = 15 * time.Second
+	// quietPeriod is how long callers go on after everything is served again.
+	quietPeriod = 2 * time.Second
+	// minServedShare is the least share of their requests that is served.
+	minServedShare = 0.95
 )
 
 // Run makes one run.
@@ -67,7 +67,7 @@
 	if opts.Evacuate {
 		slow = slowStart
 	}
-	w, err := newWorld(opts.Keyed, opts.Plain, slow)
+	w, err := newEnvironment(opts.Keyed, opts.Plain, slow)
 	if err != nil {
 		return nil, err
 	}
@@ -84,67 +84,67 @@
 			return nil, err
 		}
 	}
-	if took, key := awaitServed(hosts, startWithin); key >= 0 {
-		return nil, eris.Errorf("key %d is not served %v after the start; hosts: %s", key, took, lastWords(hosts))
+	if took, key := awaitServed(hosts, startTimeout); key >= 0 {
+		return nil, eris.Errorf("key %d is not served %v after the start; hosts: %s", key, took, hostDiagnostics(hosts))
 	}
-	return play(ctx, opts, w, hosts), nil
+	return runScenario(ctx, opts, w, hosts), nil
 }
 
-// lastWords tells of each host how its process ended, if it did, and the last line
+// hostDiagnostics tells of each host how its process ended, if it did, and the last line
 // that it wrote.
-func lastWords(hosts []*Host) string {
+func hostDiagnostics(hosts []*Host) string {
 	var out []string
 	for _, h := range hosts {
-		out = append(out, fmt.Sprintf("%s %v %s", h.Name, h.Failures(), h.lastLine()))
+		out = append(out, fmt.Sprintf("%s %v %s", h.Name, h.Failures(), h.lastOutputLine()))
 	}
 	return strings.Join(out, "; ")
 }
 
-// play lets callers, faults and the calm after them run, and checks.
-func play(ctx context.Context, opts Options, w *Environment, hosts []*Host) *Report {
+// runScenario lets callers, faults and the calm after them run, and checks.
+func runScenario(ctx context.Context, opts Options, w *Environment, hosts []*Host) *Report {
 	cctx, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
 	c := &callers{hosts: hosts}
 	var wg sync.WaitGroup
-	wg.Go(func() { c.balance(cctx) })
+	wg.Go(func() { c.pollReadiness(cctx) })
 	for i := range opts.Callers {
 		wg.Go(func() { c.run(cctx, opts.Seed*1000+uint64(i)) })
 	}
-	in := &injector{world: w, hosts: hosts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), forgeSeed: opts.Seed,
-		downs: rand.New(rand.NewPCG(opts.Seed, 3)), busy: map[any]bool{}}
+	in := &injector{env: w, hosts: hosts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), forgeSeed: opts.Seed,
+		downtimeRNG: rand.New(rand.NewPCG(opts.Seed, 3)), busy: map[any]bool{}}
 	fctx, cancel := context.WithTimeout(ctx, opts.Faults)
 	if opts.CrashRequests {
 		// They are faults too: what they end is down while they are asked for.
-		w.setFatal(in.endUnder)
-		in.wg.Go(func() { c.askForFatal(fctx, opts.Seed) })
+		w.setCrashOn(in.crashUpstream)
+		in.wg.Go(func() { c.sendFatalRequests(fctx, opts.Seed) })
 	}
 	if opts.Evacuate {
-		in.wg.Go(func() { in.evacuations(fctx, opts.Seed) })
+		in.wg.Go(func() { in.runEvacuations(fctx, opts.Seed) })
 	}
 	if opts.Reports {
-		in.wg.Go(func() { in.report(fctx, opts.Seed) })
+		in.wg.Go(func() { in.runReports(fctx, opts.Seed) })
 	}
 	in.run(fctx)
 	cancel()
 	if opts.Evacuate {
-		sleep(ctx, slowStart.Duration+beatEvery) // the last ones to come back are cold until then
+		sleep(ctx, slowStart.Duration+heartbeatInterval) // the last ones to come back are cold until then
 	}
 	r := &Report{}
-	took, key := awaitServed(hosts, recoverWithin)
+	took, key := awaitServed(hosts, recoveryTimeout)
 	r.Recovered = took
 	if key >= 0 {
 		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: key %d is not served %v after the last fault", key, took))
 	}
 	calmFrom := time.Now()
-	sleep(ctx, calmSpan)
+	sleep(ctx, quietPeriod)
 	stopCallers()
 	wg.Wait()
-	r.sum(c, w, in, calmFrom)
+	r.summarize(c, w, in, calmFrom)
 	return r
 }
 
-// sum checks what was seen and writes it into the report.
-func (r *Report) sum(c *callers, w *Environment, in *injector, calmFrom time.Time) {
+// summarize checks what was seen and writes it into the report.
+func (r *Report) summarize(c *callers, w *Environment, in *injector, calmFrom time.Time) {
 	calm, calmServed := 0, 0
 	for _, o := range c.outcomes {
 		r.Requests++
@@ -152,34 +152,34 @@
 		if ok {
 			r.Served++
 		}
-		if o.began.After(calmFrom) && !o.left {
+		if o.began.After(calmFrom) && !o.canceled {
 			calm++
 			if ok {
 				calmServed++
 			}
 		}
 	}
-	if float64(calmServed) < calmShare*float64(calm) {
+	if float64(calmServed) < minServedShare*float64(calm) {
 		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: %d of %d requests served once all was calm", calmServed, calm))
 	}
-	r.Violations = append(r.Violations, check(c.outcomes, w.runs(), in)...)
-	r.Violations = append(r.Violations, in.checkFatal(c.outcomes)...)
-	r.Violations = append(r.Violations, in.checkCold()...)
+	r.Violations = append(r.Violations, checkOutcomes(c.outcomes, w.executions(), in)...)
+	r.Violations = append(r.Violations, in.checkFatalRequests(c.outcomes)...)
+	r.Violations = append(r.Violations, in.checkColdUpstreams()...)
 	r.Violations = append(r.Violations, in.checkReports(c.outcomes)...)
 	r.Violations = append(r.Violations, in.checkEvacuated(c.outcomes)...)
 	w.mu.Lock()
-	r.Violations = append(r.Violations, w.breaches...)
+	r.Violations = append(r.Violations, w.violations...)
 	w.mu.Unlock()
 	for _, h := range in.hosts {
 		r.Violations = append(r.Violations, h.Failures()...)
 	}
 	for _, f := range in.faults {
-		r.Faults = append(r.Faults, fmt.Sprintf("%s to %s %s", f.from.Format(stamp), f.to.Format(stamp), f.what))
+		r.Faults = append(r.Faults, fmt.Sprintf("%s to %s %s", f.from.Format(timestampFormat), f.to.Format(timestampFormat), f.description))
 	}
 }
 
 // probes is how many keys, evenly spread, stand for all.
-const probes = 16
+const probedKeys = 16
 
 // awaitServed waits until the probed keys are served through every host. It
 // returns the time that took, and a key that was not served within d or -1.
@@ -187,10 +187,10 @@
 	start := time.Now()
 	hc := &http.Client{Timeout: time.Second}
 	defer hc.CloseIdleConnections()
-	for i := 0; i < probes*len(hosts); {
+	for i := 0; i < probedKeys*len(hosts); {
 		o := &outcome{id: fmt.Sprint("probe-", time.Now().UnixNano()), host: hosts[i%len(hosts)]}
-		key := i / len(hosts) * (ownership.KeySpaceSize / probes)
-		o.exchange(context.Background(), hc, http.MethodGet, readHost, plainPath, nil, key)
+		key := i / len(hosts) * (ownership.KeySpaceSize / probedKeys)
+		o.roundTrip(context.Background(), hc, http.MethodGet, readHost, normalPath, nil, key)
 		if o.err == nil && o.status == http.StatusOK {
 			i++
 			continue
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,15 +14,15 @@
 )
 
 var (
-	seeds  = flag.Int("seeds", 0, "run so many fresh seeds instead of the fixed ones")
-	first  = flag.Uint64("first", 0, "first of the fresh seeds; 0 draws one")
-	span   = flag.Duration("span", 15*time.Second, "how long faults are injected")
-	keep   = flag.String("keep", "", "directory that keeps settings and logs of failed runs")
-	beside = flag.Int("beside", 4, "runs at once")
+	seeds        = flag.Int("seeds", 0, "run so many fresh seeds instead of the fixed ones")
+	firstSeed    = flag.Uint64("first", 0, "first of the fresh seeds; 0 draws one")
+	faultTime    = flag.Duration("span", 15*time.Second, "how long faults are injected")
+	keepDir      = flag.String("keep", "", "directory that keeps settings and logs of failed runs")
+	parallelRuns = flag.Int("beside", 4, "runs at once")
 )
 
 // fixed are the seeds run in CI, with why each stays.
-var fixed = []run{
+var ciRuns = []run{
 	{seed: 1},                // a planner back from a cut took over on an old proof of its seat
 	{seed: 125},              // a host that slept through an outage took lapsed entries for gone
 	{seed: 9, reports: true}, // upstreams report limits, rests and that they leave
@@ -35,7 +35,7 @@
 	fatal, evacuate, reports bool
 }
 
-func build(t *testing.T) string {
+func buildDaemon(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "papayatided")
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/papayatide/papayatide/cmd/papayatided").CombinedOutput()
@@ -51,10 +51,10 @@
 // charge runs twice, no key has two owners, and all is served again soon
 // after the last fault.
 func TestSoak(t *testing.T) {
-	binary := build(t)
-	list := fixed
+	binary := buildDaemon(t)
+	list := ciRuns
 	if *seeds > 0 {
-		start := *first
+		start := *firstSeed
 		if start == 0 {
 			start = rand.Uint64N(1 << 32)
 		}
@@ -64,13 +64,13 @@
 			list = append(list, run{seed, seed%2 == 1, seed%4 >= 2, seed%3 > 0})
 		}
 	}
-	soakAll(t, binary, list)
+	runAll(t, binary, list)
 }
 
 // The same, with requests that end their upstreams.
 func TestSoakWithFatalRequests(t *testing.T) {
 	if *seeds == 0 {
-		soakAll(t, build(t), []run{{seed: 7, fatal: true}})
+		runAll(t, buildDaemon(t), []run{{seed: 7, fatal: true}})
 	}
 }
 
@@ -78,38 +78,38 @@
 // start slowly, under all the other faults.
 func TestSoakWithEvacuations(t *testing.T) {
 	if *seeds == 0 {
-		soakAll(t, build(t), []run{{seed: 3, evacuate: true}})
+		runAll(t, buildDaemon(t), []run{{seed: 3, evacuate: true}})
 	}
 }
 
-// soakAll makes the runs, so many at once.
-func soakAll(t *testing.T, binary string, list []run) {
-	turn := make(chan struct{}, *beside)
+// runAll makes the runs, so many at once.
+func runAll(t *testing.T, binary string, list []run) {
+	turn := make(chan struct{}, *parallelRuns)
 	for _, r := range list {
 		t.Run(fmt.Sprint("seed ", r.seed), func(t *testing.T) {
 			t.Parallel()
 			turn <- struct{}{}
 			defer func() { <-turn }()
-			soakOnce(t, binary, r)
+			runOnce(t, binary, r)
 		})
 	}
 }
 
-func soakOnce(t *testing.T, binary string, this run) {
+func runOnce(t *testing.T, binary string, this run) {
 	dir := t.TempDir()
-	if *keep != "" {
-		dir = filepath.Join(*keep, fmt.Sprint("seed-", this.seed))
+	if *keepDir != "" {
+		dir = filepath.Join(*keepDir, fmt.Sprint("seed-", this.seed))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r, err := Run(context.Background(), Options{Binary: binary, Dir: dir, Seed: this.seed, CrashRequests: this.fatal, Evacuate: this.evacuate, Reports: this.reports, Faults: *span, Hosts: 4, Keyed: 4, Plain: 2, Callers: 12})
+	r, err := Run(context.Background(), Options{Binary: binary, Dir: dir, Seed: this.seed, CrashRequests: this.fatal, Evacuate: this.evacuate, Reports: this.reports, Faults: *faultTime, Hosts: 4, Keyed: 4, Plain: 2, Callers: 12})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%d requests, %d served, %d faults, all served again after %v", r.Requests, r.Served, len(r.Faults), r.Recovered.Round(time.Millisecond))
 	if len(r.Violations) == 0 {
-		if *keep != "" {
+		if *keepDir != "" {
 			_ = os.RemoveAll(dir)
 		}
 		return
