--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -17,7 +17,7 @@
 	"github.com/papayatide/papayatide/platform"
 )
 
-// outcome is what one caller saw of one request.
+// outcome is the result of one request as its caller received it.
 type outcome struct {
 	id         string
 	host       *Host
@@ -25,9 +25,10 @@
 	status     int
 	body       string
 	header     http.Header
-	// err is set if there was no whole answer.
+	// err is set if no complete response arrived.
 	err error
-	// canceled is set if the caller left early.
+	// canceled is set if the caller may have canceled the request. Fatal requests
+	// set it, too: no check expects a response to them.
 	canceled     bool
 	began, ended time.Time
 }
@@ -35,36 +36,39 @@
 const (
 	// callerPause is the pause between a caller's requests.
 	callerPause = 15 * time.Millisecond
-	// callerTimeout is a caller's own time limit.
+	// callerTimeout is the timeout that callers apply to a request.
 	callerTimeout = 5 * time.Second
-	// requestsPerConnection is how many requests a caller sends to one host before it
-	// moves on, keeping its connection open all the while.
+	// requestsPerConnection is how many requests a caller sends to a host over one
+	// keep-alive connection before it chooses a host again.
 	requestsPerConnection = 60
-	// readinessPollInterval is how often a balancer asks hosts whether they are ready;
-	// two misses take one out.
+	// readinessPollInterval is the interval at which the simulated load balancer polls
+	// the hosts' readiness. A host that misses maxReadinessMisses polls in a row gets
+	// no new connections.
 	readinessPollInterval = time.Second
 	maxReadinessMisses    = 2
 )
 
-// callers send requests until they are told to stop.
+// callers simulates callers behind a load balancer and collects the outcomes of their
+// requests.
 type callers struct {
 	hosts           []*Host
 	lastID          atomic.Int64
-	readinessMisses sync.Map // host name to misses in a row, int
+	readinessMisses sync.Map // host name to the number of missed polls in a row, int
 
 	mu       sync.Mutex
 	outcomes []*outcome
 }
 
-// pollReadiness keeps the hosts that are in rotation.
+// pollReadiness polls the hosts' readiness until ctx ends. A host that has not been
+// ready yet counts as out of rotation.
 func (c *callers) pollReadiness(ctx context.Context) {
 	hc := &http.Client{Timeout: readinessPollInterval / 2}
 	for ctx.Err() == nil {
 		for _, h := range c.hosts {
 			n := 0
 			if !isReady(ctx, hc, h) {
-				old, _ := c.readinessMisses.LoadOrStore(h.Name, maxReadinessMisses)
-				n = old.(int) + 1
+				missed, _ := c.readinessMisses.LoadOrStore(h.Name, maxReadinessMisses)
+				n = missed.(int) + 1
 			}
 			c.readinessMisses.Store(h.Name, n)
 		}
@@ -72,6 +76,7 @@
 	}
 }
 
+// isReady reports whether the host's readiness endpoint answers with 200.
 func isReady(ctx context.Context, hc *http.Client, h *Host) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.readyURL, nil)
 	if err != nil {
@@ -85,21 +90,22 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// pickHost returns a host that takes new connections.
+// pickHost returns a random host in rotation, or any host if none is.
 func (c *callers) pickHost(r *rand.Rand) *Host {
-	var in []*Host
+	var rotation []*Host
 	for _, h := range c.hosts {
 		if n, known := c.readinessMisses.Load(h.Name); known && n.(int) < maxReadinessMisses {
-			in = append(in, h)
+			rotation = append(rotation, h)
 		}
 	}
-	if len(in) == 0 {
-		in = c.hosts
+	if len(rotation) == 0 {
+		rotation = c.hosts
 	}
-	return in[r.IntN(len(in))]
+	return rotation[r.IntN(len(rotation))]
 }
 
-// run is one caller: it stays with a host while its connection works.
+// run simulates one caller until ctx ends. It keeps its connection to a host until a
+// request fails, the host closes the connection or requestsPerConnection is reached.
 func (c *callers) run(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 99))
 	for ctx.Err() == nil {
@@ -118,18 +124,22 @@
 	}
 }
 
+// record adds an outcome.
 func (c *callers) record(o *outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes = append(c.outcomes, o)
 }
 
-// shares of the kinds of requests; one caller in leaveEarly leaves early.
+// readShare and chargeShare are the shares of reads, which are idempotent, and of
+// charges, which are not; the rest goes to the plain service. One request in
+// cancelOneIn is canceled early.
 const (
 	readShare, chargeShare = 0.5, 0.3
 	cancelOneIn            = 40
 )
 
+// sendRequest sends a random request through the host and returns its outcome.
 func (c *callers) sendRequest(ctx context.Context, hc *http.Client, h *Host, r *rand.Rand) *outcome {
 	o := &outcome{id: fmt.Sprint("q-", c.lastID.Add(1)), host: h, began: time.Now()}
 	method, vhost := http.MethodPost, plainHost
@@ -154,14 +164,15 @@
 	return o
 }
 
-// nonReplayableBody returns a body that, being no *strings.Reader, keeps net/http from
-// sending the request again by itself.
+// nonReplayableBody returns a request body for which net/http cannot set GetBody, as
+// it does for a *strings.Reader. With GetBody it could retry a request by itself.
 func nonReplayableBody(text string) io.Reader { return io.MultiReader(strings.NewReader(text)) }
 
-// plainPath is the target of requests that end nothing.
+// normalPath is the path of requests that crash no upstream.
 const normalPath = "/x"
 
-// roundTrip sends the request once.
+// roundTrip sends the request once and stores its result in o. The request has a key
+// unless it goes to the plain service.
 func (o *outcome) roundTrip(ctx context.Context, hc *http.Client, method, vhost, path string, body io.Reader, key int) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.host.Front.Addr()+path, body)
 	if err != nil {
@@ -181,12 +192,13 @@
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		o.err = errors.Join(errors.New("answer broke off"), err)
+		o.err = errors.Join(errors.New("response broke off"), err)
 		return
 	}
 	o.status, o.header, o.body = resp.StatusCode, resp.Header, string(data)
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -10,34 +10,38 @@
 )
 
 const (
-	// settleTime is how long after a fault its effects may show.
+	// settleTime is how long the effects of a fault may last after its end.
 	settleTime = 3 * time.Second
-	// timeoutSlack is how long after a route's timeout a caller has its answer.
+	// timeoutSlack is how long after the request timeout a response may arrive.
 	timeoutSlack = 500 * time.Millisecond
 )
 
-// execution counts by request how often it ran, and where last.
+// execution is how often one request ran, and the upstream at which it ran last.
 type execution struct {
 	count      int
 	upstreamID string
 }
 
-func (w *Environment) executions() map[string]execution {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// executions returns the executions of every request that ran, by request ID.
+func (env *Environment) executions() map[string]execution {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	out := map[string]execution{}
-	for _, l := range w.incarnations {
-		for id, n := range l.Runs() {
-			out[id] = execution{out[id].count + n, l.ID}
+	for _, inc := range env.incarnations {
+		for id, n := range inc.Runs() {
+			out[id] = execution{out[id].count + n, inc.ID}
 		}
 	}
 	return out
 }
 
-// checkOutcomes returns what was promised and not kept.
+// checkOutcomes returns the violations that single outcomes show, late responses and
+// requests that ran without being sent.
 func checkOutcomes(outcomes []*outcome, runs map[string]execution, in *injector) []string {
 	var bad []string
 	sent := map[string]bool{}
+	// Of responses slower than the timeout, due counts those without a fault
+	// nearby, late those of them beyond timeoutSlack.
 	late, due := 0, 0
 	for _, o := range outcomes {
 		sent[o.id] = true
@@ -46,7 +50,7 @@
 			bad = append(bad, fmt.Sprintf("%s: %s: %s through %s", o.began.Format(timestampFormat), b, o.id, o.host.Name))
 		}
 		if o.interruptedByStop(r, in) {
-			bad = append(bad, fmt.Sprintf("%s: LOST: %s, passed on by %s, which was stopped as planned, has no answer: %v", o.began.Format(timestampFormat), o.id, o.host.Name, o.err))
+			bad = append(bad, fmt.Sprintf("%s: LOST: %s, forwarded by %s, which stopped as planned, has no response: %v", o.began.Format(timestampFormat), o.id, o.host.Name, o.err))
 		}
 		if took := o.ended.Sub(o.began); took > routeTimeout && in.faultFree(o.host, o.began.Add(-settleTime), o.ended, "") {
 			due++
@@ -56,17 +60,18 @@
 		}
 	}
 	if late >= 8 && late > due/4 {
-		bad = append(bad, fmt.Sprintf("TIMEOUT: %d of %d requests had no answer %v after their timeout", late, due, timeoutSlack))
+		bad = append(bad, fmt.Sprintf("TIMEOUT: %d of %d requests had no response %v after their timeout", late, due, timeoutSlack))
 	}
 	for id := range runs {
 		if !sent[id] && strings.HasPrefix(id, "q-") {
-			bad = append(bad, "UNASKED: "+id+" ran and nobody sent it")
+			bad = append(bad, "UNASKED: "+id+" ran, but no caller sent it")
 		}
 	}
 	return bad
 }
 
-// violations returns what is wrong with one outcome.
+// violations returns the guarantees that the outcome of a request violates, given
+// its executions.
 func (o *outcome) violations(r execution) []string {
 	var bad []string
 	if !o.idempotent && r.count > 1 {
@@ -76,7 +81,7 @@
 		return bad
 	}
 	if got := o.header.Get(platform.Headers.RequestID); got != o.id {
-		bad = append(bad, fmt.Sprintf("MIXED: the answer bears ID %q", got))
+		bad = append(bad, fmt.Sprintf("MIXED: the response has request ID %q", got))
 	}
 	switch o.status {
 	case http.StatusOK:
@@ -85,10 +90,10 @@
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		if !o.idempotent && r.count > 0 {
-			bad = append(bad, fmt.Sprintf("REFUSED: told not run, ran at %s: %q", r.upstreamID, o.body))
+			bad = append(bad, fmt.Sprintf("REFUSED: refused as not run, but ran at %s: %q", r.upstreamID, o.body))
 		}
 		if o.header.Get("Retry-After") == "" {
-			bad = append(bad, "refused without a time to come back")
+			bad = append(bad, "refused without Retry-After")
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
@@ -97,8 +102,8 @@
 	return bad
 }
 
-// interruptedByStop reports whether a host that was stopping as planned passed
-// the request on and broke it off, with nothing else going on.
+// interruptedByStop reports whether the host forwarded the request and broke it off
+// because of a planned stop, with no other fault nearby.
 func (o *outcome) interruptedByStop(r execution, in *injector) bool {
 	stop := "stop " + o.host.Name
 	if o.err == nil || o.canceled || r.count == 0 || !in.faultFree(o.host, o.began.Add(-settleTime), o.ended, stop) {
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,7 +1,28 @@
-// Package soak runs real entry hosts as separate processes and injects faults
-// from outside: a loopback proxy delays, resets, cuts and silences
-// connections, signals stop, pause and kill processes, upstreams die and come
-// back, and the log service fails. Faults come in series and overlap, drawn
-// from a seed. While it runs and after it, what callers and upstreams saw is
-// checked against what papayatide promises.
+// Package soak tests entry hosts under random faults. It runs them as separate
+// processes and injects faults from outside: loopback proxies delay, reset and cut
+// connections or silently drop their data, signals stop, pause and kill the
+// processes, upstreams crash and restart, and the log service fails. Faults are
+// drawn from a seed; they follow one another and overlap.
+//
+// Callers send requests throughout. During the run and after it the package checks
+// their responses and the requests that upstreams received against the guarantees of
+// papayatide. Each breach of a guarantee is reported as a violation. Most violations
+// are marked with a word:
+//
+//	RECOVER   after the last fault, a key is not served again in time or too few
+//	          requests are served
+//	OWNER     two upstreams hold a key at once
+//	TWICE     a non-idempotent request ran more than once
+//	REFUSED   a refused non-idempotent request ran
+//	MIXED     a response belongs to another request, or a success is unsigned or did
+//	          not run
+//	DENIED    a response has a status that no host or upstream should have sent
+//	LOST      a planned stop of a host broke off a request that it had forwarded
+//	TIMEOUT   too many responses come long after the request timeout
+//	UNASKED   an upstream ran a request that no caller sent
+//	EVAC      a request reached an evacuated data centre
+//	FAILBACK  a cold upstream received too many requests in a second
+//	LIMIT     an upstream received more requests than the rate limit that it reports
+//	DRAIN     a request reached an upstream that had reported that it is leaving
+//	BUDGET    a fatal request crashed too many upstreams, or a host ignored a backoff
 package soak
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -20,237 +20,250 @@
 	"github.com/papayatide/papayatide/platform/standin"
 )
 
-// near is the hosts' data centre, far the other one.
+// nearDC is the hosts' data centre, farDC the other one.
 const nearDC, farDC = "dc", "far"
 
 const (
 	keyedService, plainService = "keyed", "plain"
 	readHost, chargeHost       = "read.example", "charge.example"
 	plainHost                  = "plain.example"
-	// routeTimeout is every route's, objectives are half of it.
+	// routeTimeout is the request timeout of every route. Latency objectives are
+	// half of it.
 	routeTimeout = time.Second
-	// workTime is how long an upstream works on a request.
+	// workTime is how long an upstream takes to run a request.
 	workTime = 20 * time.Millisecond
-	// clockSkew is how much longer than told an upstream holds keys: its
-	// clock may run 2% slow.
+	// clockSkew is the factor by which an upstream exceeds the TTL of each grant:
+	// its clock may run 2% slow.
 	clockSkew = 1.02
-	// resumeGrace is how long after a host was resumed a grant of its counts as
-	// held up on its way: it was decided on before the pause.
+	// resumeGrace is how long after the resume of any host a conflicting grant counts
+	// as decided by that host before its pause, and not as a violation.
 	resumeGrace = 300 * time.Millisecond
 )
 
-// endpoint is where an upstream is reached: a proxy before one life after
-// another at the same address, every other one under the ID of the one before.
+// endpoint is a fixed proxy address behind which the incarnations of an upstream
+// run one after another. Every other incarnation reuses the ID of the previous one.
 type endpoint struct {
-	service string
-	// dataCentre is near or far; hosts are near.
-	dataCentre string
+	service    string
+	dataCentre string // nearDC or farDC
 	proxy      *Proxy
-	current    *incarnation
-	starts     int
+	// current is the latest incarnation, also after it was killed.
+	current *incarnation
+	// starts counts the incarnations.
+	starts int
 }
 
-// incarnation is one upstream from its start to its end.
+// incarnation is one run of an upstream, from its start until it is killed.
 type incarnation struct {
 	*rangeowner.Upstream
 	endpoint *endpoint
-	// startNumber tells lives with one ID apart.
+	// startNumber is sent as the start time in the upstream's entry. It
+	// distinguishes incarnations that share an ID.
 	startNumber int64
 	up          bool
 	srv         *http.Server
-	// coldFrom is when it last became cold; zero if it never did.
+	// coldFrom is when the upstream last became cold; zero if it never did.
 	coldFrom time.Time
 }
 
-// Environment is the platform and the upstreams.
+// Environment holds what the entry hosts connect to: a stand-in of the platform's log
+// service and the upstreams.
 type Environment struct {
 	log     *memstore.Log
 	logSrv  *http.Server
 	logAddr string
 
-	// mu makes grants, ends of upstreams and the check of them one step.
-	mu           sync.Mutex
-	endpoints    []*endpoint
+	// mu serializes grants, starts and kills of upstreams, and the check that no
+	// key has two owners.
+	mu        sync.Mutex
+	endpoints []*endpoint
+	// incarnations are all that were ever started, of all endpoints.
 	incarnations []*incarnation
-	version      int
-	// slowStart is the slow start of upstreams that start while callers ask.
+	// version is that of the latest desired state.
+	version int
+	// slowStart applies to upstreams that start or become cold during the run.
 	slowStart desired.SlowStart
-	// fatal, if set, is asked as an upstream begins to run a request; true
-	// means that it has ended the upstream.
-	crashOn    func(*incarnation, *http.Request) bool
+	// crashOn, if set, is called when an upstream begins to run a request. It
+	// returns true if the request crashed the upstream.
+	crashOn func(*incarnation, *http.Request) bool
+	// lastResume is when a host was last resumed after a pause.
 	lastResume time.Time
 	violations []string
 }
 
+// newEnvironment starts the log service and the given numbers of keyed and plain
+// upstreams, every other one in farDC, and publishes the first desired state.
 func newEnvironment(keyed, plain int, slow desired.SlowStart) (*Environment, error) {
-	w := &Environment{log: memstore.New(), slowStart: slow}
+	env := &Environment{log: memstore.New(), slowStart: slow}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "log service")
 	}
-	w.logAddr = ln.Addr().String()
-	w.logSrv = &http.Server{Handler: standin.Log{Log: w.log}}
-	go func() { _ = w.logSrv.Serve(ln) }()
+	env.logAddr = ln.Addr().String()
+	env.logSrv = &http.Server{Handler: standin.Log{Log: env.log}}
+	go func() { _ = env.logSrv.Serve(ln) }()
 	for i := range keyed + plain {
 		service := keyedService
 		if i >= keyed {
 			service = plainService
 		}
-		if err := w.addEndpoint(service); err != nil {
+		if err := env.addEndpoint(service); err != nil {
 			return nil, err
 		}
 	}
-	return w, w.publish()
+	return env, env.publish()
 }
 
-func (w *Environment) addEndpoint(service string) error {
+// addEndpoint adds an endpoint of a service and starts its first incarnation.
+func (env *Environment) addEndpoint(service string) error {
 	addr, err := ports.FreeAddr()
 	if err != nil {
 		return err
 	}
-	p := &endpoint{service: service, dataCentre: nearDC}
-	if len(w.endpoints)%2 == 1 {
-		p.dataCentre = farDC
+	ep := &endpoint{service: service, dataCentre: nearDC}
+	if len(env.endpoints)%2 == 1 {
+		ep.dataCentre = farDC
 	}
-	if p.proxy, err = NewProxy(addr, ""); err != nil {
+	if ep.proxy, err = NewProxy(addr, ""); err != nil {
 		return err
 	}
-	w.endpoints = append(w.endpoints, p)
-	return w.startUpstream(p)
+	env.endpoints = append(env.endpoints, ep)
+	return env.startUpstream(ep)
 }
 
-// setCrashOn has f asked of every request that begins to run.
-func (w *Environment) setCrashOn(f func(*incarnation, *http.Request) bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.crashOn = f
+// setCrashOn sets the function that decides whether a request crashes its upstream.
+func (env *Environment) setCrashOn(f func(*incarnation, *http.Request) bool) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.crashOn = f
 }
 
-// crashedBy reports whether a request has ended the upstream that runs it.
-func (w *Environment) crashedBy(l *incarnation, r *http.Request) bool {
-	w.mu.Lock()
-	f := w.crashOn
-	w.mu.Unlock()
-	return f != nil && f(l, r)
+// crashedBy reports whether the request crashed the upstream that began to run it.
+func (env *Environment) crashedBy(inc *incarnation, r *http.Request) bool {
+	env.mu.Lock()
+	f := env.crashOn
+	env.mu.Unlock()
+	return f != nil && f(inc, r)
 }
 
-// publish writes the next desired state.
-func (w *Environment) publish() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	doc, err := standin.DesiredRecord(w.version, []standin.Route{{Host: readHost, Service: keyedService, Idempotent: true},
-		{Host: chargeHost, Service: keyedService}, {Host: plainHost, Service: plainService}}, map[string]bool{keyedService: true}, routeTimeout, w.slowStart)
+// publish writes the next version of the desired state to the log.
+func (env *Environment) publish() error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.version++
+	doc, err := standin.DesiredRecord(env.version, []standin.Route{{Host: readHost, Service: keyedService, Idempotent: true},
+		{Host: chargeHost, Service: keyedService}, {Host: plainHost, Service: plainService}}, map[string]bool{keyedService: true}, routeTimeout, env.slowStart)
 	if err != nil {
 		return eris.Wrap(err, "desired state")
 	}
-	w.log.Put(metastore.StreamDesired, standin.DesiredKey, doc)
+	env.log.Put(metastore.StreamDesired, standin.DesiredKey, doc)
 	return nil
 }
 
-// startUpstream starts the place's next life, if it has none.
-func (w *Environment) startUpstream(p *endpoint) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if p.current != nil && p.current.up {
+// startUpstream starts the endpoint's next incarnation unless one is up.
+func (env *Environment) startUpstream(ep *endpoint) error {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if ep.current != nil && ep.current.up {
 		return nil
 	}
-	p.starts++
-	id := fmt.Sprintf("i-%s-%d", p.proxy.Addr(), p.starts/2)
+	ep.starts++
+	id := fmt.Sprintf("i-%s-%d", ep.proxy.Addr(), ep.starts/2)
 	u := rangeowner.New(id, platform.Headers, workTime)
-	l := &incarnation{Upstream: u, endpoint: p, startNumber: int64(p.starts), up: true}
-	if p.starts > 1 {
-		l.coldFrom = time.Now()
+	inc := &incarnation{Upstream: u, endpoint: ep, startNumber: int64(ep.starts), up: true}
+	if ep.starts > 1 {
+		inc.coldFrom = time.Now()
 	}
-	u.CrashOn = func(r *http.Request) bool { return w.crashedBy(l, r) }
-	l.srv = &http.Server{Handler: standin.GrantHandler(id, &auditedGrantee{w, l}, u)}
+	u.CrashOn = func(r *http.Request) bool { return env.crashedBy(inc, r) }
+	inc.srv = &http.Server{Handler: standin.GrantHandler(id, &auditedGrantee{env, inc}, u)}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return eris.Wrap(err, "upstream")
 	}
-	go func() { _ = l.srv.Serve(ln) }()
-	p.current = l
-	w.incarnations = append(w.incarnations, l)
-	p.proxy.SetTarget(ln.Addr().String())
-	w.writeEntry(l, false)
+	go func() { _ = inc.srv.Serve(ln) }()
+	ep.current = inc
+	env.incarnations = append(env.incarnations, inc)
+	ep.proxy.SetTarget(ln.Addr().String())
+	env.writeEntry(inc, false)
 	return nil
 }
 
-// writeEntry writes the upstream's entry.
-func (w *Environment) writeEntry(l *incarnation, leaving bool) {
-	w.log.Put(metastore.StreamUpstreams, l.ID, standin.UpstreamRecord(&catalogue.Upstream{ID: catalogue.IncarnationID(l.ID, l.startNumber), Service: l.endpoint.service,
-		Addr: l.endpoint.proxy.Addr(), DataCentre: l.endpoint.dataCentre, Slots: 6, Leaving: leaving, SlowUntil: l.coldFrom.Add(w.slowStart.Duration)}))
+// writeEntry writes the upstream's entry to the log.
+func (env *Environment) writeEntry(inc *incarnation, leaving bool) {
+	env.log.Put(metastore.StreamUpstreams, inc.ID, standin.UpstreamRecord(&catalogue.Upstream{ID: catalogue.IncarnationID(inc.ID, inc.startNumber), Service: inc.endpoint.service,
+		Addr: inc.endpoint.proxy.Addr(), DataCentre: inc.endpoint.dataCentre, Slots: 6, Leaving: leaving, SlowUntil: inc.coldFrom.Add(env.slowStart.Duration)}))
 }
 
-// kill ends the place's life at once; its entry lapses later.
-func (w *Environment) kill(p *endpoint) *incarnation {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	l := p.current
-	l.up = false
-	_ = l.srv.Close()
-	return l
+// kill closes the endpoint's current incarnation at once and returns it. The entry
+// stays until expireEntry deletes it.
+func (env *Environment) kill(ep *endpoint) *incarnation {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	inc := ep.current
+	inc.up = false
+	_ = inc.srv.Close()
+	return inc
 }
 
-// expireEntry lets an entry lapse, unless it is a later life's by now.
-func (w *Environment) expireEntry(l *incarnation) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if now := l.endpoint.current; now == l || now.ID != l.ID {
-		w.log.Put(metastore.StreamUpstreams, l.ID, nil)
+// expireEntry deletes the incarnation's entry, unless a later incarnation with the
+// same ID has replaced it.
+func (env *Environment) expireEntry(inc *incarnation) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if now := inc.endpoint.current; now == inc || now.ID != inc.ID {
+		env.log.Put(metastore.StreamUpstreams, inc.ID, nil)
 	}
 }
 
-// forgeEntry writes an entry that no upstream wrote in place of the place's own,
-// which comes back after a while.
-func (w *Environment) forgeEntry(p *endpoint, entry []byte, back time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	l := p.current
-	w.log.Put(metastore.StreamUpstreams, l.ID, entry)
-	time.AfterFunc(back, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if l.up && p.current == l {
-			w.writeEntry(l, false)
+// forgeEntry replaces the entry of the endpoint's upstream by one that the upstream
+// did not write. The upstream writes its own entry again after restoreAfter.
+func (env *Environment) forgeEntry(ep *endpoint, entry []byte, restoreAfter time.Duration) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	inc := ep.current
+	env.log.Put(metastore.StreamUpstreams, inc.ID, entry)
+	time.AfterFunc(restoreAfter, func() {
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		if inc.up && ep.current == inc {
+			env.writeEntry(inc, false)
 		}
 	})
 }
 
-// expireAndRestoreEntries lets every entry lapse and come back a little later, as after an
-// outage of the log service.
-func (w *Environment) expireAndRestoreEntries(after time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, p := range w.endpoints {
-		l := p.current
-		w.log.Put(metastore.StreamUpstreams, l.ID, nil)
+// expireAndRestoreEntries deletes every upstream's entry and writes it again after
+// the given time, as happens after an outage of the log service.
+func (env *Environment) expireAndRestoreEntries(after time.Duration) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, ep := range env.endpoints {
+		inc := ep.current
+		env.log.Put(metastore.StreamUpstreams, inc.ID, nil)
 		time.AfterFunc(after, func() {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if l.up {
-				w.writeEntry(l, false)
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			if inc.up {
+				env.writeEntry(inc, false)
 			}
 		})
 	}
 }
 
-// recordResume tells that a host was thawed just now.
-func (w *Environment) recordResume() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lastResume = time.Now()
+// recordResume records that a host is being resumed now.
+func (env *Environment) recordResume() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.lastResume = time.Now()
 }
 
-// auditedGrantee checks each grant against what the other upstreams hold.
+// auditedGrantee checks each grant against the ranges that other upstreams hold.
 type auditedGrantee struct {
 	env *Environment
 	inc *incarnation
 }
 
-// Grant implements standin.Holder. A grant of a host that was thawed just now
-// is lost where it would give a key a second owner: it was decided on before
-// the pause, and no upstream can tell.
+// Grant implements standin.Grantee. Within resumeGrace of a host's resume it rejects
+// a grant that would give a key a second owner: the host decided on the grant before
+// its pause, which no upstream can recognize.
 func (a *auditedGrantee) Grant(r ownership.Range, d time.Duration) error {
 	a.env.mu.Lock()
 	defer a.env.mu.Unlock()
@@ -270,19 +283,21 @@
 	return a.inc.Upstream.Grant(r, time.Duration(clockSkew*float64(d)))
 }
 
-// Release implements standin.Holder.
+// Release implements standin.Grantee.
 func (a *auditedGrantee) Release(r ownership.Range) string {
 	a.env.mu.Lock()
 	defer a.env.mu.Unlock()
 	return a.inc.Upstream.Release(r)
 }
 
+// timestampFormat is the format of times in violations and faults.
 const timestampFormat = "15:04:05.000"
 
-func (w *Environment) shutDown() {
-	for _, p := range w.endpoints {
-		w.kill(p)
-		p.proxy.Close()
+// shutDown kills all upstreams and closes the proxies and the log service.
+func (env *Environment) shutDown() {
+	for _, ep := range env.endpoints {
+		env.kill(ep)
+		ep.proxy.Close()
 	}
-	_ = w.logSrv.Close()
+	_ = env.logSrv.Close()
 }
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -13,27 +13,29 @@
 )
 
 const (
-	// maxEvacuationGap is the longest pause between two evacuations, evacuateMost
-	// how long one lasts at most.
+	// maxEvacuationGap is the longest pause between two evacuations, maxEvacuation
+	// the longest duration of one.
 	maxEvacuationGap = 6 * time.Second
 	maxEvacuation    = 9 * time.Second
-	// evacuationTimeout is how long after the order nothing reaches the data centre.
+	// evacuationTimeout is the time from the order to evacuate until no more requests
+	// reach the data centre. It is the setting evacuate of settingsTemplate.
 	evacuationTimeout = 5 * time.Second
-	// heartbeatInterval is how often an upstream writes its entry.
+	// heartbeatInterval is the interval at which an upstream writes its entry.
 	heartbeatInterval = 900 * time.Millisecond
 )
 
-// slowStart is that of upstreams that come back, and coldMost what a cold one may
-// get in a second by the hosts' settings.
+// slowStart is the slow start of upstreams that restart or become cold.
 var slowStart = desired.SlowStart{Duration: 3 * time.Second, PerSecond: 4}
 
+// maxColdPerSecond is how many requests a cold upstream may receive in a second:
+// slowStart.PerSecond times the setting slow_start_factor, plus slow_start_slack.
 const maxColdPerSecond = 4*1.5 + 8
 
-// evacuation is an evacuation.
+// evacuation is the time for which farDC was evacuated.
 type evacuation struct{ from, to time.Time }
 
-// runEvacuations has the far data centre evacuated and taken back until ctx ends. It
-// draws apart from the other faults.
+// runEvacuations evacuates farDC and ends the evacuation again until ctx ends. It has
+// its own random generator, so the other faults of a seed do not depend on it.
 func (in *injector) runEvacuations(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	for ctx.Err() == nil {
@@ -50,57 +52,58 @@
 	}
 }
 
-// awaitLog waits until the log service takes the operators' orders, and a little
-// for the hosts to read what they missed.
+// awaitLog returns when the log service is up. After an outage it returns up to one
+// heartbeatInterval late, in which the hosts read the records that they missed.
 func (in *injector) awaitLog(ctx context.Context) {
 	for ctx.Err() == nil && in.env.log.Down() {
 		sleep(ctx, heartbeatInterval)
 	}
 }
 
-// endEvacuation ends the evacuation. Upstreams that had nothing to do for long enough
-// have become cold, which their entries tell a little later.
-func (w *Environment) endEvacuation(cold bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.log.Put(metastore.StreamDesired, standin.EvacuationKey(farDC), nil)
-	for _, p := range w.endpoints {
-		l := p.current
-		if !cold || p.dataCentre != farDC || !l.up {
+// endEvacuation ends the evacuation of farDC. If cold is set, the upstreams there were
+// idle long enough to become cold; their entries say so one heartbeat later.
+func (env *Environment) endEvacuation(cold bool) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.log.Put(metastore.StreamDesired, standin.EvacuationKey(farDC), nil)
+	for _, ep := range env.endpoints {
+		inc := ep.current
+		if !cold || ep.dataCentre != farDC || !inc.up {
 			continue
 		}
-		l.coldFrom = time.Now()
+		inc.coldFrom = time.Now()
 		time.AfterFunc(heartbeatInterval, func() {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if l.up && p.current == l {
-				w.writeEntry(l, false)
+			env.mu.Lock()
+			defer env.mu.Unlock()
+			if inc.up && ep.current == inc {
+				env.writeEntry(inc, false)
 			}
 		})
 	}
 }
 
-// checkColdUpstreams returns what cold upstreams got too much.
+// checkColdUpstreams returns the cold upstreams that received more than
+// maxColdPerSecond requests in a second.
 func (in *injector) checkColdUpstreams() (bad []string) {
-	w := in.env
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.slowStart.PerSecond == 0 {
+	env := in.env
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if env.slowStart.PerSecond == 0 {
 		return nil
 	}
-	for _, l := range w.incarnations {
-		if l.coldFrom.IsZero() {
+	for _, inc := range env.incarnations {
+		if inc.coldFrom.IsZero() {
 			continue
 		}
-		if n := l.PeakInSecond(l.coldFrom, l.coldFrom.Add(w.slowStart.Duration)); float64(n) > maxColdPerSecond {
-			bad = append(bad, fmt.Sprintf("%s: FAILBACK: %d requests in a second at %s, cold; at most %v", l.coldFrom.Format(timestampFormat), n, l.ID, maxColdPerSecond))
+		if n := inc.PeakInSecond(inc.coldFrom, inc.coldFrom.Add(env.slowStart.Duration)); float64(n) > maxColdPerSecond {
+			bad = append(bad, fmt.Sprintf("%s: FAILBACK: %d requests in a second at %s, cold; at most %v", inc.coldFrom.Format(timestampFormat), n, inc.ID, maxColdPerSecond))
 		}
 	}
 	return bad
 }
 
-// checkEvacuated returns the requests that reached an evacuated data centre through
-// a host that nothing had happened to since the order.
+// checkEvacuated returns the requests that reached farDC later than evacuationTimeout
+// after the order to evacuate it, through a host without faults since the order.
 func (in *injector) checkEvacuated(outcomes []*outcome) (bad []string) {
 	hostOf := map[string]*Host{}
 	for _, o := range outcomes {
@@ -109,13 +112,13 @@
 	in.env.mu.Lock()
 	defer in.env.mu.Unlock()
 	for _, e := range in.evacuations {
-		for _, l := range in.env.incarnations {
-			if l.endpoint.dataCentre != farDC {
+		for _, inc := range in.env.incarnations {
+			if inc.endpoint.dataCentre != farDC {
 				continue
 			}
-			for _, a := range l.Arrivals(e.from.Add(evacuationTimeout), e.to) {
+			for _, a := range inc.Arrivals(e.from.Add(evacuationTimeout), e.to) {
 				if h := hostOf[a.ID]; h != nil && in.hostAndLogFaultFree(h, e.from.Add(-settleTime), a.At) {
-					bad = append(bad, fmt.Sprintf("%s: EVAC: %s reached %s through %s %v after the order", a.At.Format(timestampFormat), a.ID, l.ID, h.Name, a.At.Sub(e.from)))
+					bad = append(bad, fmt.Sprintf("%s: EVAC: %s reached %s through %s %v after the order", a.At.Format(timestampFormat), a.ID, inc.ID, h.Name, a.At.Sub(e.from)))
 				}
 			}
 		}
@@ -123,7 +126,8 @@
 	return bad
 }
 
-// hostAndLogFaultFree reports whether no fault touched the host or the log service.
+// hostAndLogFaultFree reports whether no fault affected the host or the log service
+// between from and to.
 func (in *injector) hostAndLogFaultFree(h *Host, from, to time.Time) bool {
 	return !in.anyFault(from, to, func(f *fault) bool { return f.host == h || strings.HasPrefix(f.description, "log service") })
 }
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -12,28 +12,31 @@
 )
 
 const (
-	// fatalPath is the target of the requests that end their upstreams: one to
-	// the keyed service, one to the other.
+	// fatalPath and fatalKey are the path and key of the fatal requests, which crash
+	// the upstream that runs them. There are two: one to the keyed service, one to
+	// the plain service.
 	fatalPath = "/ends-its-server"
 	fatalKey  = 28264
-	// fatalRequestPause is the pause between two asks for either.
+	// fatalRequestPause is the pause between two fatal requests.
 	fatalRequestPause = 150 * time.Millisecond
-	// triedLast is how often such a request may be sent after it has ended
-	// fatalLimit upstreams, by hosts that were undisturbed for settleSpan.
+	// After a fatal request has crashed maxFatalCrashes upstreams, it may crash at
+	// most maxLateCrashes more. Crashes within settleTime after that, and crashes
+	// within settleTime of a fault of the host or the log service, do not count.
 	maxFatalCrashes, maxLateCrashes = 3, 3
-	// minDowntime and downMost bound how long an upstream that ended so is down.
+	// minDowntime and maxDowntime bound how long an upstream is down after it.
 	minDowntime, maxDowntime = time.Second, 2 * time.Second
 )
 
-// crash is an upstream's end under a request: its ID, and the name of the route
-// it came on.
+// crash is the crash of an upstream under a fatal request. route is the request's
+// Host header, by which hosts choose the route.
 type crash struct {
 	at               time.Time
 	requestID, route string
 }
 
-// crashUpstream ends an upstream that has begun to run a fatal request.
-func (in *injector) crashUpstream(l *incarnation, r *http.Request) bool {
+// crashUpstream kills the upstream if the request is fatal, starts it again after its
+// downtime and reports whether it did. It does nothing once fault injection is over.
+func (in *injector) crashUpstream(inc *incarnation, r *http.Request) bool {
 	if r.URL.Path != fatalPath {
 		return false
 	}
@@ -43,15 +46,15 @@
 	if in.stopped {
 		return false
 	}
-	in.env.kill(l.endpoint)
+	in.env.kill(inc.endpoint)
 	in.crashes = append(in.crashes, crash{now, r.Header.Get(platform.Headers.RequestID), r.Host})
-	f := &fault{from: now, description: "request ends upstream " + l.endpoint.proxy.Addr()}
+	f := &fault{from: now, description: "request ends upstream " + inc.endpoint.proxy.Addr()}
 	in.faults = append(in.faults, f)
 	down := minDowntime + time.Duration(in.downtimeRNG.Int64N(int64(maxDowntime-minDowntime)))
-	time.AfterFunc(down/2, func() { in.env.expireEntry(l) })
+	time.AfterFunc(down/2, func() { in.env.expireEntry(inc) })
 	in.wg.Go(func() {
 		time.Sleep(down)
-		in.startUpstream(l.endpoint)
+		in.startUpstream(inc.endpoint)
 		in.mu.Lock()
 		defer in.mu.Unlock()
 		f.to = time.Now()
@@ -59,8 +62,8 @@
 	return true
 }
 
-// sendFatalRequests asks for the fatal requests on any host until ctx ends, each time
-// as another request.
+// sendFatalRequests sends fatal requests through random hosts until ctx ends, each
+// with a new request ID and the same content.
 func (c *callers) sendFatalRequests(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	hc := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callerTimeout}
@@ -81,7 +84,7 @@
 	}
 }
 
-// checkFatalRequests returns which fatal request reached upstreams too often.
+// checkFatalRequests returns the fatal requests that crashed too many upstreams.
 func (in *injector) checkFatalRequests(outcomes []*outcome) []string {
 	through := map[string]*Host{}
 	for _, o := range outcomes {
@@ -92,18 +95,18 @@
 		byRoute[e.route] = append(byRoute[e.route], e)
 	}
 	var bad []string
-	for route, ends := range byRoute {
-		if len(ends) <= maxFatalCrashes {
+	for route, crashes := range byRoute {
+		if len(crashes) <= maxFatalCrashes {
 			continue
 		}
-		third, late := ends[maxFatalCrashes-1].at, 0
-		for _, e := range ends[maxFatalCrashes:] {
-			if e.at.Sub(third) > settleTime && in.hostAndLogFaultFree(through[e.requestID], e.at.Add(-settleTime), e.at) {
+		limitReached, late := crashes[maxFatalCrashes-1].at, 0
+		for _, e := range crashes[maxFatalCrashes:] {
+			if e.at.Sub(limitReached) > settleTime && in.hostAndLogFaultFree(through[e.requestID], e.at.Add(-settleTime), e.at) {
 				late++
 			}
 		}
 		if late > maxLateCrashes {
-			bad = append(bad, fmt.Sprintf("BUDGET: the fatal request to %s, under which %d upstreams had ended, ended %d more", route, maxFatalCrashes, late))
+			bad = append(bad, fmt.Sprintf("BUDGET: the fatal request to %s had crashed %d upstreams and crashed %d more", route, maxFatalCrashes, late))
 		}
 	}
 	return bad
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -8,54 +8,57 @@
 	"time"
 )
 
-// fault is one fault's span and what it touched.
+// fault is an injected fault. to is zero while the fault lasts.
 type fault struct {
-	from, to    time.Time
+	from, to time.Time
+	// description names the kind of fault and the host, upstream or link that it
+	// affects. Some checks match parts of it.
 	description string
-	// host is the one whose process or links it touched; nil for faults of
+	// host is the host whose process or link is affected; nil for faults of
 	// upstreams and of the log service.
 	host *Host
 }
 
-// injector draws faults from a seed and lets them overlap.
+// injector injects faults that it draws from a seed. Faults may overlap.
 type injector struct {
 	env   *Environment
 	hosts []*Host
 	rng   *rand.Rand
-	// forgeSeed is that of forgeEntries.
+	// forgeSeed seeds forgeEntries.
 	forgeSeed uint64
 
 	wg     sync.WaitGroup
 	mu     sync.Mutex
 	faults []*fault
-	// stopped is set once no more faults begin.
+	// stopped is set when no more faults may begin.
 	stopped bool
-	// downtimeRNG draws how long upstreams that a request ended are down, apart from
-	// the other faults.
+	// downtimeRNG draws the downtimes after crashes under fatal requests. It is
+	// separate from rng, so the other faults of a seed do not depend on them.
 	downtimeRNG *rand.Rand
-	// crashes are the ends of upstreams under requests, in order.
+	// crashes are the crashes of upstreams under fatal requests, in order.
 	crashes []crash
-	// reports are what upstreams reported in their answers.
+	// reports are the reports that upstreams began to send with their responses.
 	reports []report
-	// evacuations are the times for which the far data centre was evacuated.
+	// evacuations are the times for which farDC was evacuated.
 	evacuations []evacuation
-	// busy holds what a fault is under way on, so that two do not undo each
-	// other.
+	// busy holds the hosts, endpoints, proxies and others that a fault affects now.
+	// Of two faults on the same one, the first to end would undo the other.
 	busy map[any]bool
 }
 
 const (
-	// maxFaultGap is the longest pause between two faults' starts.
+	// maxFaultGap is the longest pause between the starts of two faults.
 	maxFaultGap = 900 * time.Millisecond
-	// stopGrace is how long a stopping host may take; the platform kills it
-	// then.
+	// stopGrace is how long a host may take to stop before it is killed, as the
+	// platform does.
 	stopGrace = 6 * time.Second
 )
 
-// kinds are the faults, each drawn as often.
+// faultKinds are the kinds of faults, drawn with equal probability. Their order
+// decides which faults a seed draws.
 var faultKinds = []struct {
-	name string
-	do   func(*injector, context.Context)
+	name   string
+	inject func(*injector, context.Context)
 }{
 	{"kill host", (*injector).killHost},
 	{"stop host", (*injector).stopHost},
@@ -69,12 +72,12 @@
 	{"new desired state", (*injector).publishDesired},
 }
 
-// run injects faults until ctx ends, and then waits for those under way.
+// run injects faults until ctx ends, then waits until all faults have ended.
 func (in *injector) run(ctx context.Context) {
 	in.wg.Go(func() { in.forgeEntries(ctx) })
 	for ctx.Err() == nil {
 		k := faultKinds[in.rng.IntN(len(faultKinds))]
-		k.do(in, ctx)
+		k.inject(in, ctx)
 		sleep(ctx, time.Duration(in.rng.Int64N(int64(maxFaultGap))))
 	}
 	in.mu.Lock()
@@ -83,16 +86,16 @@
 	in.wg.Wait()
 }
 
-// runFault runs begin, waits, and runs end, as one fault on a thing that no
-// other fault is under way on.
-func (in *injector) runFault(what string, h *Host, on any, d time.Duration, begin, end func()) {
+// runFault records a fault and, in a goroutine, calls begin, waits for d and calls
+// end. It does nothing if on, which identifies what the fault affects, is busy.
+func (in *injector) runFault(description string, h *Host, on any, d time.Duration, begin, end func()) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if in.busy[on] {
 		return
 	}
 	in.busy[on] = true
-	f := &fault{from: time.Now(), description: what, host: h}
+	f := &fault{from: time.Now(), description: description, host: h}
 	in.faults = append(in.faults, f)
 	in.wg.Go(func() {
 		begin()
@@ -105,6 +108,7 @@
 	})
 }
 
+// randomDuration returns a duration of at least lo and less than hi.
 func (in *injector) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(in.rng.Int64N(int64(hi-lo)))
 }
@@ -115,11 +119,13 @@
 	return in.env.endpoints[in.rng.IntN(len(in.env.endpoints))]
 }
 
+// killHost kills a host's process and starts it again after a while.
 func (in *injector) killHost(context.Context) {
 	h := in.randomHost()
 	in.runFault("kill "+h.Name, h, h, in.randomDuration(100*time.Millisecond, 3*time.Second), h.Kill, func() { in.restart(h) })
 }
 
+// stopHost stops a host's process as planned and starts it again at once.
 func (in *injector) stopHost(context.Context) {
 	h := in.randomHost()
 	in.runFault("stop "+h.Name, h, h, 0, h.Stop, func() {
@@ -130,10 +136,10 @@
 	})
 }
 
-// restart starts a host again once its process is gone.
+// restart starts a host again once its process has exited.
 func (in *injector) restart(h *Host) {
 	if !h.AwaitExit(exitTimeout) {
-		in.addViolation(fmt.Sprintf("%s: a killed process does not end", h.Name))
+		in.addViolation(fmt.Sprintf("%s: killed process has not exited", h.Name))
 		return
 	}
 	if err := h.Start(); err != nil {
@@ -141,6 +147,7 @@
 	}
 }
 
+// pauseHost suspends a host's process for a while.
 func (in *injector) pauseHost(context.Context) {
 	h := in.randomHost()
 	in.runFault("pause "+h.Name, h, h, in.randomDuration(100*time.Millisecond, 8*time.Second), h.Pause, func() {
@@ -150,122 +157,135 @@
 	})
 }
 
+// killUpstream kills an upstream and starts it again after a while. Its entry expires
+// before or after that.
 func (in *injector) killUpstream(context.Context) {
-	p := in.randomEndpoint()
-	lapse := in.randomDuration(time.Second, 2*time.Second)
-	var dead *incarnation
-	in.runFault("kill upstream "+p.proxy.Addr(), nil, p, in.randomDuration(50*time.Millisecond, 3*time.Second),
+	ep := in.randomEndpoint()
+	expireAfter := in.randomDuration(time.Second, 2*time.Second)
+	var killed *incarnation
+	in.runFault("kill upstream "+ep.proxy.Addr(), nil, ep, in.randomDuration(50*time.Millisecond, 3*time.Second),
 		func() {
-			dead = in.env.kill(p)
-			time.AfterFunc(lapse, func() { in.env.expireEntry(dead) })
-		}, func() { in.startUpstream(p) })
+			killed = in.env.kill(ep)
+			time.AfterFunc(expireAfter, func() { in.env.expireEntry(killed) })
+		}, func() { in.startUpstream(ep) })
 }
 
-func (in *injector) startUpstream(p *endpoint) {
-	if err := in.env.startUpstream(p); err != nil {
+// startUpstream starts the endpoint's next incarnation and records an error as a
+// violation.
+func (in *injector) startUpstream(ep *endpoint) {
+	if err := in.env.startUpstream(ep); err != nil {
 		in.addViolation(err.Error())
 	}
 }
 
-// forged are entries that no upstream wrote.
+// forgedEntries are invalid entries that no upstream writes.
 var forgedEntries = [][]byte{[]byte("\xff\x00"), []byte(`{"Service":"keyed"}`), []byte(`{"Service":"keyed","Slots":"many"}`)}
 
 const (
-	// forgedTime is how long a forged entry stands: the upstream writes its own
-	// again with its next heartbeat.
-	forgedTime  = 900 * time.Millisecond
+	// forgedTime is how long a forged entry stays: with its next heartbeat the
+	// upstream writes its own entry again.
+	forgedTime = 900 * time.Millisecond
+	// maxForgeGap is the longest pause between two forged entries.
 	maxForgeGap = 8 * time.Second
 )
 
-// forgeEntries has another writer replace upstreams' entries now and then. It
-// draws apart from the other faults, which a seed draws as it always did.
+// forgeEntries replaces entries of upstreams by invalid ones until ctx ends. It has
+// its own random generator, so the other faults of a seed do not depend on it.
 func (in *injector) forgeEntries(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(in.forgeSeed, 2))
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(rng.Int64N(int64(maxForgeGap))))
-		p := in.env.endpoints[rng.IntN(len(in.env.endpoints))]
+		ep := in.env.endpoints[rng.IntN(len(in.env.endpoints))]
 		entry := forgedEntries[rng.IntN(len(forgedEntries))]
-		in.runFault("forged entry of "+p.proxy.Addr(), nil, &forgedEntries, forgedTime, func() { in.env.forgeEntry(p, entry, forgedTime) }, func() {})
+		in.runFault("forged entry of "+ep.proxy.Addr(), nil, &forgedEntries, forgedTime, func() { in.env.forgeEntry(ep, entry, forgedTime) }, func() {})
 	}
 }
 
-// drainUpstream has an upstream leave as planned.
+// drainUpstream marks an upstream's entry as leaving, kills the upstream 4 s later and
+// starts the next incarnation.
 func (in *injector) drainUpstream(context.Context) {
-	p := in.randomEndpoint()
-	in.runFault("drain upstream "+p.proxy.Addr(), nil, p, 4*time.Second,
-		func() { in.env.writeEntry(p.current, true) },
+	ep := in.randomEndpoint()
+	in.runFault("drain upstream "+ep.proxy.Addr(), nil, ep, 4*time.Second,
+		func() { in.env.writeEntry(ep.current, true) },
 		func() {
-			in.env.expireEntry(in.env.kill(p))
-			in.startUpstream(p)
+			in.env.expireEntry(in.env.kill(ep))
+			in.startUpstream(ep)
 		})
 }
 
+// frontLink injects a fault into the connections between callers and a host.
 func (in *injector) frontLink(context.Context) {
 	h := in.randomHost()
 	in.faultLink("front link of "+h.Name, h, h.Front)
 }
 
+// logLink injects a fault into the connections of a host to the log service.
 func (in *injector) logLink(context.Context) {
 	h := in.randomHost()
 	in.faultLink("log link of "+h.Name, h, h.Log)
 }
 
+// upstreamLink injects a fault into the connections of all hosts to an upstream.
 func (in *injector) upstreamLink(context.Context) {
-	p := in.randomEndpoint()
-	in.faultLink("link of upstream "+p.proxy.Addr(), nil, p.proxy)
+	ep := in.randomEndpoint()
+	in.faultLink("link of upstream "+ep.proxy.Addr(), nil, ep.proxy)
 }
 
-// faultLink makes a proxy misbehave in one of five ways.
-func (in *injector) faultLink(what string, h *Host, p *Proxy) {
+// faultLink resets, delays, silences or cuts the connections of a proxy. name describes
+// the link; h is its host, or nil for an upstream's.
+func (in *injector) faultLink(name string, h *Host, p *Proxy) {
 	d := in.randomDuration(200*time.Millisecond, 5*time.Second)
 	heal := func() { p.Cut() }
 	switch in.rng.IntN(5) {
 	case 0:
-		in.runFault("reset "+what, h, p, 0, p.Reset, func() {})
+		in.runFault("reset "+name, h, p, 0, p.Reset, func() {})
 	case 1:
 		delay := in.randomDuration(5*time.Millisecond, 80*time.Millisecond)
-		in.runFault("delay "+what, h, p, d, func() { p.SetDelay(delay) }, func() { p.SetDelay(0) })
+		in.runFault("delay "+name, h, p, d, func() { p.SetDelay(delay) }, func() { p.SetDelay(0) })
 	case 2:
-		in.runFault("silence "+what, h, p, d, func() { p.Cut(toTarget, toCaller) }, heal)
+		in.runFault("silence "+name, h, p, d, func() { p.Cut(toTarget, toCaller) }, heal)
 	case 3:
-		in.runFault("cut to caller "+what, h, p, d, func() { p.Cut(toCaller) }, heal)
+		in.runFault("cut to caller "+name, h, p, d, func() { p.Cut(toCaller) }, heal)
 	case 4:
-		in.runFault("cut to target "+what, h, p, d, func() { p.Cut(toTarget) }, heal)
+		in.runFault("cut to target "+name, h, p, d, func() { p.Cut(toTarget) }, heal)
 	}
 }
 
-// logOutage makes the log service fail, forget its history, or both; entries
-// lapse meanwhile and are back soon after.
+// logOutage compacts the log or makes the log service fail for a while. During an
+// outage all entries of upstreams expire; they are written again soon after its end.
 func (in *injector) logOutage(context.Context) {
 	log := in.env.log
-	back := in.randomDuration(200*time.Millisecond, 1800*time.Millisecond)
+	restoreAfter := in.randomDuration(200*time.Millisecond, 1800*time.Millisecond)
 	switch in.rng.IntN(3) {
 	case 0:
 		in.runFault("log service forgets", nil, log, 0, log.Compact, func() {})
 	default:
 		in.runFault("log service down", nil, log, in.randomDuration(300*time.Millisecond, 6*time.Second), func() { log.SetDown(true) }, func() {
-			in.env.expireAndRestoreEntries(back)
+			in.env.expireAndRestoreEntries(restoreAfter)
 			log.SetDown(false)
-			// Until they are back no other outage may begin.
-			time.Sleep(back)
+			// No other outage may begin until the entries are written again.
+			time.Sleep(restoreAfter)
 		})
 	}
 }
 
+// publishDesired publishes the next version of the desired state.
 func (in *injector) publishDesired(context.Context) {
 	if err := in.env.publish(); err != nil {
 		in.addViolation(err.Error())
 	}
 }
 
-func (in *injector) addViolation(what string) {
+// addViolation records a violation.
+func (in *injector) addViolation(violation string) {
 	in.env.mu.Lock()
 	defer in.env.mu.Unlock()
-	in.env.violations = append(in.env.violations, what)
+	in.env.violations = append(in.env.violations, violation)
 }
 
-// faultFree reports whether no fault touched the host's process, the host's links,
-// an upstream or the log service between from and to.
+// faultFree reports whether no fault affected the host's process, its links, any
+// upstream or the log service between from and to. It ignores faults whose description
+// is except.
 func (in *injector) faultFree(h *Host, from, to time.Time, except string) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -16,8 +16,8 @@
 	"github.com/papayatide/papayatide/platform"
 )
 
-// Host is one entry host: a process, started again and again, between a
-// proxy for its callers and one for the log service.
+// Host is an entry host: a process that can be started again after it exits. Callers
+// reach it through the proxy Front, and it reaches the log service through Log.
 type Host struct {
 	Name  string
 	Front *Proxy
@@ -28,16 +28,19 @@
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// exited is closed when the present process has ended.
+	// exited is closed when the current process has exited.
 	exited chan struct{}
-	// signaled is set once the process was told to end, by any signal.
+	// signaled is set when the current process is sent SIGTERM or SIGKILL.
 	signaled bool
 	paused   bool
-	// outputStart is the size of output before the present process started.
+	// outputStart is the size of the output file when the current process started;
+	// -1 if it is unknown.
 	outputStart int64
-	failures    []string
+	// failures describe unexpected exits.
+	failures []string
 }
 
+// settingsTemplate is the settings file of a host.
 const settingsTemplate = `[host]
 name = %s
 data_centre = dc
@@ -54,6 +57,7 @@
 evacuate = 5s
 `
 
+// newHost writes the settings of a host and starts its proxies, but no process.
 func newHost(name, binary, dir, logAddr string) (*Host, error) {
 	addrs, err := freeAddrs(6)
 	if err != nil {
@@ -71,6 +75,7 @@
 	return h, eris.Wrap(os.WriteFile(h.settingsPath, []byte(text), 0o600), "settings")
 }
 
+// freeAddrs returns n free loopback addresses.
 func freeAddrs(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -83,7 +88,7 @@
 	return out, nil
 }
 
-// Start starts a process unless one runs.
+// Start starts the host's process unless one is running.
 func (h *Host) Start() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -94,7 +99,7 @@
 	if err != nil {
 		return eris.Wrap(err, "output")
 	}
-	defer func() { _ = out.Close() }() // the process has its own copy
+	defer func() { _ = out.Close() }() // the process has its own file descriptor
 	cmd := exec.Command(h.binary, "entry")
 	cmd.Env = append(os.Environ(), platform.SettingsEnv+"="+h.settingsPath)
 	cmd.Stdout, cmd.Stderr = out, out
@@ -106,7 +111,7 @@
 	return nil
 }
 
-// outputSize returns how much has been written to the file, -1 if that is not known.
+// outputSize returns the size of the file in bytes, or -1 if it cannot be read.
 func outputSize(f *os.File) int64 {
 	info, err := f.Stat()
 	if err != nil {
@@ -115,29 +120,29 @@
 	return info.Size()
 }
 
-// awaitProcess notes how the process ends. One that was told to stop ends with 0, or by the
-// signal if it came before the process wrote its first line; one that was not told
-// does not end.
-func (h *Host) awaitProcess(cmd *exec.Cmd, gone chan struct{}) {
+// awaitProcess waits for the process to exit and records a failure if the exit is
+// unexpected. Expected are, after a signal, status 0 and death by SIGKILL, and death by
+// SIGTERM before the first line of output, when no handler may be installed yet.
+func (h *Host) awaitProcess(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	by := cmd.ProcessState.Sys().(syscall.WaitStatus).Signal()
-	killed := by == syscall.SIGKILL || (by == syscall.SIGTERM && h.wroteNoOutput())
+	sig := cmd.ProcessState.Sys().(syscall.WaitStatus).Signal()
+	killed := sig == syscall.SIGKILL || (sig == syscall.SIGTERM && h.wroteNoOutput())
 	if !h.signaled || (err != nil && !killed) {
-		h.failures = append(h.failures, fmt.Sprintf("%s ended: told %v, %v", h.Name, h.signaled, err))
+		h.failures = append(h.failures, fmt.Sprintf("%s exited: signaled %v, %v", h.Name, h.signaled, err))
 	}
 	h.cmd, h.paused = nil, false
-	close(gone)
+	close(exited)
 }
 
-// wroteNoOutput reports whether the process has written nothing since its start.
+// wroteNoOutput reports whether the process has written no output since its start.
 func (h *Host) wroteNoOutput() bool {
 	info, err := os.Stat(h.outputPath)
 	return err == nil && info.Size() == h.outputStart
 }
 
-// lastOutputLine returns the last line of the host's output, or why it cannot be read.
+// lastOutputLine returns the last line of the host's output, or the error on reading it.
 func (h *Host) lastOutputLine() string {
 	data, err := os.ReadFile(h.outputPath)
 	if err != nil {
@@ -147,7 +152,7 @@
 	return lines[len(lines)-1]
 }
 
-// signal sends a signal to the process if one runs.
+// signal sends a signal to the process if one is running.
 func (h *Host) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -162,44 +167,46 @@
 	case syscall.SIGCONT:
 		h.paused = false
 	}
-	// It may have ended just now; wait tells.
+	// An error means that the process has just exited; awaitProcess records that.
 	_ = h.cmd.Process.Signal(s)
 }
 
-// Kill ends the process at once.
+// Kill kills the process at once.
 func (h *Host) Kill() { h.signal(syscall.SIGKILL) }
 
-// Stop tells the process to stop as planned.
+// Stop requests a planned stop of the process.
 func (h *Host) Stop() { h.signal(syscall.SIGTERM) }
 
-// Pause and Resume freeze and thaw it.
-func (h *Host) Pause()  { h.signal(syscall.SIGSTOP) }
+// Pause suspends the process until Resume.
+func (h *Host) Pause() { h.signal(syscall.SIGSTOP) }
+
+// Resume continues a suspended process.
 func (h *Host) Resume() { h.signal(syscall.SIGCONT) }
 
-// AwaitExit waits until the process has ended, for at most d.
+// AwaitExit waits up to d until the process has exited and reports whether it has.
 func (h *Host) AwaitExit(d time.Duration) bool {
 	h.mu.Lock()
-	gone, running := h.exited, h.cmd != nil
+	exited, running := h.exited, h.cmd != nil
 	h.mu.Unlock()
 	if !running {
 		return true
 	}
 	select {
-	case <-gone:
+	case <-exited:
 		return true
 	case <-time.After(d):
 		return false
 	}
 }
 
-// Failures returns what was wrong with how processes ended.
+// Failures returns descriptions of the unexpected exits of the host's processes.
 func (h *Host) Failures() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.failures
 }
 
-// shutDown ends everything of the host.
+// shutDown kills the process and closes the proxies.
 func (h *Host) shutDown() {
 	h.Resume()
 	h.Kill()
@@ -208,5 +215,5 @@
 	h.Log.Close()
 }
 
-// endPatience is how long a killed process may take to be gone.
+// exitTimeout is how long a killed process may take to exit.
 const exitTimeout = 5 * time.Second
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -12,14 +12,14 @@
 	"github.com/papayatide/papayatide/internal/standin/ports"
 )
 
-// Proxy passes connections on to a target and misbehaves on demand.
+// Proxy forwards TCP connections to a target and can delay, reset or cut them.
 type Proxy struct {
 	ln net.Listener
 
 	mu     sync.Mutex
 	target string
 	delay  time.Duration
-	// cut holds which directions deliver nothing.
+	// cut holds the directions whose data is dropped.
 	cut   map[direction]bool
 	conns map[*proxyConn]bool
 }
@@ -31,22 +31,22 @@
 	toCaller
 )
 
-// proxyConn is one connection through the proxy. Once a byte of it was lost it is
-// broken: it carries nothing more and is reset when the cut ends.
+// proxyConn is one connection through the proxy. Once data of it was dropped it is
+// broken: the proxy delivers no more of it and resets it when the cut ends.
 type proxyConn struct {
 	caller, target *net.TCPConn
 	broken         bool
 }
 
-// reset ends both sides at once.
-func (l *proxyConn) reset() {
-	for _, c := range []*net.TCPConn{l.caller, l.target} {
+// reset closes both sides with a TCP reset.
+func (conn *proxyConn) reset() {
+	for _, c := range []*net.TCPConn{conn.caller, conn.target} {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
 }
 
-// NewProxy starts a proxy at addr.
+// NewProxy starts a proxy that listens at addr and forwards to target.
 func NewProxy(addr, target string) (*Proxy, error) {
 	ln, err := ports.Listen(addr)
 	if err != nil {
@@ -57,10 +57,10 @@
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// SetTarget sends new connections elsewhere and resets the old ones.
+// SetTarget forwards new connections to addr and resets the existing ones.
 func (p *Proxy) SetTarget(addr string) {
 	p.mu.Lock()
 	p.target = addr
@@ -68,14 +68,15 @@
 	p.Reset()
 }
 
-// SetDelay delays every chunk of bytes.
+// SetDelay delays every chunk of data by d, in both directions.
 func (p *Proxy) SetDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay = d
 }
 
-// Cut stops delivery in the given directions; none heals the proxy.
+// Cut silently drops all data in the given directions. Without a direction it ends the
+// cut and resets the broken connections.
 func (p *Proxy) Cut(ds ...direction) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,23 +87,23 @@
 	if len(ds) > 0 {
 		return
 	}
-	for l := range p.conns {
-		if l.broken {
-			l.reset()
+	for conn := range p.conns {
+		if conn.broken {
+			conn.reset()
 		}
 	}
 }
 
-// Reset resets every connection.
+// Reset resets all connections.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.conns {
-		l.reset()
+	for conn := range p.conns {
+		conn.reset()
 	}
 }
 
-// Close ends the proxy.
+// Close stops listening and resets all connections.
 func (p *Proxy) Close() {
 	_ = p.ln.Close()
 	p.Reset()
@@ -124,55 +125,57 @@
 	p.mu.Unlock()
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
-		// A port without a listener resets the connection.
+		// A port without a listener resets a connection, and so does the proxy.
 		_ = caller.SetLinger(0)
 		_ = caller.Close()
 		return
 	}
-	l := &proxyConn{caller: caller, target: c.(*net.TCPConn)}
+	conn := &proxyConn{caller: caller, target: c.(*net.TCPConn)}
 	p.mu.Lock()
-	p.conns[l] = true
+	p.conns[conn] = true
 	p.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pump(l, caller, l.target, toTarget) })
-	wg.Go(func() { p.pump(l, l.target, caller, toCaller) })
+	wg.Go(func() { p.pump(conn, caller, conn.target, toTarget) })
+	wg.Go(func() { p.pump(conn, conn.target, caller, toCaller) })
 	wg.Wait()
 	p.mu.Lock()
-	delete(p.conns, l)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
+// chunkBytes is the size of the buffer for each direction.
 const chunkBytes = 16 << 10
 
-// pump copies one direction. An orderly end of one side ends the other in
-// order, anything else resets it.
-func (p *Proxy) pump(l *proxyConn, from, to *net.TCPConn, d direction) {
+// pump copies the data of one direction. An EOF closes both sides, unless the
+// connection is broken; any error resets them.
+func (p *Proxy) pump(conn *proxyConn, from, to *net.TCPConn, d direction) {
 	buf := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && p.deliver(l, d) {
+		if n > 0 && p.deliver(conn, d) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				err = werr
 			}
 		}
-		if errors.Is(err, io.EOF) && !p.isBroken(l) {
-			_ = l.caller.Close()
-			_ = l.target.Close()
+		if errors.Is(err, io.EOF) && !p.isBroken(conn) {
+			_ = conn.caller.Close()
+			_ = conn.target.Close()
 			return
 		}
 		if err != nil {
-			l.reset()
+			conn.reset()
 			return
 		}
 	}
 }
 
-// deliver reports whether a chunk is delivered, after its delay.
-func (p *Proxy) deliver(l *proxyConn, d direction) bool {
+// deliver waits for the delay and reports whether the chunk is to be delivered. A chunk
+// that meets a cut breaks the connection.
+func (p *Proxy) deliver(conn *proxyConn, d direction) bool {
 	p.mu.Lock()
 	delay := p.delay
-	l.broken = l.broken || p.cut[d]
-	broken := l.broken
+	conn.broken = conn.broken || p.cut[d]
+	broken := conn.broken
 	p.mu.Unlock()
 	if !broken {
 		time.Sleep(delay)
@@ -180,8 +183,8 @@
 	return !broken
 }
 
-func (p *Proxy) isBroken(l *proxyConn) bool {
+func (p *Proxy) isBroken(conn *proxyConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return l.broken
+	return conn.broken
 }
--- a/internal/soak/reports.go
+++ b/internal/soak/reports.go
@@ -12,113 +12,118 @@
 )
 
 const (
-	// maxReportGap is the longest pause between two upstreams' reports.
+	// maxReportGap is the longest pause between the starts of two reports.
 	maxReportGap = 2 * time.Second
-	// maxReportTime is how long an upstream reports a limit or asks for rests at most.
+	// maxReportTime is the longest time for which an upstream reports a rate limit or
+	// a backoff.
 	maxReportTime = 8 * time.Second
-	// backoffTime is the rest that it asks for.
+	// backoffTime is the backoff that upstreams report.
 	backoffTime = 3 * time.Second
-	// leavingTime is how long an upstream that reports that it leaves stays.
+	// leavingTime is how long an upstream reports that it is leaving before it stops.
 	leavingTime = 5 * time.Second
 )
 
-// report is a time for which an upstream's life reported the same.
+// report is a report that an upstream sends in its responses from a time on.
 type report struct {
 	inc   *incarnation
 	value rangeowner.Report
 	from  time.Time
 }
 
-// reportKey names what reports of a place exclude each other by.
+// reportKey marks an endpoint as busy with a report. It differs from the endpoint's own
+// key, so that other faults of the upstream can overlap with the report.
 type reportKey struct{ *endpoint }
 
-// runReports has upstreams report limits, rests and that they leave until ctx ends. It
-// draws apart from the other faults.
+// runReports has random upstreams report rate limits, backoffs and that they are
+// leaving, until ctx ends. It has its own random generator, so the other faults of a
+// seed do not depend on it.
 func (in *injector) runReports(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(rng.Int64N(int64(maxReportGap))))
-		p := in.env.endpoints[rng.IntN(len(in.env.endpoints))]
+		ep := in.env.endpoints[rng.IntN(len(in.env.endpoints))]
 		d := time.Duration(rng.Int64N(int64(maxReportTime)))
 		switch rng.IntN(3) {
 		case 0:
-			in.reportFor(p, rangeowner.Report{RateLimit: 0.5 + 8*rng.Float64()}, d)
+			in.reportFor(ep, rangeowner.Report{RateLimit: 0.5 + 8*rng.Float64()}, d)
 		case 1:
-			in.reportFor(p, rangeowner.Report{Backoff: backoffTime}, d)
+			in.reportFor(ep, rangeowner.Report{Backoff: backoffTime}, d)
 		case 2:
-			in.reportLeaving(p, rng.IntN(2) == 0)
+			in.reportLeaving(ep, rng.IntN(2) == 0)
 		}
 	}
 }
 
-// reportFor has the place's upstream report for a time, or until its life ends.
-func (in *injector) reportFor(p *endpoint, says rangeowner.Report, d time.Duration) {
-	var l *incarnation
-	in.runFault(fmt.Sprintf("upstream %s reports %+v", p.proxy.Addr(), says), nil, reportKey{p}, d,
-		func() { l = in.startReport(p, says) },
-		func() { l.SetReport(rangeowner.Report{}) })
+// reportFor has the endpoint's current incarnation send a report for a time.
+func (in *injector) reportFor(ep *endpoint, value rangeowner.Report, d time.Duration) {
+	var inc *incarnation
+	in.runFault(fmt.Sprintf("upstream %s reports %+v", ep.proxy.Addr(), value), nil, reportKey{ep}, d,
+		func() { inc = in.startReport(ep, value) },
+		func() { inc.SetReport(rangeowner.Report{}) })
 }
 
-// reportLeaving has the place's upstream report that it leaves, and end some time later. Its
-// entry says the same only if listed.
-func (in *injector) reportLeaving(p *endpoint, listed bool) {
-	in.runFault("upstream "+p.proxy.Addr()+" reports that it leaves", nil, p, leavingTime,
+// reportLeaving has the endpoint's current incarnation report that it is leaving, kills
+// it after leavingTime and starts the next one. If listed is set, its entry is marked
+// as leaving, too.
+func (in *injector) reportLeaving(ep *endpoint, listed bool) {
+	in.runFault("upstream "+ep.proxy.Addr()+" reports that it leaves", nil, ep, leavingTime,
 		func() {
-			l := in.startReport(p, rangeowner.Report{Leaving: true})
+			inc := in.startReport(ep, rangeowner.Report{Leaving: true})
 			if listed {
-				in.env.writeEntry(l, true)
+				in.env.writeEntry(inc, true)
 			}
 		},
 		func() {
-			in.env.expireEntry(in.env.kill(p))
-			in.startUpstream(p)
+			in.env.expireEntry(in.env.kill(ep))
+			in.startUpstream(ep)
 		})
 }
 
-// startReport has the place's present life report something and notes it.
-func (in *injector) startReport(p *endpoint, says rangeowner.Report) *incarnation {
+// startReport has the endpoint's current incarnation send a report and records it.
+func (in *injector) startReport(ep *endpoint, value rangeowner.Report) *incarnation {
 	in.env.mu.Lock()
-	l := p.current
+	inc := ep.current
 	in.env.mu.Unlock()
-	l.SetReport(says)
+	inc.SetReport(value)
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.reports = append(in.reports, report{l, says, time.Now()})
-	return l
+	in.reports = append(in.reports, report{inc, value, time.Now()})
+	return inc
 }
 
-// checkReports returns the requests that upstreams got despite what they had
-// reported to the hosts that sent them.
+// checkReports returns the requests that hosts sent to upstreams against the reports
+// that they had received from them.
 func (in *injector) checkReports(outcomes []*outcome) (bad []string) {
-	by := map[string]*outcome{}
+	byID := map[string]*outcome{}
 	for _, o := range outcomes {
-		by[o.id] = o
+		byID[o.id] = o
 	}
 	for _, r := range in.reports {
-		all := r.inc.Arrivals(r.from, time.Now())
-		for i, a := range all {
+		arrivals := r.inc.Arrivals(r.from, time.Now())
+		for i, a := range arrivals {
 			if a.Report != r.value {
-				all = all[:i]
+				arrivals = arrivals[:i]
 				break
 			}
 		}
 		switch {
 		case r.value.RateLimit > 0:
-			bad = append(bad, in.checkRateLimit(r, all, by)...)
+			bad = append(bad, in.checkRateLimit(r, arrivals, byID)...)
 		case r.value.Leaving:
-			bad = append(bad, in.checkLeaving(r, all, by)...)
+			bad = append(bad, in.checkLeaving(r, arrivals, byID)...)
 		case r.value.Backoff > 0:
-			bad = append(bad, in.checkBackoff(r, all, by)...)
+			bad = append(bad, in.checkBackoff(r, arrivals, byID)...)
 		}
 	}
 	return bad
 }
 
-// firstForwarded returns when each host first passed on an answer with the report.
-func firstForwarded(all []rangeowner.Arrival, by map[string]*outcome) map[*Host]time.Time {
+// firstForwarded returns when each host first forwarded a response with the report to a
+// caller. By then the host has received the report.
+func firstForwarded(arrivals []rangeowner.Arrival, byID map[string]*outcome) map[*Host]time.Time {
 	first := map[*Host]time.Time{}
-	for _, a := range all {
-		o := by[a.ID]
+	for _, a := range arrivals {
+		o := byID[a.ID]
 		if o == nil || o.err != nil || o.status != http.StatusOK {
 			continue
 		}
@@ -129,11 +134,13 @@
 	return first
 }
 
-func (in *injector) checkRateLimit(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
-	first := firstForwarded(all, by)
+// checkRateLimit returns a violation if the hosts that have received a rate limit
+// exceed it together.
+func (in *injector) checkRateLimit(r report, arrivals []rangeowner.Arrival, byID map[string]*outcome) (bad []string) {
+	first := firstForwarded(arrivals, byID)
 	var counted []rangeowner.Arrival
-	for _, a := range all {
-		o := by[a.ID]
+	for _, a := range arrivals {
+		o := byID[a.ID]
 		if o == nil {
 			continue
 		}
@@ -142,65 +149,70 @@
 			counted = append(counted, a)
 		}
 	}
-	if n, most := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(r.value.RateLimit); n > most {
+	if n, limit := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(r.value.RateLimit); n > limit {
 		bad = append(bad, fmt.Sprintf("%s: LIMIT: %d requests within %v reached %s, which takes %.2f a second; at most %d",
-			r.from.Format(timestampFormat), n, rangeowner.RateLimitWindow, r.inc.ID, r.value.RateLimit, most))
+			r.from.Format(timestampFormat), n, rangeowner.RateLimitWindow, r.inc.ID, r.value.RateLimit, limit))
 	}
 	return bad
 }
 
-func (in *injector) checkLeaving(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
-	first := firstForwarded(all, by)
-	for _, a := range all {
-		o := by[a.ID]
+// checkLeaving returns the requests that began more than DrainGrace after their host had
+// forwarded a report that the upstream is leaving.
+func (in *injector) checkLeaving(r report, arrivals []rangeowner.Arrival, byID map[string]*outcome) (bad []string) {
+	first := firstForwarded(arrivals, byID)
+	for _, a := range arrivals {
+		o := byID[a.ID]
 		if o == nil {
 			continue
 		}
 		at, ok := first[o.host]
 		if ok && o.began.Sub(at) > rangeowner.DrainGrace && in.hostProcessFaultFree(o.host, at, a.At) {
-			bad = append(bad, fmt.Sprintf("%s: DRAIN: %s reached %s through %s %v after that had passed on that it leaves",
+			bad = append(bad, fmt.Sprintf("%s: DRAIN: %s reached %s through %s %v after that host had forwarded its report of leaving",
 				a.At.Format(timestampFormat), a.ID, r.inc.ID, o.host.Name, a.At.Sub(at)))
 		}
 	}
 	return bad
 }
 
-func (in *injector) checkBackoff(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
+// checkBackoff returns the hosts that sent too many requests during a backoff.
+func (in *injector) checkBackoff(r report, arrivals []rangeowner.Arrival, byID map[string]*outcome) (bad []string) {
 	byHost := map[*Host][]rangeowner.Arrival{}
-	for _, a := range all {
-		if o := by[a.ID]; o != nil {
+	for _, a := range arrivals {
+		if o := byID[a.ID]; o != nil {
 			byHost[o.host] = append(byHost[o.host], a)
 		}
 	}
-	for h, its := range byHost {
-		n, asked := rangeowner.BackoffViolation(its, backoffTime, func(asked, at time.Time) bool { return in.hostAndLinkFaultFree(h, r.inc.endpoint, asked, at) })
+	for h, fromHost := range byHost {
+		n, asked := rangeowner.BackoffViolation(fromHost, backoffTime, func(asked, at time.Time) bool { return in.hostAndLinkFaultFree(h, r.inc.endpoint, asked, at) })
 		if n > 0 {
-			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a rest of %v", asked.Format(timestampFormat), n, h.Name, r.inc.ID, backoffTime))
+			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a backoff of %v", asked.Format(timestampFormat), n, h.Name, r.inc.ID, backoffTime))
 		}
 	}
 	return bad
 }
 
-// hostAndLinkFaultFree reports whether no fault touched the host, or the way to the upstream,
-// within a time.
-func (in *injector) hostAndLinkFaultFree(h *Host, p *endpoint, from, to time.Time) bool {
+// hostAndLinkFaultFree reports whether no fault affected the host or the link to the
+// upstream between from and to.
+func (in *injector) hostAndLinkFaultFree(h *Host, ep *endpoint, from, to time.Time) bool {
 	return !in.anyFault(from, to, func(f *fault) bool {
-		return f.host == h || strings.HasSuffix(f.description, "link of upstream "+p.proxy.Addr())
+		return f.host == h || strings.HasSuffix(f.description, "link of upstream "+ep.proxy.Addr())
 	})
 }
 
-// hostProcessFaultFree reports whether the host's process ran all the time.
+// hostProcessFaultFree reports whether no fault affected the host's process between
+// from and to. Faults of its links do not count.
 func (in *injector) hostProcessFaultFree(h *Host, from, to time.Time) bool {
 	return !in.anyFault(from, to, func(f *fault) bool { return f.host == h && !strings.Contains(f.description, "link") })
 }
 
-// anyFault reports whether such a fault was under way within a time.
-func (in *injector) anyFault(from, to time.Time, such func(*fault) bool) bool {
+// anyFault reports whether a fault for which match returns true lasted at any time
+// between from and to.
+func (in *injector) anyFault(from, to time.Time, match func(*fault) bool) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, f := range in.faults {
 		over := !f.to.IsZero() && f.to.Before(from)
-		if !over && !f.from.After(to) && such(f) {
+		if !over && !f.from.After(to) && match(f) {
 			return true
 		}
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -15,66 +15,67 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// Options shape one run.
+// Options configure one run.
 type Options struct {
-	// Binary is papayatided.
+	// Binary is the path of papayatided.
 	Binary string
-	// Dir takes settings and the hosts' output.
+	// Dir is the directory for the hosts' settings and output.
 	Dir string
-	// Seed draws the faults and the requests.
+	// Seed seeds the random generators of faults and requests.
 	Seed uint64
 	// Faults is how long faults are injected.
 	Faults time.Duration
-	// CrashRequests has callers ask for requests that end the upstreams that run them.
+	// CrashRequests adds fatal requests: each crashes the upstream that runs it.
 	CrashRequests bool
-	// Evacuate has the far data centre evacuated and taken back, cold, now and
-	// then, and upstreams that come back start slowly.
+	// Evacuate adds evacuations of the far data centre, whose upstreams become
+	// cold meanwhile, and slow starts of upstreams that restart.
 	Evacuate bool
-	// Reports has upstreams report rate limits, rests and that they leave.
+	// Reports adds upstreams that report rate limits, backoffs and that they are leaving.
 	Reports bool
-	// Hosts, Keyed, Plain and Callers are how many there are of each.
+	// Hosts, Keyed, Plain and Callers are the numbers of entry hosts, keyed
+	// upstreams, other upstreams and callers.
 	Hosts, Keyed, Plain, Callers int
 }
 
-// Report is what a run saw.
+// Report is the result of a run.
 type Report struct {
-	// Violations are promises that were not kept.
+	// Violations describe the guarantees that did not hold.
 	Violations []string
-	// Faults are what was injected, in order.
+	// Faults describe the injected faults in the order in which they began.
 	Faults []string
-	// Requests and Served count the callers' requests and those answered
-	// with success.
+	// Requests counts the callers' requests, Served those with status 200.
 	Requests, Served int
-	// Recovered is how long after the last fault every key was served
-	// through every host.
+	// Recovered is the time from the end of the last fault until every probed
+	// key was served through every host.
 	Recovered time.Duration
 }
 
 const (
-	// startTimeout and recoverWithin bound the time until every key is served
-	// through every host, from the start and from the last fault's end.
+	// startTimeout and recoveryTimeout bound the time until every probed key is
+	// served through every host, from the start and from the end of the last fault.
 	startTimeout    = 15 * time.Second
 	recoveryTimeout = 15 * time.Second
-	// quietPeriod is how long callers go on after everything is served again.
+	// quietPeriod is how long callers go on without faults after the recovery.
 	quietPeriod = 2 * time.Second
-	// minServedShare is the least share of their requests that is served.
+	// minServedShare is the share of requests that must be served in quietPeriod.
 	minServedShare = 0.95
 )
 
-// Run makes one run.
+// Run starts the hosts and the environment, makes one run with the given options and
+// stops everything. An error means that the run could not start.
 func Run(ctx context.Context, opts Options) (*Report, error) {
 	slow := desired.SlowStart{}
 	if opts.Evacuate {
 		slow = slowStart
 	}
-	w, err := newEnvironment(opts.Keyed, opts.Plain, slow)
+	env, err := newEnvironment(opts.Keyed, opts.Plain, slow)
 	if err != nil {
 		return nil, err
 	}
-	defer w.shutDown()
+	defer env.shutDown()
 	var hosts []*Host
 	for i := range opts.Hosts {
-		h, err := newHost(fmt.Sprint("host-", i), opts.Binary, opts.Dir, w.logAddr)
+		h, err := newHost(fmt.Sprint("host-", i), opts.Binary, opts.Dir, env.logAddr)
 		if err != nil {
 			return nil, err
 		}
@@ -87,10 +88,10 @@
 	if took, key := awaitServed(hosts, startTimeout); key >= 0 {
 		return nil, eris.Errorf("key %d is not served %v after the start; hosts: %s", key, took, hostDiagnostics(hosts))
 	}
-	return runScenario(ctx, opts, w, hosts), nil
+	return runScenario(ctx, opts, env, hosts), nil
 }
 
-// hostDiagnostics tells of each host how its process ended, if it did, and the last line
+// hostDiagnostics returns for each host the failures of its process and the last line
 // that it wrote.
 func hostDiagnostics(hosts []*Host) string {
 	var out []string
@@ -100,8 +101,9 @@
 	return strings.Join(out, "; ")
 }
 
-// runScenario lets callers, faults and the calm after them run, and checks.
-func runScenario(ctx context.Context, opts Options, w *Environment, hosts []*Host) *Report {
+// runScenario runs callers and faults, waits for the recovery, lets the callers run on
+// for quietPeriod and checks the outcomes.
+func runScenario(ctx context.Context, opts Options, env *Environment, hosts []*Host) *Report {
 	cctx, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
 	c := &callers{hosts: hosts}
@@ -110,12 +112,12 @@
 	for i := range opts.Callers {
 		wg.Go(func() { c.run(cctx, opts.Seed*1000+uint64(i)) })
 	}
-	in := &injector{env: w, hosts: hosts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), forgeSeed: opts.Seed,
+	in := &injector{env: env, hosts: hosts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), forgeSeed: opts.Seed,
 		downtimeRNG: rand.New(rand.NewPCG(opts.Seed, 3)), busy: map[any]bool{}}
 	fctx, cancel := context.WithTimeout(ctx, opts.Faults)
 	if opts.CrashRequests {
-		// They are faults too: what they end is down while they are asked for.
-		w.setCrashOn(in.crashUpstream)
+		// The crashes count as faults, so the requests stop when the faults stop.
+		env.setCrashOn(in.crashUpstream)
 		in.wg.Go(func() { c.sendFatalRequests(fctx, opts.Seed) })
 	}
 	if opts.Evacuate {
@@ -127,7 +129,7 @@
 	in.run(fctx)
 	cancel()
 	if opts.Evacuate {
-		sleep(ctx, slowStart.Duration+heartbeatInterval) // the last ones to come back are cold until then
+		sleep(ctx, slowStart.Duration+heartbeatInterval) // the upstreams that became cold last are warm then
 	}
 	r := &Report{}
 	took, key := awaitServed(hosts, recoveryTimeout)
@@ -135,41 +137,41 @@
 	if key >= 0 {
 		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: key %d is not served %v after the last fault", key, took))
 	}
-	calmFrom := time.Now()
+	quietFrom := time.Now()
 	sleep(ctx, quietPeriod)
 	stopCallers()
 	wg.Wait()
-	r.summarize(c, w, in, calmFrom)
+	r.summarize(c, env, in, quietFrom)
 	return r
 }
 
-// summarize checks what was seen and writes it into the report.
-func (r *Report) summarize(c *callers, w *Environment, in *injector, calmFrom time.Time) {
-	calm, calmServed := 0, 0
+// summarize counts and checks the outcomes and adds the results to the report.
+func (r *Report) summarize(c *callers, env *Environment, in *injector, quietFrom time.Time) {
+	quiet, quietServed := 0, 0
 	for _, o := range c.outcomes {
 		r.Requests++
 		ok := o.err == nil && o.status == http.StatusOK
 		if ok {
 			r.Served++
 		}
-		if o.began.After(calmFrom) && !o.canceled {
-			calm++
+		if o.began.After(quietFrom) && !o.canceled {
+			quiet++
 			if ok {
-				calmServed++
+				quietServed++
 			}
 		}
 	}
-	if float64(calmServed) < minServedShare*float64(calm) {
-		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: %d of %d requests served once all was calm", calmServed, calm))
+	if float64(quietServed) < minServedShare*float64(quiet) {
+		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: %d of %d requests served in the quiet period after the faults", quietServed, quiet))
 	}
-	r.Violations = append(r.Violations, checkOutcomes(c.outcomes, w.executions(), in)...)
+	r.Violations = append(r.Violations, checkOutcomes(c.outcomes, env.executions(), in)...)
 	r.Violations = append(r.Violations, in.checkFatalRequests(c.outcomes)...)
 	r.Violations = append(r.Violations, in.checkColdUpstreams()...)
 	r.Violations = append(r.Violations, in.checkReports(c.outcomes)...)
 	r.Violations = append(r.Violations, in.checkEvacuated(c.outcomes)...)
-	w.mu.Lock()
-	r.Violations = append(r.Violations, w.violations...)
-	w.mu.Unlock()
+	env.mu.Lock()
+	r.Violations = append(r.Violations, env.violations...)
+	env.mu.Unlock()
 	for _, h := range in.hosts {
 		r.Violations = append(r.Violations, h.Failures()...)
 	}
@@ -178,11 +180,12 @@
 	}
 }
 
-// probes is how many keys, evenly spread, stand for all.
+// probedKeys is the number of keys, evenly spread over the key space, that
+// awaitServed requests.
 const probedKeys = 16
 
-// awaitServed waits until the probed keys are served through every host. It
-// returns the time that took, and a key that was not served within d or -1.
+// awaitServed waits up to d until every probed key has been served through every
+// host. It returns the time taken and the first key that was not served, or -1.
 func awaitServed(hosts []*Host, d time.Duration) (time.Duration, int) {
 	start := time.Now()
 	hc := &http.Client{Timeout: time.Second}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,27 +14,29 @@
 )
 
 var (
-	seeds        = flag.Int("seeds", 0, "run so many fresh seeds instead of the fixed ones")
-	firstSeed    = flag.Uint64("first", 0, "first of the fresh seeds; 0 draws one")
-	faultTime    = flag.Duration("span", 15*time.Second, "how long faults are injected")
-	keepDir      = flag.String("keep", "", "directory that keeps settings and logs of failed runs")
-	parallelRuns = flag.Int("beside", 4, "runs at once")
+	seeds        = flag.Int("seeds", 0, "number of consecutive seeds to run instead of those of CI")
+	firstSeed    = flag.Uint64("first", 0, "first seed of -seeds; 0 chooses one at random")
+	faultTime    = flag.Duration("span", 15*time.Second, "how long each run injects faults")
+	keepDir      = flag.String("keep", "", "directory in which failed runs leave their settings and logs")
+	parallelRuns = flag.Int("beside", 4, "number of concurrent runs")
 )
 
-// fixed are the seeds run in CI, with why each stays.
+// ciRuns are the runs of TestSoak in CI, each with the failure that it guards against or
+// the feature that it covers.
 var ciRuns = []run{
-	{seed: 1},                // a planner back from a cut took over on an old proof of its seat
-	{seed: 125},              // a host that slept through an outage took lapsed entries for gone
-	{seed: 9, reports: true}, // upstreams report limits, rests and that they leave
+	{seed: 1},                // a planner took over again after a cut, with an outdated proof of its lease
+	{seed: 125},              // a host that was paused during an outage took expired entries for removed upstreams
+	{seed: 9, reports: true}, // upstreams report rate limits, backoffs and that they are leaving
 }
 
-// run is one run of the soak. Fresh seeds have fatal requests where odd,
-// evacuations and slow starts in two of four, and reports in two of three.
+// run is one run. With -seeds, odd seeds have fatal requests, two of four seeds have
+// evacuations and slow starts, and two of three have reports.
 type run struct {
 	seed                     uint64
 	fatal, evacuate, reports bool
 }
 
+// buildDaemon builds papayatided and returns its path.
 func buildDaemon(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "papayatided")
@@ -45,11 +47,10 @@
 	return binary
 }
 
-// Entry hosts run as processes while links are cut, processes and upstreams
-// end, pause and come back, and the log service fails, in series and
-// overlapping. Callers get their own whole answers or truthful refusals, no
-// charge runs twice, no key has two owners, and all is served again soon
-// after the last fault.
+// TestSoak runs entry hosts as processes while links are cut, processes and upstreams
+// stop, pause and restart, and the log service fails, also at the same time. Callers
+// receive complete responses to their own requests or correct refusals, no charge runs
+// twice, no key has two owners, and every key is served again soon after the last fault.
 func TestSoak(t *testing.T) {
 	binary := buildDaemon(t)
 	list := ciRuns
@@ -67,52 +68,54 @@
 	runAll(t, binary, list)
 }
 
-// The same, with requests that end their upstreams.
+// TestSoakWithFatalRequests adds requests that crash the upstreams that run them.
 func TestSoakWithFatalRequests(t *testing.T) {
 	if *seeds == 0 {
 		runAll(t, buildDaemon(t), []run{{seed: 7, fatal: true}})
 	}
 }
 
-// The same, with a data centre evacuated and taken back cold, and upstreams that
-// start slowly, under all the other faults.
+// TestSoakWithEvacuations adds evacuations of a data centre, whose upstreams are cold
+// afterwards, and slow starts of upstreams, during all the other faults.
 func TestSoakWithEvacuations(t *testing.T) {
 	if *seeds == 0 {
 		runAll(t, buildDaemon(t), []run{{seed: 3, evacuate: true}})
 	}
 }
 
-// runAll makes the runs, so many at once.
+// runAll makes the runs, as many at a time as the flag -beside says.
 func runAll(t *testing.T, binary string, list []run) {
-	turn := make(chan struct{}, *parallelRuns)
+	slots := make(chan struct{}, *parallelRuns)
 	for _, r := range list {
 		t.Run(fmt.Sprint("seed ", r.seed), func(t *testing.T) {
 			t.Parallel()
-			turn <- struct{}{}
-			defer func() { <-turn }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			runOnce(t, binary, r)
 		})
 	}
 }
 
-func runOnce(t *testing.T, binary string, this run) {
+// runOnce makes one run and fails the test with its violations and faults. It removes
+// the directory of a run without violations.
+func runOnce(t *testing.T, binary string, cfg run) {
 	dir := t.TempDir()
 	if *keepDir != "" {
-		dir = filepath.Join(*keepDir, fmt.Sprint("seed-", this.seed))
+		dir = filepath.Join(*keepDir, fmt.Sprint("seed-", cfg.seed))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r, err := Run(context.Background(), Options{Binary: binary, Dir: dir, Seed: this.seed, CrashRequests: this.fatal, Evacuate: this.evacuate, Reports: this.reports, Faults: *faultTime, Hosts: 4, Keyed: 4, Plain: 2, Callers: 12})
+	r, err := Run(context.Background(), Options{Binary: binary, Dir: dir, Seed: cfg.seed, CrashRequests: cfg.fatal, Evacuate: cfg.evacuate, Reports: cfg.reports, Faults: *faultTime, Hosts: 4, Keyed: 4, Plain: 2, Callers: 12})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d requests, %d served, %d faults, all served again after %v", r.Requests, r.Served, len(r.Faults), r.Recovered.Round(time.Millisecond))
+	t.Logf("%d requests, %d served, %d faults, all keys served again after %v", r.Requests, r.Served, len(r.Faults), r.Recovered.Round(time.Millisecond))
 	if len(r.Violations) == 0 {
 		if *keepDir != "" {
 			_ = os.RemoveAll(dir)
 		}
 		return
 	}
-	t.Errorf("%d breaches:\n%s\nfaults:\n%s", len(r.Violations), strings.Join(r.Violations[:min(len(r.Violations), 20)], "\n"), strings.Join(r.Faults, "\n"))
+	t.Errorf("%d violations:\n%s\nfaults:\n%s", len(r.Violations), strings.Join(r.Violations[:min(len(r.Violations), 20)], "\n"), strings.Join(r.Faults, "\n"))
 }
