--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Measures an entry host's control cost on loopback as its data centre's
-# upstreams grow: for each size N it starts the log stand-in, N target
-# stand-in processes (one service, one data centre) and H entry hosts,
-# publishes a manifest, lets them settle, then over a quiet window reads
-# each daemon's CPU (utime+stime), resident memory and control messages.
-# Prints one line per size; docs/CAPACITY.md is worked out from these.
+# Measures on loopback how an entry host's control cost grows with the number of
+# upstreams in its data centre. For each size N it starts the log stand-in, N target
+# stand-ins (one service, one data centre) and the entry hosts, publishes a manifest and
+# waits until they are steady. Over a window without requests it then measures the CPU
+# time (utime+stime) and resident memory of all hosts and the control messages of the
+# first. Prints one line per size; docs/CAPACITY.md is derived from them.
 #   usage: scripts/capacity.sh [window_seconds] [hosts] [sizes...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Brings up the whole path on loopback for a shipped manifest (default
-# siam-sludge): the log-service stand-in, one target stand-in per upstream,
-# one entry host per data centre; publishes the manifest, serves keyed
-# requests, kills a key's owner and times how soon the key is served again,
-# shows a stale publish refused, then stops everything.
+# Runs an example manifest (default siam-sludge) on loopback, with a stand-in for the
+# log service, a target stand-in per upstream and an entry host per data centre.
+# Publishes the manifest, sends keyed requests, kills a key's owner and measures the
+# time until the key is served again, and shows that a publish from a stale base is
+# refused. Stops all processes at the end.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 example=${1:-siam-sludge}
--- a/scripts/explained.sh
+++ b/scripts/explained.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Shows the share of a run's not-served requests that the hosts' logs explain.
-#   scripts/explained.sh RUN-OUTPUT
-# RUN-OUTPUT holds a run's report, which names requests as "request ID", and
-# all hosts' log lines. Exits with 1 unless every named request that reached
-# a host has a line that states a cause. A request for which the report shows
-# "no connection" reached none: its host was down, as the lines of the host's
-# next start say.
+# Prints the share of a run's unserved requests that the hosts' logs explain.
+#   usage: scripts/explained.sh RUN-OUTPUT
+# RUN-OUTPUT holds the report of a run, which names each such request as "request ID",
+# and the log lines of all hosts. Exits with 1 unless every named request that reached
+# a host has a log line with its cause. A request that the report marks with
+# "no connection" reached no host: its host was down, which shows in the lines of the
+# host's next start.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 run=$(realpath "$1")
--- a/scripts/summary.py
+++ b/scripts/summary.py
@@ -1,14 +1,14 @@
 #!/usr/bin/env python3
-"""Refusals and failures of entry hosts by cause, service, time and upstream.
+"""Summarizes refused and failed requests from the logs of entry hosts.
 
-Reads the log lines of `papayatided entry` from the files named, or from
-standard input; what a log collector put before the JSON (a time, a host) is
-used where it is there. Prints one table each:
+Reads the log lines of `papayatided entry` from the given files, or from standard
+input. If a log collector has put a time in seconds before the JSON object, that time
+is used instead of the line's own. Prints three tables:
 
-  by service and cause   how many requests ended so
-  by second              what was refused when, with changes of planner and of
-                         ownership beside it
-  by upstream            which upstreams the refused requests were meant for
+  by service and cause   number of refused and failed requests per cause
+  by second              refused and failed requests over time, and in brackets
+                         events of the planner, the ownership and the log service
+  by upstream            upstreams for which the refused and failed requests were meant
 
 usage: summary.py [--step SECONDS] [--from T] [--to T] [LOG-FILE...]
 """
@@ -17,17 +17,19 @@
 import fileinput
 import json
 
-REFUSED, FAILED = 801, 802  # docs/EVENTS.md
+# Event numbers; docs/EVENTS.md lists them.
+REFUSED, FAILED = 801, 802
+# Labels of control events in the table by second.
 BELIEFS = {
-    700: "seat taken", 701: "seat lost", 702: "term started", 703: "term ended",
-    706: "owner lost", 610: "log lost", 611: "log regained", 613: "planner left", 614: "stood still",
+    700: "planner lease acquired", 701: "planner lease lost", 702: "term started", 703: "term ended",
+    706: "owner lost", 610: "log lost", 611: "log recovered", 613: "planner no longer followed", 614: "host stalled",
 }
-RECORDED = 704
+RECORDED = 704  # a change of ownership
 MOST_UPSTREAMS = 15
 
 
 def lines(files):
-    """Yields (time, fields) of every log line; the collector's time if any."""
+    """Yields the time in seconds and the fields of each log line that has an event number."""
     for text in fileinput.input(files):
         at = text.find("{")
         if at < 0:
@@ -35,7 +37,7 @@
         try:
             fields = json.loads(text[at:])
         except ValueError:
-            continue  # another program's line
+            continue  # not a log line of an entry host
         before = text[:at].split()
         try:
             seconds = float(before[0])
@@ -55,7 +57,7 @@
 
 def main():
     args = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    args.add_argument("--step", type=float, default=1.0, help="seconds a row of the table by time")
+    args.add_argument("--step", type=float, default=1.0, help="seconds per row of the table by second")
     args.add_argument("--from", dest="first", type=float, default=float("-inf"))
     args.add_argument("--to", type=float, default=float("inf"))
     args.add_argument("files", nargs="*")
