--- a/internal/soak/reports.go
+++ b/internal/soak/reports.go
@@ -12,113 +12,118 @@
 )
 
 const (
-	// reportPeriods is the longest pause between two upstreams' reports.
-	reportPeriods = 2 * time.Second
-	// reportMost is how long an upstream reports a limit or asks for rests at most.
-	reportMost = 8 * time.Second
-	// restFor is the rest that it asks for.
-	restFor = 3 * time.Second
-	// leavingFor is how long an upstream that reports that it leaves stays.
-	leavingFor = 5 * time.Second
+	// maxReportGap is the longest pause between the starts of two reports.
+	maxReportGap = 2 * time.Second
+	// maxReportTime is the longest time for which an upstream reports a rate limit or
+	// a backoff.
+	maxReportTime = 8 * time.Second
+	// backoffTime is the backoff that upstreams report.
+	backoffTime = 3 * time.Second
+	// leavingTime is how long an upstream reports that it is leaving before it stops.
+	leavingTime = 5 * time.Second
 )
 
-// report is a time for which an upstream's life reported the same.
+// report is a report that an upstream sends in its responses from a time on.
 type report struct {
-	life *life
-	says rangeowner.Report
-	from time.Time
+	inc   *incarnation
+	value rangeowner.Report
+	from  time.Time
 }
 
-// reportsOf names what reports of a place exclude each other by.
-type reportsOf struct{ *place }
+// reportKey marks an endpoint as busy with a report. It differs from the endpoint's own
+// key, so that other faults of the upstream can overlap with the report.
+type reportKey struct{ *endpoint }
 
-// report has upstreams report limits, rests and that they leave until ctx ends. It
-// draws apart from the other faults.
-func (in *injector) report(ctx context.Context, seed uint64) {
+// runReports has random upstreams report rate limits, backoffs and that they are
+// leaving, until ctx ends. It has its own random generator, so the other faults of a
+// seed do not depend on it.
+func (in *injector) runReports(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 8))
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(rng.Int64N(int64(reportPeriods))))
-		p := in.world.places[rng.IntN(len(in.world.places))]
-		d := time.Duration(rng.Int64N(int64(reportMost)))
+		sleep(ctx, time.Duration(rng.Int64N(int64(maxReportGap))))
+		ep := in.env.endpoints[rng.IntN(len(in.env.endpoints))]
+		d := time.Duration(rng.Int64N(int64(maxReportTime)))
 		switch rng.IntN(3) {
 		case 0:
-			in.say(p, rangeowner.Report{RateLimit: 0.5 + 8*rng.Float64()}, d)
+			in.reportFor(ep, rangeowner.Report{RateLimit: 0.5 + 8*rng.Float64()}, d)
 		case 1:
-			in.say(p, rangeowner.Report{Backoff: restFor}, d)
+			in.reportFor(ep, rangeowner.Report{Backoff: backoffTime}, d)
 		case 2:
-			in.leave(p, rng.IntN(2) == 0)
+			in.reportLeaving(ep, rng.IntN(2) == 0)
 		}
 	}
 }
 
-// say has the place's upstream report for a time, or until its life ends.
-func (in *injector) say(p *place, says rangeowner.Report, d time.Duration) {
-	var l *life
-	in.during(fmt.Sprintf("upstream %s reports %+v", p.proxy.Addr(), says), nil, reportsOf{p}, d,
-		func() { l = in.begin(p, says) },
-		func() { l.SetReport(rangeowner.Report{}) })
+// reportFor has the endpoint's current incarnation send a report for a time.
+func (in *injector) reportFor(ep *endpoint, value rangeowner.Report, d time.Duration) {
+	var inc *incarnation
+	in.runFault(fmt.Sprintf("upstream %s reports %+v", ep.proxy.Addr(), value), nil, reportKey{ep}, d,
+		func() { inc = in.startReport(ep, value) },
+		func() { inc.SetReport(rangeowner.Report{}) })
 }
 
-// leave has the place's upstream report that it leaves, and end some time later. Its
-// entry says the same only if listed.
-func (in *injector) leave(p *place, listed bool) {
-	in.during("upstream "+p.proxy.Addr()+" reports that it leaves", nil, p, leavingFor,
+// reportLeaving has the endpoint's current incarnation report that it is leaving, kills
+// it after leavingTime and starts the next one. If listed is set, its entry is marked
+// as leaving, too.
+func (in *injector) reportLeaving(ep *endpoint, listed bool) {
+	in.runFault("upstream "+ep.proxy.Addr()+" reports that it leaves", nil, ep, leavingTime,
 		func() {
-			l := in.begin(p, rangeowner.Report{Leaving: true})
+			inc := in.startReport(ep, rangeowner.Report{Leaving: true})
 			if listed {
-				in.world.list(l, true)
+				in.env.writeEntry(inc, true)
 			}
 		},
 		func() {
-			in.world.unlist(in.world.kill(p))
-			in.revive(p)
+			in.env.expireEntry(in.env.kill(ep))
+			in.startUpstream(ep)
 		})
 }
 
-// begin has the place's present life report something and notes it.
-func (in *injector) begin(p *place, says rangeowner.Report) *life {
-	in.world.mu.Lock()
-	l := p.life
-	in.world.mu.Unlock()
-	l.SetReport(says)
+// startReport has the endpoint's current incarnation send a report and records it.
+func (in *injector) startReport(ep *endpoint, value rangeowner.Report) *incarnation {
+	in.env.mu.Lock()
+	inc := ep.current
+	in.env.mu.Unlock()
+	inc.SetReport(value)
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.reports = append(in.reports, report{l, says, time.Now()})
-	return l
+	in.reports = append(in.reports, report{inc, value, time.Now()})
+	return inc
 }
 
-// checkReports returns the requests that upstreams got despite what they had
-// reported to the hosts that sent them.
+// checkReports returns the requests that hosts sent to upstreams against the reports
+// that they had received from them.
 func (in *injector) checkReports(outcomes []*outcome) (bad []string) {
-	by := map[string]*outcome{}
+	byID := map[string]*outcome{}
 	for _, o := range outcomes {
-		by[o.id] = o
+		byID[o.id] = o
 	}
 	for _, r := range in.reports {
-		all := r.life.Arrivals(r.from, time.Now())
-		for i, a := range all {
-			if a.Report != r.says {
-				all = all[:i]
+		arrivals := r.inc.Arrivals(r.from, time.Now())
+		for i, a := range arrivals {
+			if a.Report != r.value {
+				arrivals = arrivals[:i]
 				break
 			}
 		}
 		switch {
-		case r.says.RateLimit > 0:
-			bad = append(bad, in.checkLimit(r, all, by)...)
-		case r.says.Leaving:
-			bad = append(bad, in.checkLeaving(r, all, by)...)
-		case r.says.Backoff > 0:
-			bad = append(bad, in.checkRest(r, all, by)...)
+		case r.value.RateLimit > 0:
+			bad = append(bad, in.checkRateLimit(r, arrivals, byID)...)
+		case r.value.Leaving:
+			bad = append(bad, in.checkLeaving(r, arrivals, byID)...)
+		case r.value.Backoff > 0:
+			bad = append(bad, in.checkBackoff(r, arrivals, byID)...)
 		}
 	}
 	return bad
 }
 
-// passedOn returns when each host first passed on an answer with the report.
-func passedOn(all []rangeowner.Arrival, by map[string]*outcome) map[*Host]time.Time {
+// firstForwarded returns when each host first forwarded a response with the report to a
+// caller. By then the host has received the report.
+func firstForwarded(arrivals []rangeowner.Arrival, byID map[string]*outcome) map[*Host]time.Time {
 	first := map[*Host]time.Time{}
-	for _, a := range all {
-		o := by[a.ID]
+	for _, a := range arrivals {
+		o := byID[a.ID]
 		if o == nil || o.err != nil || o.status != http.StatusOK {
 			continue
 		}
@@ -129,78 +134,85 @@
 	return first
 }
 
-func (in *injector) checkLimit(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
-	first := passedOn(all, by)
+// checkRateLimit returns a violation if the hosts that have received a rate limit
+// exceed it together.
+func (in *injector) checkRateLimit(r report, arrivals []rangeowner.Arrival, byID map[string]*outcome) (bad []string) {
+	first := firstForwarded(arrivals, byID)
 	var counted []rangeowner.Arrival
-	for _, a := range all {
-		o := by[a.ID]
+	for _, a := range arrivals {
+		o := byID[a.ID]
 		if o == nil {
 			continue
 		}
 		at, ok := first[o.host]
-		if ok && a.At.Sub(at) > rangeowner.ReportGrace && in.untouched(o.host, r.life.place, at, a.At) {
+		if ok && a.At.Sub(at) > rangeowner.ReportGrace && in.hostAndLinkFaultFree(o.host, r.inc.endpoint, at, a.At) {
 			counted = append(counted, a)
 		}
 	}
-	if n, most := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(r.says.RateLimit); n > most {
+	if n, limit := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(r.value.RateLimit); n > limit {
 		bad = append(bad, fmt.Sprintf("%s: LIMIT: %d requests within %v reached %s, which takes %.2f a second; at most %d",
-			r.from.Format(stamp), n, rangeowner.RateLimitWindow, r.life.ID, r.says.RateLimit, most))
+			r.from.Format(timestampFormat), n, rangeowner.RateLimitWindow, r.inc.ID, r.value.RateLimit, limit))
 	}
 	return bad
 }
 
-func (in *injector) checkLeaving(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
-	first := passedOn(all, by)
-	for _, a := range all {
-		o := by[a.ID]
+// checkLeaving returns the requests that began more than DrainGrace after their host had
+// forwarded a report that the upstream is leaving.
+func (in *injector) checkLeaving(r report, arrivals []rangeowner.Arrival, byID map[string]*outcome) (bad []string) {
+	first := firstForwarded(arrivals, byID)
+	for _, a := range arrivals {
+		o := byID[a.ID]
 		if o == nil {
 			continue
 		}
 		at, ok := first[o.host]
-		if ok && o.began.Sub(at) > rangeowner.DrainGrace && in.unstopped(o.host, at, a.At) {
-			bad = append(bad, fmt.Sprintf("%s: DRAIN: %s reached %s through %s %v after that had passed on that it leaves",
-				a.At.Format(stamp), a.ID, r.life.ID, o.host.Name, a.At.Sub(at)))
+		if ok && o.began.Sub(at) > rangeowner.DrainGrace && in.hostProcessFaultFree(o.host, at, a.At) {
+			bad = append(bad, fmt.Sprintf("%s: DRAIN: %s reached %s through %s %v after that host had forwarded its report of leaving",
+				a.At.Format(timestampFormat), a.ID, r.inc.ID, o.host.Name, a.At.Sub(at)))
 		}
 	}
 	return bad
 }
 
-func (in *injector) checkRest(r report, all []rangeowner.Arrival, by map[string]*outcome) (bad []string) {
+// checkBackoff returns the hosts that sent too many requests during a backoff.
+func (in *injector) checkBackoff(r report, arrivals []rangeowner.Arrival, byID map[string]*outcome) (bad []string) {
 	byHost := map[*Host][]rangeowner.Arrival{}
-	for _, a := range all {
-		if o := by[a.ID]; o != nil {
+	for _, a := range arrivals {
+		if o := byID[a.ID]; o != nil {
 			byHost[o.host] = append(byHost[o.host], a)
 		}
 	}
-	for h, its := range byHost {
-		n, asked := rangeowner.BackoffViolation(its, restFor, func(asked, at time.Time) bool { return in.untouched(h, r.life.place, asked, at) })
+	for h, fromHost := range byHost {
+		n, asked := rangeowner.BackoffViolation(fromHost, backoffTime, func(asked, at time.Time) bool { return in.hostAndLinkFaultFree(h, r.inc.endpoint, asked, at) })
 		if n > 0 {
-			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a rest of %v", asked.Format(stamp), n, h.Name, r.life.ID, restFor))
+			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a backoff of %v", asked.Format(timestampFormat), n, h.Name, r.inc.ID, backoffTime))
 		}
 	}
 	return bad
 }
 
-// untouched reports whether no fault touched the host, or the way to the upstream,
-// within a time.
-func (in *injector) untouched(h *Host, p *place, from, to time.Time) bool {
-	return !in.touched(from, to, func(f *fault) bool {
-		return f.host == h || strings.HasSuffix(f.what, "link of upstream "+p.proxy.Addr())
+// hostAndLinkFaultFree reports whether no fault affected the host or the link to the
+// upstream between from and to.
+func (in *injector) hostAndLinkFaultFree(h *Host, ep *endpoint, from, to time.Time) bool {
+	return !in.anyFault(from, to, func(f *fault) bool {
+		return f.host == h || strings.HasSuffix(f.description, "link of upstream "+ep.proxy.Addr())
 	})
 }
 
-// unstopped reports whether the host's process ran all the time.
-func (in *injector) unstopped(h *Host, from, to time.Time) bool {
-	return !in.touched(from, to, func(f *fault) bool { return f.host == h && !strings.Contains(f.what, "link") })
+// hostProcessFaultFree reports whether no fault affected the host's process between
+// from and to. Faults of its links do not count.
+func (in *injector) hostProcessFaultFree(h *Host, from, to time.Time) bool {
+	return !in.anyFault(from, to, func(f *fault) bool { return f.host == h && !strings.Contains(f.description, "link") })
 }
 
-// touched reports whether such a fault was under way within a time.
-func (in *injector) touched(from, to time.Time, such func(*fault) bool) bool {
+// anyFault reports whether a fault for which match returns true lasted at any time
+// between from and to.
+func (in *injector) anyFault(from, to time.Time, match func(*fault) bool) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, f := range in.faults {
 		over := !f.to.IsZero() && f.to.Before(from)
-		if !over && !f.from.After(to) && such(f) {
+		if !over && !f.from.After(to) && match(f) {
 			return true
 		}
 	}
