--- a/internal/entryhost/calls.go
+++ b/internal/entryhost/actions.go
@@ -19,7 +19,7 @@
 	case *planner.AcquireLease:
 		go func() {
 			held, err := c.elector.tryAcquireOrRenew(ctx, a.TTL)
-			c.post(ctx, func() { c.plan.AcquireLeaseDone(a, held, err, c.clock()) })
+			c.post(ctx, func() { c.planner.AcquireLeaseDone(a, held, err, c.clock()) })
 		}()
 	case *planner.ReleaseLease:
 		go func() {
@@ -37,19 +37,19 @@
 			if err != nil {
 				c.zl.Debug("planner before does not answer", zap.Int("event", events.PreviousPlannerUnreachable), zap.String("peer", a.Host), ErrorField(err))
 			}
-			c.post(ctx, func() { c.plan.RetireDone(a, host, retired, c.clock()) })
+			c.post(ctx, func() { c.planner.RetireDone(a, host, retired, c.clock()) })
 		}()
 	case *planner.Grant:
 		go func() {
 			err := c.grant(ctx, a)
-			c.post(ctx, func() { c.plan.GrantDone(a, err, c.clock()) })
+			c.post(ctx, func() { c.planner.GrantDone(a, err, c.clock()) })
 		}()
 	case *planner.Release:
 		go func() {
 			rctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 			token, err := c.granter.Release(rctx, a.Addr, a.Range)
 			cancel()
-			c.post(ctx, func() { c.plan.ReleaseDone(a, token, err, c.clock()) })
+			c.post(ctx, func() { c.planner.ReleaseDone(a, token, err, c.clock()) })
 		}()
 	}
 }
@@ -72,7 +72,7 @@
 		end, err = c.store.AppendAt(ctx, metastore.StreamOwnership, a.Table.Service, data, a.ExpectedOffset)
 	}
 	c.post(ctx, func() {
-		t := c.plan.AppendDone(a, end, err, c.clock())
+		t := c.planner.AppendDone(a, end, err, c.clock())
 		if t == nil {
 			return
 		}
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -76,7 +76,7 @@
 	elector *plannerElector
 	retirer Retirer
 	views   *view.Publisher
-	plan    *planner.Planner
+	planner *planner.Planner
 	loads   *keyload.Estimator
 	clock   bootclock.Clock
 	// lastRun is when this goroutine last ran.
@@ -105,8 +105,8 @@
 	ownershipHistory ownershipHistory
 	// candidate hosts are strong enough to plan and to relay.
 	candidate bool
-	// planning tells other goroutines whether this host is the planner.
-	planning atomic.Bool
+	// isPlanner tells other goroutines whether this host is the planner.
+	isPlanner atomic.Bool
 	// soleWriter tells them whether it is the only one that writes the
 	// ownership stream, which need not be read then.
 	soleWriter atomic.Bool
@@ -117,25 +117,25 @@
 
 func newController(zl *zap.Logger, store metastore.Store, dec Decoder, granter Granter, views *view.Publisher, opts planner.Options,
 	evacuateBound time.Duration) *controller {
-	c := &controller{zl: zl, store: store, decoder: dec, granter: granter, views: views, plan: planner.New(opts), candidate: opts.Candidate,
+	c := &controller{zl: zl, store: store, decoder: dec, granter: granter, views: views, planner: planner.New(opts), candidate: opts.Candidate,
 		elector: newPlannerElector(store, opts.Host), loads: keyload.New(), clock: bootclock.Now, inbox: make(chan func(), 256),
 		registry: newUpstreamRegistry(zl), evacuations: newEvacuations(evacuateBound), streamLostSince: map[metastore.Stream]time.Time{}, replica: relay.NewReplica(), feedback: feedback.NewTracker()}
-	c.plan.Load = func(service string, owners []*catalogue.Upstream) (ownership.Load, float64) {
+	c.planner.Load = func(service string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		load, samples := c.loads.Load(service, owners, time.Now())
 		if samples > 0 { // before, capacities are not in requests a second
 			applyReportedLimits(&load, owners, c.feedback, time.Now())
 		}
 		return load, samples
 	}
-	c.plan.OnEvent = c.logPlannerEvent
-	c.plan.Cold = c.cold
+	c.planner.OnEvent = c.logPlannerEvent
+	c.planner.Cold = c.isCold
 	c.candidateAlive = func() bool { return false }
 	return c
 }
 
-// cold reports whether an upstream is in its slow start and bears only so many
+// isCold reports whether an upstream is in its slow start and bears only so many
 // requests meanwhile.
-func (c *controller) cold(u *catalogue.Upstream) bool {
+func (c *controller) isCold(u *catalogue.Upstream) bool {
 	return c.slowStart(u.Service).PerSecond > 0 && u.Cold(time.Now())
 }
 
@@ -177,14 +177,14 @@
 			last = time.Now()
 			c.detectStall()
 			c.tick(ctx)
-			t.Reset(c.pause())
+			t.Reset(c.nextTickDelay())
 		}
 	}
 }
 
 // stalled is how long this goroutine must not have run for the host to have
 // stood still: undisturbed it runs every tickOther.
-const stalled = time.Second
+const stallThreshold = time.Second
 
 // detectStall notes that the host stood still. What the log service went
 // through meanwhile is unknown: a host that slept through an outage found the
@@ -192,7 +192,7 @@
 // every key.
 func (c *controller) detectStall() {
 	now := c.clock()
-	if stood := now.Sub(c.lastRun); c.lastRun != 0 && stood > stalled {
+	if stood := now.Sub(c.lastRun); c.lastRun != 0 && stood > stallThreshold {
 		c.logRecoveredAt = time.Now()
 		c.replica.RecordLogFailure(c.logRecoveredAt)
 		c.zl.Warn("host stood still", zap.Int("event", events.HostStalled), zap.Duration("age", stood))
@@ -212,8 +212,8 @@
 	}
 }
 
-func (c *controller) pause() time.Duration {
-	if c.plan.HoldsLease(c.clock()) {
+func (c *controller) nextTickDelay() time.Duration {
+	if c.planner.HoldsLease(c.clock()) {
 		return plannerTickInterval
 	}
 	if _, lost := c.streamLostSince[metastore.StreamUpstreams]; lost {
@@ -224,18 +224,18 @@
 
 func (c *controller) tick(ctx context.Context) {
 	now := c.clock()
-	if c.plan.ShouldStepDown(now) && c.candidateAlive() {
-		c.plan.StepDown(now)
+	if c.planner.ShouldStepDown(now) && c.candidateAlive() {
+		c.planner.StepDown(now)
 	}
-	c.planning.Store(c.plan.HoldsLease(now))
-	c.soleWriter.Store(c.plan.SoleWriter(now))
+	c.isPlanner.Store(c.planner.HoldsLease(now))
+	c.soleWriter.Store(c.planner.SoleWriter(now))
 	_, lost := c.streamLostSince[metastore.StreamUpstreams]
 	wall := time.Now()
 	settled := c.registry.expireSuspects(lost, wall)
 	if c.evacuations.confirmEntriesRead(c.replica.CurrentAt(metastore.StreamUpstreams), wall) || settled {
 		c.publishUpstreams()
 	}
-	for _, a := range c.plan.Tick(now, c.views.Load()) {
+	for _, a := range c.planner.Tick(now, c.views.Load()) {
 		c.execute(ctx, a)
 	}
 }
@@ -243,59 +243,59 @@
 // newStreamReaders returns the readers of the log service's streams, that of the
 // ownership stream by itself.
 func (c *controller) newStreamReaders(ctx context.Context) (own *streamReader, rest []*streamReader) {
-	h := &health{}
+	h := &logHealth{}
 	mk := func(s metastore.Stream, gather func() time.Duration) *streamReader {
-		return &streamReader{store: c.store, stream: s, batchDelay: gather, replica: c.replica, maxWait: func() time.Duration { return c.readWait(s) }, health: h,
-			probes:   s == metastore.StreamUpstreams,
+		return &streamReader{store: c.store, stream: s, batchDelay: gather, replica: c.replica, maxWait: func() time.Duration { return c.longPollWait(s) }, health: h,
+			isProbe:  s == metastore.StreamUpstreams,
 			apply:    func(b relay.Batch) { c.applyAndWait(ctx, b) },
 			onResult: func(err error) { c.post(ctx, func() { c.onStreamResult(s, err) }) }}
 	}
 	atOnce := func() time.Duration { return 0 }
 	own = mk(metastore.StreamOwnership, atOnce)
 	own.skip = c.soleWriter.Load
-	ends := mk(metastore.StreamCrashes, c.gatherEnds)
-	ends.startDelay = c.beforeCrashes
+	ends := mk(metastore.StreamCrashes, c.crashBatchDelay)
+	ends.startDelay = c.crashReadStartDelay
 	return own, []*streamReader{
 		mk(metastore.StreamDesired, atOnce),
-		mk(metastore.StreamUpstreams, c.gatherUpstreams),
+		mk(metastore.StreamUpstreams, c.upstreamBatchDelay),
 		ends,
 	}
 }
 
-// beforeCrashes is the pause before servers' ends are read from the log service
+// crashReadStartDelay is the pause before servers' ends are read from the log service
 // itself. A host that has just started mostly finds a planner meanwhile, whose
 // copy carries them; the planner, and a host that has lost it, wait for nothing.
-func (c *controller) beforeCrashes() time.Duration {
-	if c.planning.Load() || c.replica.NextOffset(metastore.StreamCrashes) >= 0 {
+func (c *controller) crashReadStartDelay() time.Duration {
+	if c.isPlanner.Load() || c.replica.NextOffset(metastore.StreamCrashes) >= 0 {
 		return 0
 	}
 	return firstStartDiscoveryTimeout
 }
 
-// gatherEnds is the pause after a read that returned servers' ends. One record
+// crashBatchDelay is the pause after a read that returned servers' ends. One record
 // of them is acted on within seconds, and while many servers end every host
 // writes some: read one by one, a cut cost each host hundreds of calls.
-func (c *controller) gatherEnds() time.Duration {
-	if c.planning.Load() {
+func (c *controller) crashBatchDelay() time.Duration {
+	if c.isPlanner.Load() {
 		return crashBatchDelayPlanner
 	}
 	return crashBatchDelayDirect
 }
 
-// gatherUpstreams is the pause after a read that returned upstreams' records.
-func (c *controller) gatherUpstreams() time.Duration {
-	if c.planning.Load() {
+// upstreamBatchDelay is the pause after a read that returned upstreams' records.
+func (c *controller) upstreamBatchDelay() time.Duration {
+	if c.isPlanner.Load() {
 		return upstreamBatchDelayPlanner
 	}
 	return upstreamBatchDelayDirect
 }
 
-// readWait is how long the next read of a stream may wait for a record. The copy
+// longPollWait is how long the next read of a stream may wait for a record. The copy
 // of the planner, and of the strong hosts that others go on to follow when it is
 // lost, is never known to be older than planningWait, also where it was older
 // when the seat came here.
-func (c *controller) readWait(s metastore.Stream) time.Duration {
-	if !(c.planning.Load() || c.candidate) || s == metastore.StreamCrashes {
+func (c *controller) longPollWait(s metastore.Stream) time.Duration {
+	if !(c.isPlanner.Load() || c.candidate) || s == metastore.StreamCrashes {
 		return directLongPoll // the age of the planner's copy does not count it
 	}
 	return min(max(plannerLongPoll-time.Since(c.replica.CurrentAt(s)), 0), plannerLongPoll)
@@ -303,7 +303,7 @@
 
 // wasCut is for how long the planner must have reached the log service for a
 // break that this host saw to be its own: no outage, in which entries lapse.
-const wasCut = 4 * time.Second
+const minLogReachableFor = 4 * time.Second
 
 // onPlannerFollowed notes that the planner's copy is relied on, so that what
 // this host knows of the log service itself no longer counts. If the log
@@ -314,8 +314,8 @@
 	for s := range c.streamLostSince {
 		c.onStreamResult(s, nil)
 	}
-	c.plan.PlannerSeen(c.clock())
-	if steady < wasCut {
+	c.planner.PlannerSeen(c.clock())
+	if steady < minLogReachableFor {
 		return
 	}
 	c.logRecoveredAt = time.Time{}
@@ -336,7 +336,7 @@
 		c.zl.Warn("log service's stream lost", zap.Int("event", events.StreamLost), zap.String("stream", string(s)), ErrorField(err))
 	case err == nil && was:
 		delete(c.streamLostSince, s)
-		c.plan.LogReconnected(c.clock())
+		c.planner.LogReconnected(c.clock())
 		if now := time.Now(); now.Sub(c.logRecoveredAt) > relistGracePeriod {
 			c.logRecoveredAt = now
 		}
@@ -349,6 +349,6 @@
 // rather than when this one's time to live has run out.
 func (c *controller) resign(ctx context.Context) {
 	c.post(ctx, func() {
-		c.plan.Resign()
+		c.planner.Resign()
 	})
 }
--- a/internal/entryhost/crashlog.go
+++ b/internal/entryhost/crashlog.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// gatherEnds is the pause before ends are written, so that those of one
+	// crashWriteDelay is the pause before ends are written, so that those of one
 	// moment cost one call, and it is known whether they have a common cause.
-	gatherEnds = time.Second
+	crashWriteDelay = time.Second
 	// Pauses after a write that failed. Hosts have three seconds after the end
 	// of an outage to act on what they know.
-	retryEndsFirst = 200 * time.Millisecond
-	retryEndsMost  = time.Second
-	// expireEvery is how often ends that no longer count are looked for. They
+	minCrashWriteRetryDelay = 200 * time.Millisecond
+	maxCrashWriteRetryDelay = time.Second
+	// crashExpiryInterval is how often ends that no longer count are looked for. They
 	// count for a day.
-	expireEvery = time.Minute
+	crashExpiryInterval = time.Minute
 )
 
 // crashLog shares with the other hosts which requests end their servers. Each
@@ -29,33 +29,33 @@
 // host that starts has seen none; so they are kept in the log service, where
 // the planner's copy of it carries them to every host.
 type crashLog struct {
-	zl     *zap.Logger
-	store  metastore.Store
-	ledger *crashes.Tracker
-	// planning reports whether this host has records deleted that no longer
+	zl      *zap.Logger
+	store   metastore.Store
+	tracker *crashes.Tracker
+	// isPlanner reports whether this host has records deleted that no longer
 	// count.
-	planning func() bool
+	isPlanner func() bool
 }
 
 func newCrashLog(zl *zap.Logger, store metastore.Store, planning func() bool) *crashLog {
-	l := &crashLog{zl: zl, store: store, planning: planning}
-	l.ledger = crashes.NewTracker(l.refusing)
-	l.ledger.AllowTrialsIf(planning)
+	l := &crashLog{zl: zl, store: store, isPlanner: planning}
+	l.tracker = crashes.NewTracker(l.onFingerprintRefused)
+	l.tracker.AllowTrialsIf(planning)
 	return l
 }
 
 // run writes what this host saw until ctx ends.
 func (l *crashLog) run(ctx context.Context) {
-	t := time.NewTicker(expireEvery)
+	t := time.NewTicker(crashExpiryInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-t.C:
-			l.ledger.Expire(now, l.planning())
-		case <-l.ledger.PendingC():
-			sleep(ctx, gatherEnds)
+			l.tracker.Expire(now, l.isPlanner())
+		case <-l.tracker.PendingC():
+			sleep(ctx, crashWriteDelay)
 			l.write(ctx)
 		}
 	}
@@ -65,20 +65,20 @@
 // answer may take effect all the same, or later: an end that is written twice
 // is one end.
 func (l *crashLog) write(ctx context.Context) {
-	backoff := retryEndsFirst
+	backoff := minCrashWriteRetryDelay
 	for ctx.Err() == nil {
-		changes := l.ledger.Pending()
+		changes := l.tracker.Pending()
 		if len(changes) == 0 {
 			return
 		}
 		err := l.append(ctx, changes)
 		if err == nil {
-			l.ledger.MarkWritten(changes)
+			l.tracker.MarkWritten(changes)
 			continue
 		}
 		l.zl.Warn("servers' ends not written; tried again", zap.Int("event", events.CrashWriteFailed), zap.Int("records", len(changes)), ErrorField(err))
 		sleep(ctx, backoff)
-		backoff = min(backoff*2, retryEndsMost)
+		backoff = min(backoff*2, maxCrashWriteRetryDelay)
 	}
 }
 
@@ -114,16 +114,16 @@
 			ends = append(ends, c.Crash)
 			continue
 		}
-		l.ledger.Apply(c)
+		l.tracker.Apply(c)
 	}
 	if reset {
-		l.ledger.Replace(ends)
+		l.tracker.Replace(ends)
 		l.zl.Info("servers' ends read", zap.Int("event", events.CrashRecordsRead), zap.Int("records", len(ends)))
 	}
 }
 
-// refusing logs that a content is refused from now on.
-func (l *crashLog) refusing(c crashes.Fingerprint) {
+// onFingerprintRefused logs that a content is refused from now on.
+func (l *crashLog) onFingerprintRefused(c crashes.Fingerprint) {
 	l.zl.Warn("requests like this end their servers; they are refused", zap.Int("event", events.FingerprintRefused), zap.String("content", string(c)),
-		zap.Strings("peers", l.ledger.CrashedServers(c)), zap.Duration("refused_for", l.ledger.RefusedFor(c, time.Now())))
+		zap.Strings("peers", l.tracker.CrashedServers(c)), zap.Duration("refused_for", l.tracker.RefusedFor(c, time.Now())))
 }
--- a/internal/entryhost/seat.go
+++ b/internal/entryhost/elector.go
@@ -19,30 +19,30 @@
 // two to give one up, and none of the 13 happened; mean worth of five days of
 // trouble, three seeds each, 0.774 before and 0.781 with it (and with lost
 // owners getting keys again after one second).
-const memberships = 2
+const groupMembersPerHost = 2
 
 // alone is the number of hosts from which on one membership each is enough.
-const singleMembershipFleetSize = 24
+const singleMemberFleetSize = 24
 
 // plannerElector seeks the seat under several names.
 type plannerElector struct {
 	store metastore.Store
-	// names are the memberships', generations what the group last told each.
-	names       []string
+	// memberNames are the memberships', generations what the group last told each.
+	memberNames []string
 	generations []int64
 	// fleetSize returns how many hosts there are.
 	fleetSize func() int
 }
 
 func newPlannerElector(store metastore.Store, host string) *plannerElector {
-	return &plannerElector{store: store, names: []string{host, host + "/2"}, generations: make([]int64, memberships),
+	return &plannerElector{store: store, memberNames: []string{host, host + "/2"}, generations: make([]int64, groupMembersPerHost),
 		fleetSize: func() int { return 1 }}
 }
 
 // tryAcquireOrRenew seeks the seat, or proves it, and reports whether this host holds it.
 // It must not be called twice at once.
 func (s *plannerElector) tryAcquireOrRenew(ctx context.Context, ttl time.Duration) (held bool, err error) {
-	for i, name := range s.wanted() {
+	for i, name := range s.activeMemberNames() {
 		seat, err := s.store.JoinElection(ctx, name, ttl, s.generations[i])
 		if err != nil {
 			return false, err
@@ -55,17 +55,17 @@
 	return false, nil
 }
 
-// wanted returns the names under which the seat is sought now.
-func (s *plannerElector) wanted() []string {
-	if s.fleetSize() >= singleMembershipFleetSize {
-		return s.names[:1]
+// activeMemberNames returns the names under which the seat is sought now.
+func (s *plannerElector) activeMemberNames() []string {
+	if s.fleetSize() >= singleMemberFleetSize {
+		return s.memberNames[:1]
 	}
-	return s.names
+	return s.memberNames
 }
 
 // release ends all memberships.
 func (s *plannerElector) release(ctx context.Context) error {
-	for _, name := range s.names {
+	for _, name := range s.memberNames {
 		if err := s.store.LeaveElection(ctx, name); err != nil {
 			return err
 		}
--- a/internal/entryhost/evacuate.go
+++ b/internal/entryhost/evacuate.go
@@ -15,30 +15,30 @@
 	// evacuation: it may have read the order 1.8 s after it was given, and a
 	// request may wait half its objective for its turn.
 	evacuationMargin = 2500 * time.Millisecond
-	// unsureAfter is how long after a data centre is taken back its upstreams
+	// assumedColdFor is how long after a data centre is taken back its upstreams
 	// are taken for cold: they may have become so meanwhile, and write their
 	// entries once a heartbeat. Sent their usual share at once, they ended.
-	unsureAfter = 2 * time.Second
-	// writtenWithin is how long after it is taken back an upstream's entry tells
+	assumedColdFor = 2 * time.Second
+	// maxEntryDelay is how long after it is taken back an upstream's entry tells
 	// at the latest whether it is cold.
-	writtenWithin = time.Second
+	maxEntryDelay = time.Second
 )
 
 // evacuations are the data centres that operators have evacuated. A data centre
 // without an entry was never heard of.
 type evacuations struct {
-	// bound is the time from the order to the last request.
-	bound time.Duration
+	// timeout is the time from the order to the last request.
+	timeout time.Duration
 	// leaveBy is when the last request may be sent to an evacuated data centre,
 	// backAt when one was taken back.
-	leaveBy, backAt map[string]time.Time
-	// read are those that were taken back and whose upstreams' entries have been
+	leaveBy, endedAt map[string]time.Time
+	// entriesRead are those that were taken back and whose upstreams' entries have been
 	// read since.
-	read map[string]bool
+	entriesRead map[string]bool
 }
 
 func newEvacuations(bound time.Duration) *evacuations {
-	return &evacuations{bound: bound, leaveBy: map[string]time.Time{}, backAt: map[string]time.Time{}, read: map[string]bool{}}
+	return &evacuations{timeout: bound, leaveBy: map[string]time.Time{}, endedAt: map[string]time.Time{}, entriesRead: map[string]bool{}}
 }
 
 // begin takes note of an evacuation. A host that reads of it at its start, or
@@ -48,10 +48,10 @@
 	if _, known := e.leaveBy[dataCentre]; known {
 		return false
 	}
-	delete(e.backAt, dataCentre)
+	delete(e.endedAt, dataCentre)
 	e.leaveBy[dataCentre] = now
 	if !old {
-		e.leaveBy[dataCentre] = now.Add(max(e.bound-evacuationMargin, 0))
+		e.leaveBy[dataCentre] = now.Add(max(e.timeout-evacuationMargin, 0))
 	}
 	return true
 }
@@ -62,17 +62,17 @@
 		return false
 	}
 	delete(e.leaveBy, dataCentre)
-	e.backAt[dataCentre] = now
-	delete(e.read, dataCentre)
+	e.endedAt[dataCentre] = now
+	delete(e.entriesRead, dataCentre)
 	return true
 }
 
 // confirmEntriesRead takes note that all entries were read that upstreams had written by the
 // given time. It reports whether that says more of a data centre taken back.
 func (e *evacuations) confirmEntriesRead(written, now time.Time) (changed bool) {
-	for dc, back := range e.backAt {
-		if !e.read[dc] && now.Sub(back) >= unsureAfter && written.Sub(back) >= writtenWithin {
-			e.read[dc], changed = true, true
+	for dc, back := range e.endedAt {
+		if !e.entriesRead[dc] && now.Sub(back) >= assumedColdFor && written.Sub(back) >= maxEntryDelay {
+			e.entriesRead[dc], changed = true, true
 		}
 	}
 	return changed
@@ -82,14 +82,14 @@
 // it. While its entry cannot be read it may be cold for all of that time.
 func (e *evacuations) annotate(u *catalogue.Upstream, slowStart time.Duration) *catalogue.Upstream {
 	by, evacuated := e.leaveBy[u.DataCentre]
-	back, was := e.backAt[u.DataCentre]
+	back, was := e.endedAt[u.DataCentre]
 	if !evacuated && !was {
 		return u
 	}
 	marked := *u
 	marked.LeaveBy = by
-	unsure := back.Add(unsureAfter)
-	if !e.read[u.DataCentre] {
+	unsure := back.Add(assumedColdFor)
+	if !e.entriesRead[u.DataCentre] {
 		unsure = unsure.Add(slowStart)
 	}
 	if was && unsure.After(marked.SlowUntil) {
@@ -109,15 +109,15 @@
 		switch {
 		case !ok:
 		case rec.Value == nil:
-			changed = c.takeBack(dc, now) || changed
+			changed = c.endEvacuation(dc, now) || changed
 		default:
 			listed[dc] = true
-			changed = c.evacuate(dc, reset, now) || changed
+			changed = c.beginEvacuation(dc, reset, now) || changed
 		}
 	}
 	for dc := range c.evacuations.leaveBy {
 		if reset && !listed[dc] {
-			changed = c.takeBack(dc, now) || changed
+			changed = c.endEvacuation(dc, now) || changed
 		}
 	}
 	if changed {
@@ -125,7 +125,7 @@
 	}
 }
 
-func (c *controller) evacuate(dataCentre string, old bool, now time.Time) bool {
+func (c *controller) beginEvacuation(dataCentre string, old bool, now time.Time) bool {
 	if !c.evacuations.begin(dataCentre, old, now) {
 		return false
 	}
@@ -134,7 +134,7 @@
 	return true
 }
 
-func (c *controller) takeBack(dataCentre string, now time.Time) bool {
+func (c *controller) endEvacuation(dataCentre string, now time.Time) bool {
 	if !c.evacuations.end(dataCentre, now) {
 		return false
 	}
--- a/internal/entryhost/feed_test.go
+++ b/internal/entryhost/feed_test.go
@@ -14,7 +14,7 @@
 func TestSilentPlannerIsNoticedInTime(t *testing.T) {
 	for name, age := range map[string]time.Duration{
 		"planner":             maxReplicaAge + followTimeout,
-		"relay":               maxRelayedReplicaAge + relayTimeout,
+		"relay":               maxRelayedReplicaAge + relayFollowTimeout,
 		"planner not found":   directReadAge + plannerRetryInterval,
 		"log read by the way": directLongPoll,
 	} {
--- a/internal/entryhost/feedback.go
+++ b/internal/entryhost/feedback.go
@@ -23,9 +23,9 @@
 var reportedLimitBounds = ratelimit.Bounds{Factor: 1.5, Slack: 5, Window: 4 * time.Second}
 
 var (
-	upstreamReports = metrics.NewCounter(`papayatide_upstream_reports_total`)
-	leaveAsked      = metrics.NewCounter(`papayatide_leave_asked_total`)
-	leaveUnanswered = metrics.NewCounter(`papayatide_leave_unanswered_total`)
+	upstreamReports      = metrics.NewCounter(`papayatide_upstream_reports_total`)
+	permitRequests       = metrics.NewCounter(`papayatide_leave_asked_total`)
+	failedPermitRequests = metrics.NewCounter(`papayatide_leave_unanswered_total`)
 )
 
 // onUpstreamReport takes in a change of what an upstream reports of itself.
@@ -35,7 +35,7 @@
 		zap.Float64("limit", c.RateLimit), zap.Float64("limit_before", c.PreviousRateLimit), zap.Bool("leaving", c.Leaving),
 		zap.Duration("rest", c.Backoff), zap.Bool("ended", !c.CrashedAt.IsZero()), zap.String("from", c.From))
 	if !c.CrashedAt.IsZero() {
-		h.board.RecordCrash(c.Upstream, c.CrashedAt)
+		h.picker.RecordCrash(c.Upstream, c.CrashedAt)
 	}
 	if c.Leaving {
 		h.controller.post(ctx, h.controller.publishUpstreams)
@@ -44,7 +44,7 @@
 
 // leavingMargin is how much sooner than its bound the last request is sent to an
 // upstream that has reported that it leaves, for the way there.
-const leavingMargin = 300 * time.Millisecond
+const drainMargin = 300 * time.Millisecond
 
 // markLeaving returns the upstream with what its answers say of its leaving. What
 // the log says of it may be older.
@@ -55,7 +55,7 @@
 	}
 	marked := *u
 	marked.ReportedLeaving = true
-	if by := since.Add(max(c.drainTimeout-leavingMargin, 0)); marked.LeaveBy.IsZero() || by.Before(marked.LeaveBy) {
+	if by := since.Add(max(c.drainTimeout-drainMargin, 0)); marked.LeaveBy.IsZero() || by.Before(marked.LeaveBy) {
 		marked.LeaveBy = by
 	}
 	return &marked
@@ -70,21 +70,21 @@
 	if g, ok := h.issuePermits(upstream, perSecond, want); ok {
 		return g, nil
 	}
-	leaveAsked.Inc()
+	permitRequests.Inc()
 	addr := h.plannerAddr()
 	if addr == "" {
 		return ratelimit.Permit{}, errNoPlanner
 	}
 	g, err := h.peers.AcquirePermits(ctx, addr, upstream, perSecond, want)
 	if err != nil {
-		leaveUnanswered.Inc()
+		failedPermitRequests.Inc()
 	}
 	return g, err
 }
 
 // issuePermits gives leave to send to an upstream with a rate limit, if this host plans.
 func (h *host) issuePermits(upstream string, perSecond float64, want int) (ratelimit.Permit, bool) {
-	if !h.controller.planning.Load() {
+	if !h.controller.isPlanner.Load() {
 		return ratelimit.Permit{}, false
 	}
 	return h.allocator.Take(upstream, perSecond, want, time.Now()), true
@@ -94,24 +94,24 @@
 	// minBackoffHosts is how many hosts an owner must have asked for a rest for its
 	// keys to move; one alone may have sent it too much.
 	minBackoffHosts = 2
-	// restingRate is the rate, in requests a second, that a resting owner counts
+	// backoffCapacity is the rate, in requests a second, that a resting owner counts
 	// with.
-	restingRate = 0.1
-	// restingMost is the part of the owners above which resting ones keep their
+	backoffCapacity = 0.1
+	// maxBackoffFraction is the part of the owners above which resting ones keep their
 	// keys, unless it is one alone: the whole service lacks room, and the others
 	// could not take them.
-	restingMost = 0.25
+	maxBackoffFraction = 0.25
 )
 
 // unconfirmed is how long after the last answer that named a limit an owner is
 // expected to do more again, as it may get too few requests to report the end: twice
 // the limit, four times after as long again, and so on.
-const unconfirmed = 2 * time.Second
+const limitDoublingInterval = 2 * time.Second
 
-// expected returns the rate, in requests a second, that an owner with a limit is
+// expectedCapacity returns the rate, in requests a second, that an owner with a limit is
 // expected to take.
-func expected(limit float64, age time.Duration) float64 {
-	return limit * math.Exp2(float64(age/unconfirmed))
+func expectedCapacity(limit float64, age time.Duration) float64 {
+	return limit * math.Exp2(float64(age/limitDoublingInterval))
 }
 
 // applyReportedLimits lowers owners' capacities to the rate limits that they report, and
@@ -127,15 +127,15 @@
 			load.Refill[u.ID] = true
 		}
 		if s.RateLimit > 0 {
-			most[u.ID] = expected(s.RateLimit, s.RateLimitAge)
+			most[u.ID] = expectedCapacity(s.RateLimit, s.RateLimitAge)
 		}
 		if s.BackoffHosts >= minBackoffHosts {
 			resting = append(resting, u.ID)
 		}
 	}
-	if float64(len(resting)) <= max(1, restingMost*float64(len(owners))) {
+	if float64(len(resting)) <= max(1, maxBackoffFraction*float64(len(owners))) {
 		for _, id := range resting {
-			most[id] = restingRate
+			most[id] = backoffCapacity
 		}
 	}
 	if len(most) > 0 {
--- a/internal/entryhost/gauges.go
+++ b/internal/entryhost/gauges.go
@@ -16,7 +16,7 @@
 	}
 	metrics.WriteGaugeFloat64(w, "papayatide_view_age_seconds", h.controller.replica.Age(now).Seconds())
 	metrics.WriteGaugeUint64(w, "papayatide_hosts", uint64(h.fleet.Size(now)))
-	metrics.WriteGaugeUint64(w, "papayatide_planning", asNumber(h.controller.planning.Load()))
+	metrics.WriteGaugeUint64(w, "papayatide_planning", boolToUint64(h.controller.isPlanner.Load()))
 	metrics.WriteCounterUint64(w, "papayatide_log_lines_dropped_total", uint64(h.plat.LogDropped()))
 	for service, t := range h.views.Load().Tables {
 		owned := 0
@@ -30,7 +30,7 @@
 		metrics.WriteGaugeUint64(w, "papayatide_owned_ranges"+label, uint64(owned))
 		metrics.WriteGaugeUint64(w, "papayatide_lost_owners"+label, uint64(len(t.Lost)))
 	}
-	known, refused := h.controller.crashes.ledger.Counts()
+	known, refused := h.controller.crashes.tracker.Counts()
 	metrics.WriteGaugeUint64(w, "papayatide_contents_with_ends", uint64(known))
 	metrics.WriteGaugeUint64(w, "papayatide_contents_refused", uint64(refused))
 	limited, leaving := h.feedback.Counts()
@@ -41,7 +41,7 @@
 	}
 }
 
-func asNumber(b bool) uint64 {
+func boolToUint64(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -75,29 +75,29 @@
 }
 
 const (
-	// noticed is how long after it reports unready a stopping host keeps
+	// readinessPropagationDelay is how long after it reports unready a stopping host keeps
 	// taking connections: the platform asks once a second and takes a host
 	// out after two misses.
-	noticed = 2300 * time.Millisecond
-	// stopMargin is left of the grace period for the process to end, and
+	readinessPropagationDelay = 2300 * time.Millisecond
+	// shutdownMargin is left of the grace period for the process to end, and
 	// answerMargin for the last answers to be written before that.
-	stopMargin   = 400 * time.Millisecond
-	answerMargin = 300 * time.Millisecond
-	// callerIdle is how long callers' idle connections are kept. It is over
+	shutdownMargin      = 400 * time.Millisecond
+	responseWriteMargin = 300 * time.Millisecond
+	// callerIdleTimeout is how long callers' idle connections are kept. It is over
 	// every idle time that callers are told.
-	callerIdle = 75 * time.Second
-	// headerTimeout bounds how long a caller takes for its headers.
-	headerTimeout = 5 * time.Second
-	headerBytes   = 64 << 10
-	pruneEvery    = time.Second
+	callerIdleTimeout = 75 * time.Second
+	// readHeaderTimeout bounds how long a caller takes for its headers.
+	readHeaderTimeout = 5 * time.Second
+	maxHeaderBytes    = 64 << 10
+	housekeepInterval = time.Second
 	// gcPercent trades a little processor time for memory, which is priced.
 	gcPercent = 50
-	// memoryShare of the allowance makes the collector work harder.
-	memoryShare = 0.8
-	// assumedHosts is the least number of hosts that the fixed part of the
+	// memoryLimitFraction of the allowance makes the collector work harder.
+	memoryLimitFraction = 0.8
+	// minAssumedHosts is the least number of hosts that the fixed part of the
 	// repeat budget is divided by: for the time in which the fleet's size is
 	// not known yet.
-	assumedHosts = 16
+	minAssumedHosts = 16
 )
 
 type host struct {
@@ -107,7 +107,7 @@
 	controller *controller
 	dispatch   *dispatch.Dispatcher
 	client     *upstream.Client
-	board      *balance.Picker
+	picker     *balance.Picker
 	budget     *budget.Budget
 	feedback   *feedback.Tracker
 	// allocator divides upstreams' rate limits among the hosts while this one plans.
@@ -120,11 +120,11 @@
 	loadSampler        *loadSampler
 	inFlightAggregator *inFlightAggregator
 	plat               Platform
-	front              *http.Server
+	callerServer       *http.Server
 	stopping           atomic.Bool
 	inFlight           atomic.Int64
-	// dropped is how many dropped log lines were told of.
-	dropped int64
+	// reportedDroppedLines is how many dropped log lines were told of.
+	reportedDroppedLines int64
 }
 
 // Run serves until ctx ends or a part fails. The end of ctx is a planned
@@ -133,7 +133,7 @@
 // value from reload replaces the settings that can change at run time.
 func Run(ctx context.Context, cfg *settings.EntryHost, plat Platform, reload <-chan *settings.EntryHost, zl *zap.Logger) error {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	h := newHost(cfg, plat, zl)
 	var g run.Group
 	work, cancel := context.WithCancel(context.Background())
@@ -159,14 +159,14 @@
 }
 
 func newHost(cfg *settings.EntryHost, plat Platform, zl *zap.Logger) *host {
-	h := &host{cfg: cfg, zl: zl, views: view.NewPublisher(), client: upstream.NewClient(plat.Headers), board: balance.NewPicker(cfg.Host),
-		budget: budget.New(shareOfBudget(cfg, 1), time.Now()), loadSampler: newLoadSampler(), allocator: ratelimit.NewAllocator(), plat: plat, fleet: fleet.New(cfg.DataCentre),
+	h := &host{cfg: cfg, zl: zl, views: view.NewPublisher(), client: upstream.NewClient(plat.Headers), picker: balance.NewPicker(cfg.Host),
+		budget: budget.New(hostBudgetLimits(cfg, 1), time.Now()), loadSampler: newLoadSampler(), allocator: ratelimit.NewAllocator(), plat: plat, fleet: fleet.New(cfg.DataCentre),
 		candidate: cfg.CPUShare >= candidateMinCPU && cfg.LinkMbps >= candidateMinLinkMbps,
 		peers:     peer.NewClient(&http.Client{Transport: plat.peerTransport()})}
 	if plat.Net != nil {
 		h.client.Dial = plat.Net.Dial
 	}
-	h.inFlightAggregator = newInFlightAggregator(cfg.Host, cfg.DataCentre, h.board, func() *catalogue.Snapshot { return h.views.Load().Upstreams })
+	h.inFlightAggregator = newInFlightAggregator(cfg.Host, cfg.DataCentre, h.picker, func() *catalogue.Snapshot { return h.views.Load().Upstreams })
 	h.controller = newController(zl, plat.Store, plat.Decoder, plat.Granter, h.views, planner.Options{Host: cfg.Host, PeerAddr: cfg.PeerListen,
 		GrantTTL: cfg.GrantTTL, MaxViewAge: cfg.MaxViewAge, LeaseTTL: max(cfg.MinLeaseTTL, leaseTTL), Candidate: h.candidate},
 		cfg.EvacuationTimeout)
@@ -174,10 +174,10 @@
 	if plat.Clock != nil {
 		h.controller.clock = plat.Clock
 	}
-	h.controller.crashes = newCrashLog(zl, plat.Store, h.controller.planning.Load)
-	h.dispatch = dispatch.New(plat.Headers, cfg.DataCentre, h.views, h.client, h.board, h.budget, h.controller.crashes.ledger, h.feedback,
+	h.controller.crashes = newCrashLog(zl, plat.Store, h.controller.isPlanner.Load)
+	h.dispatch = dispatch.New(plat.Headers, cfg.DataCentre, h.views, h.client, h.picker, h.budget, h.controller.crashes.tracker, h.feedback,
 		ratelimit.NewLimiter(reportedLimitBounds, h.requestPermits))
-	h.dispatch.OnRequestDone, h.dispatch.OnBrokenSend = h.onRequestEnd, h.onBrokenSend
+	h.dispatch.OnRequestDone, h.dispatch.OnBrokenSend = h.onRequestDone, h.onBrokenSend
 	h.dispatch.SlowStartBounds = ratelimit.Bounds{Factor: cfg.SlowStartFactor, Slack: cfg.SlowStartSlack, Window: slowStartWindow}
 	h.controller.retirer = h.peers
 	h.controller.elector.fleetSize = func() int { return h.fleet.Size(time.Now()) }
@@ -193,21 +193,21 @@
 // seatTTL is how long the planner's seat outlives its holder's last word.
 const leaseTTL = 1200 * time.Millisecond
 
-// shareOfBudget is this host's part of the repeats in a fleet of so many.
-func shareOfBudget(cfg *settings.EntryHost, hosts int) budget.Limits {
-	return budget.Limits{Ratio: cfg.RetryBudgetRatio, Slack: cfg.RetryBudgetSlack / float64(max(hosts, assumedHosts)), Window: cfg.RetryBudgetWindow}
+// hostBudgetLimits is this host's part of the repeats in a fleet of so many.
+func hostBudgetLimits(cfg *settings.EntryHost, hosts int) budget.Limits {
+	return budget.Limits{Ratio: cfg.RetryBudgetRatio, Slack: cfg.RetryBudgetSlack / float64(max(hosts, minAssumedHosts)), Window: cfg.RetryBudgetWindow}
 }
 
 // listen adds the host's servers.
 func (h *host) listen(work context.Context, g *run.Group) error {
-	h.front = &http.Server{Handler: http.HandlerFunc(h.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: headerBytes,
+	h.callerServer = &http.Server{Handler: http.HandlerFunc(h.serve), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnContext: dispatch.WithCaller}
-	if err := h.addServer(work, g, h.cfg.Listen, h.front); err != nil {
+	if err := h.addServer(work, g, h.cfg.Listen, h.callerServer); err != nil {
 		return err
 	}
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+h.plat.ReadyPath, h.serveReady)
-	if err := h.addServer(work, g, h.cfg.ReadyListen, &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout}); err != nil {
+	if err := h.addServer(work, g, h.cfg.ReadyListen, &http.Server{Handler: ready, ReadHeaderTimeout: readHeaderTimeout}); err != nil {
 		return err
 	}
 	peers := http.NewServeMux()
@@ -215,9 +215,9 @@
 		OnLoads: func(l []peer.ServiceLoad) { h.receiveLoads(work, l) }, OnLoadStats: h.inFlightAggregator.report, PeerLoads: h.inFlightAggregator.othersInFlight,
 		Feedback: h.feedback, AcquirePermits: h.issuePermits})
 	peers.Handle(ps.PathPrefix(), ps)
-	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.ledger, Log: h.zl})
+	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.tracker, Log: h.zl})
 	peers.Handle(rs.PathPrefix(), rs)
-	if err := h.addServer(work, g, h.cfg.PeerListen, &http.Server{Handler: peers, ReadHeaderTimeout: headerTimeout}); err != nil {
+	if err := h.addServer(work, g, h.cfg.PeerListen, &http.Server{Handler: peers, ReadHeaderTimeout: readHeaderTimeout}); err != nil {
 		return err
 	}
 	page := http.NewServeMux()
@@ -225,7 +225,7 @@
 		metrics.WritePrometheus(w, true)
 		h.writeGauges(w, time.Now())
 	})
-	return h.addServer(work, g, h.cfg.MetricsListen, &http.Server{Handler: page, ReadHeaderTimeout: headerTimeout})
+	return h.addServer(work, g, h.cfg.MetricsListen, &http.Server{Handler: page, ReadHeaderTimeout: readHeaderTimeout})
 }
 
 func (h *host) addServer(work context.Context, g *run.Group, addr string, srv *http.Server) error {
@@ -273,14 +273,14 @@
 	h.stopping.Store(true)
 	began := time.Now()
 	h.zl.Info("stopping", zap.Int("event", events.EntryHostStopping), zap.Int64("in_flight", h.inFlight.Load()))
-	last := began.Add(h.cfg.ShutdownGrace - stopMargin)
-	h.dispatch.StopBy(last.Add(-answerMargin))
+	last := began.Add(h.cfg.ShutdownGrace - shutdownMargin)
+	h.dispatch.StopBy(last.Add(-responseWriteMargin))
 	h.controller.resign(work)
-	time.Sleep(noticed)
+	time.Sleep(readinessPropagationDelay)
 	// Shutdown, unlike Close, lets answers that are being written go out.
 	sctx, cancel := context.WithDeadline(work, last)
 	defer cancel()
-	if err := h.front.Shutdown(sctx); err != nil {
+	if err := h.callerServer.Shutdown(sctx); err != nil {
 		h.zl.Warn("stopped with requests under way", zap.Int("event", events.EntryHostStopping), zap.Int64("in_flight", h.inFlight.Load()), ErrorField(err))
 	}
 	return ctx.Err()
@@ -288,7 +288,7 @@
 
 // housekeep closes what is no longer used and takes in changed settings.
 func (h *host) housekeep(ctx context.Context, reload <-chan *settings.EntryHost) {
-	t := time.NewTicker(pruneEvery)
+	t := time.NewTicker(housekeepInterval)
 	defer t.Stop()
 	current := h.cfg
 	for {
@@ -299,39 +299,39 @@
 			current = cfg
 			h.zl.Info("settings reloaded", zap.Int("event", events.SettingsReloaded))
 		case now := <-t.C:
-			h.noteDropped()
+			h.logDroppedLines()
 			hosts := h.fleet.Size(now)
-			h.dispatch.SetHostCount(hosts, h.fleetKnown(now))
-			h.budget.SetLimits(shareOfBudget(current, hosts))
-			keep := known(h.views.Load().Upstreams)
+			h.dispatch.SetHostCount(hosts, h.fleetSizeKnown(now))
+			h.budget.SetLimits(hostBudgetLimits(current, hosts))
+			keep := listedIn(h.views.Load().Upstreams)
 			h.client.Prune(now, keep)
-			h.board.Prune(keep)
-			h.board.MarkSynced(h.controller.replica.CurrentAt(metastore.StreamUpstreams))
+			h.picker.Prune(keep)
+			h.picker.MarkSynced(h.controller.replica.CurrentAt(metastore.StreamUpstreams))
 			h.feedback.Prune(keep, now)
 			h.dispatch.Prune()
 		}
 	}
 }
 
-// fleetKnown reports whether the fleet's size rests on the planner's word, or,
+// fleetSizeKnown reports whether the fleet's size rests on the planner's word, or,
 // on a planner, on the calls of the others, who have had time to find it.
-func (h *host) fleetKnown(now time.Time) bool {
-	return h.fleet.HasPlannerSize() || (h.controller.planning.Load() && now.Sub(h.logSyncer.startedAt) > gatherFleet)
+func (h *host) fleetSizeKnown(now time.Time) bool {
+	return h.fleet.HasPlannerSize() || (h.controller.isPlanner.Load() && now.Sub(h.logSyncer.startedAt) > fleetDiscoveryTime)
 }
 
 // gatherFleet is how long after its start a planner that nobody told how many
 // hosts there are waits for them to call.
-const gatherFleet = 3 * time.Second
+const fleetDiscoveryTime = 3 * time.Second
 
-// noteDropped logs that log lines were dropped since it last looked.
-func (h *host) noteDropped() {
+// logDroppedLines logs that log lines were dropped since it last looked.
+func (h *host) logDroppedLines() {
 	total := h.plat.LogDropped()
-	if total > h.dropped {
-		h.zl.Warn("log lines dropped", zap.Int("event", events.LogLinesDropped), zap.Int64("dropped", total-h.dropped))
+	if total > h.reportedDroppedLines {
+		h.zl.Warn("log lines dropped", zap.Int("event", events.LogLinesDropped), zap.Int64("dropped", total-h.reportedDroppedLines))
 	}
-	h.dropped = total
+	h.reportedDroppedLines = total
 }
 
-func known(s *catalogue.Snapshot) func(id string) bool {
+func listedIn(s *catalogue.Snapshot) func(id string) bool {
 	return func(id string) bool { return s.ByID[id] != nil }
 }
--- a/internal/entryhost/report.go
+++ b/internal/entryhost/loadsampler.go
@@ -14,21 +14,21 @@
 )
 
 // reportSamples bounds one report; more requests are sampled.
-const reportSamples = 512
+const maxReportSamples = 512
 
 // loadSampler gathers what callers ask of keyed services.
 type loadSampler struct {
-	mu sync.Mutex
-	by map[string]*gathered
+	mu        sync.Mutex
+	byService map[string]*serviceSample
 }
 
-// gathered is a sample of a service's requests; seen is how many they were.
-type gathered struct {
-	samples []keyload.Sample
-	seen    float64
+// serviceSample is a sample of a service's requests; seen is how many they were.
+type serviceSample struct {
+	samples  []keyload.Sample
+	requests float64
 }
 
-func newLoadSampler() *loadSampler { return &loadSampler{by: map[string]*gathered{}} }
+func newLoadSampler() *loadSampler { return &loadSampler{byService: map[string]*serviceSample{}} }
 
 // add counts a request that has ended.
 func (r *loadSampler) add(e *dispatch.RequestSummary) {
@@ -41,7 +41,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.of(e.Service).add(s, 1)
+	r.service(e.Service).add(s, 1)
 }
 
 // merge takes in the reports of hosts that follow this one.
@@ -49,32 +49,32 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range loads {
-		g := r.of(l.Service)
+		g := r.service(l.Service)
 		for _, s := range l.Samples {
 			g.add(s, l.Weight)
 		}
 	}
 }
 
-func (r *loadSampler) of(service string) *gathered {
-	g := r.by[service]
+func (r *loadSampler) service(service string) *serviceSample {
+	g := r.byService[service]
 	if g == nil {
-		g = &gathered{}
-		r.by[service] = g
+		g = &serviceSample{}
+		r.byService[service] = g
 	}
 	return g
 }
 
 // add takes in a request that stands for weight requests. Beyond
 // reportSamples each is kept with the chance that all had.
-func (g *gathered) add(s keyload.Sample, weight float64) {
-	g.seen += weight
-	if len(g.samples) < reportSamples {
+func (g *serviceSample) add(s keyload.Sample, weight float64) {
+	g.requests += weight
+	if len(g.samples) < maxReportSamples {
 		g.samples = append(g.samples, s)
 		return
 	}
-	if rand.Float64()*g.seen < reportSamples*weight {
-		g.samples[rand.IntN(reportSamples)] = s
+	if rand.Float64()*g.requests < maxReportSamples*weight {
+		g.samples[rand.IntN(maxReportSamples)] = s
 	}
 }
 
@@ -83,10 +83,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []peer.ServiceLoad
-	for name, g := range r.by {
-		out = append(out, peer.ServiceLoad{Service: name, Weight: g.seen / float64(len(g.samples)), Samples: g.samples})
+	for name, g := range r.byService {
+		out = append(out, peer.ServiceLoad{Service: name, Weight: g.requests / float64(len(g.samples)), Samples: g.samples})
 	}
-	clear(r.by)
+	clear(r.byService)
 	return out
 }
 
@@ -104,14 +104,14 @@
 // receiveLoads takes in reports of other hosts: the planner uses them, a relay
 // passes them on with its own.
 func (h *host) receiveLoads(ctx context.Context, loads []peer.ServiceLoad) {
-	if h.controller.planning.Load() {
-		h.takeLoads(ctx, loads)
+	if h.controller.isPlanner.Load() {
+		h.addLoads(ctx, loads)
 		return
 	}
 	h.loadSampler.merge(loads)
 }
 
-func (h *host) takeLoads(ctx context.Context, loads []peer.ServiceLoad) {
+func (h *host) addLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if len(loads) == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // replicaStatus is the standing of this host's copy of the log.
 func (h *host) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
-	if h.controller.planning.Load() {
+	if h.controller.isPlanner.Load() {
 		return peer.ReplicaStatus{Planning: true, Age: h.controller.replica.Age(now), LogReachableFor: h.controller.replica.LogReachableFor(now)}, true
 	}
 	return h.logSyncer.replicaStatus(now)
@@ -143,12 +143,12 @@
 	if h.cfg.FirstStart {
 		alone = firstStartDiscoveryTimeout
 	}
-	f := &logSyncer{discoveryTimeout: alone, zl: h.zl, peers: h.peers, replica: h.controller.replica, ownershipReader: own, otherReaders: rest, plannerAddr: h.plannerAddr, isPlanner: h.controller.planning.Load,
-		self: h.self, fleet: h.fleet, board: h.board, feedback: h.feedback,
-		takeLoads: h.loadSampler.take, applyLoads: func(l []peer.ServiceLoad) { h.takeLoads(ctx, l) },
+	f := &logSyncer{discoveryTimeout: alone, zl: h.zl, peers: h.peers, replica: h.controller.replica, ownershipReader: own, otherReaders: rest, plannerAddr: h.plannerAddr, isPlanner: h.controller.isPlanner.Load,
+		self: h.self, fleet: h.fleet, picker: h.picker, feedback: h.feedback,
+		takeLoads: h.loadSampler.take, applyLoads: func(l []peer.ServiceLoad) { h.addLoads(ctx, l) },
 		apply:             func(b relay.Batch) { h.controller.applyAndWait(ctx, b) },
-		onPlannerLost:     func() { h.controller.post(ctx, h.controller.plan.PlannerLost) },
-		onCandidateSeen:   func() { h.controller.post(ctx, func() { h.controller.plan.PlannerSeen(h.controller.clock()) }) },
+		onPlannerLost:     func() { h.controller.post(ctx, h.controller.planner.PlannerLost) },
+		onCandidateSeen:   func() { h.controller.post(ctx, func() { h.controller.planner.PlannerSeen(h.controller.clock()) }) },
 		onPlannerFollowed: func(steady time.Duration) { h.controller.post(ctx, func() { h.controller.onPlannerFollowed(steady) }) }}
 	for _, fl := range append(rest, own) {
 		fl.firstReadNoWait = h.candidate
--- a/internal/entryhost/feed.go
+++ b/internal/entryhost/logsyncer.go
@@ -25,12 +25,12 @@
 	// followTimeout bounds such a call; a planner that does not answer in
 	// time is taken for lost and the log service is read directly.
 	followTimeout = followWait + 400*time.Millisecond
-	// relayTimeout is followTimeout of a call to a relay, which is in this
+	// relayFollowTimeout is followTimeout of a call to a relay, which is in this
 	// host's data centre: undisturbed it answers in a millisecond.
-	relayTimeout = followWait + 250*time.Millisecond
-	// relayWait is followWait of a host that relays: what it passes on is so
+	relayFollowTimeout = followWait + 250*time.Millisecond
+	// relayFollowWait is followWait of a host that relays: what it passes on is so
 	// much older.
-	relayWait = 200 * time.Millisecond
+	relayFollowWait = 200 * time.Millisecond
 	// maxReplicaAge is the greatest age of the planner's copy that is relied on.
 	// With followTimeout it leaves a host behind the log by at most 1.8 s
 	// before it reads for itself; relayedAge is that of a relay's copy, with
@@ -74,8 +74,8 @@
 	// self describes this host to the others.
 	self  func() fleet.Host
 	fleet *fleet.Fleet
-	// board reports what this host has at upstreams, and learns of the others.
-	board *balance.Picker
+	// picker reports what this host has at upstreams, and learns of the others.
+	picker *balance.Picker
 	// feedback is what upstreams report of themselves.
 	feedback *feedback.Tracker
 	// plannerAddr returns the planner's peer address; empty if there is none
@@ -97,67 +97,67 @@
 	// discoveryTimeout is for how long a weak host looks for a planner first.
 	discoveryTimeout time.Duration
 	// startedAt is when run began, failed whether the last call failed.
-	startedAt time.Time
-	failed    bool
-	// oldCopy is set while the host that is followed answers with a copy that is
+	startedAt        time.Time
+	lastFollowFailed bool
+	// followedReplicaStale is set while the host that is followed answers with a copy that is
 	// too old, or that it has none.
-	oldCopy bool
+	followedReplicaStale bool
 	// attempts are this host's own reads while oldCopy is set.
 	attempts readAttempts
-	// wasPlanning is planning as of the last look.
-	wasPlanning bool
-	// directCtx is that of the readers at work, nil while there are none;
+	// wasPlanner is planning as of the last look.
+	wasPlanner bool
+	// directReadCtx is that of the readers at work, nil while there are none;
 	// restAtWork is set once those of rest are among them.
-	directCtx  context.Context
-	stopDirect context.CancelFunc
-	restAtWork bool
-	// directAt is when they began, reading whether there are any.
-	directAt time.Time
-	reading  atomic.Bool
+	directReadCtx       context.Context
+	cancelDirectReads   context.CancelFunc
+	otherReadersRunning bool
+	// directReadsStartedAt is when they began, reading whether there are any.
+	directReadsStartedAt time.Time
+	readingDirectly      atomic.Bool
 	// following holds the address of the host whose copy is relied on, a
 	// string; empty or nil if there is none.
 	following atomic.Value
-	// relay is the host that relays the copy of the planner at relayOf.
-	relay, relayOf string
-	// last is the last answer of the planner itself; see standing.
-	last atomic.Pointer[heard]
+	// relayAddr is the host that relays the copy of the planner at relayOf.
+	relayAddr, relayPlannerAddr string
+	// lastPlannerStatus is the last answer of the planner itself; see standing.
+	lastPlannerStatus atomic.Pointer[plannerStatus]
 }
 
-// heard is what the planner said of its copy.
-type heard struct {
-	at          time.Time
-	age, steady time.Duration
+// plannerStatus is what the planner said of its copy.
+type plannerStatus struct {
+	receivedAt                  time.Time
+	replicaAge, logReachableFor time.Duration
 }
 
 // run keeps the copy current until ctx ends.
 func (f *logSyncer) run(ctx context.Context) {
 	f.startedAt = time.Now()
-	f.direct(ctx)
+	f.startDirectReads(ctx)
 	for ctx.Err() == nil {
-		f.lookAtSeat()
+		f.restartReadersOnPromotion()
 		if f.follow(ctx) {
-			f.indirect()
+			f.stopDirectReads()
 			continue
 		}
-		f.readItself(ctx)
+		f.readFromLog(ctx)
 		sleep(ctx, plannerRetryInterval)
 	}
-	f.indirect()
+	f.stopDirectReads()
 }
 
-// readItself has this host read the log service, if it is one of those that
+// readFromLog has this host read the log service, if it is one of those that
 // should.
-func (f *logSyncer) readItself(ctx context.Context) {
-	if f.self().Candidate || f.isPlanner() || !f.oldCopy || f.replica.NextOffset(metastore.StreamDesired) < 0 {
-		f.direct(ctx)
+func (f *logSyncer) readFromLog(ctx context.Context) {
+	if f.self().Candidate || f.isPlanner() || !f.followedReplicaStale || f.replica.NextOffset(metastore.StreamDesired) < 0 {
+		f.startDirectReads(ctx)
 		return
 	}
-	if f.directCtx != nil && f.attempts.failedSince(f.directAt) {
-		f.indirect()
+	if f.directReadCtx != nil && f.attempts.failedSince(f.directReadsStartedAt) {
+		f.stopDirectReads()
 		return
 	}
-	if f.directCtx != nil {
-		f.direct(ctx) // the streams that were young enough may not be any more
+	if f.directReadCtx != nil {
+		f.startDirectReads(ctx) // the streams that were young enough may not be any more
 		return
 	}
 	f.onCandidateSeen() // a host that is strong enough to plan answers, if without a copy
@@ -165,7 +165,7 @@
 	case attemptNow:
 		go func() { f.attempts.finish(f.otherReaders[attemptStreamIndex].readOnce(ctx)) }()
 	case attemptSucceeded:
-		f.direct(ctx)
+		f.startDirectReads(ctx)
 	}
 }
 
@@ -176,28 +176,28 @@
 	loads := f.takeLoads()
 	if planner == "" {
 		f.applyLoads(loads)
-		f.note("", 0, nil)
+		f.setFollowed("", 0, nil)
 		return false
 	}
-	if f.relay != "" && f.relayOf == planner {
-		if f.ask(ctx, f.relay, maxRelayedReplicaAge, relayTimeout, loads) {
+	if f.relayAddr != "" && f.relayPlannerAddr == planner {
+		if f.followHost(ctx, f.relayAddr, maxRelayedReplicaAge, relayFollowTimeout, loads) {
 			return true
 		}
 		loads = nil
 	}
-	f.relay, f.relayOf = "", planner
-	return f.ask(ctx, planner, maxReplicaAge, followTimeout, loads)
+	f.relayAddr, f.relayPlannerAddr = "", planner
+	return f.followHost(ctx, planner, maxReplicaAge, followTimeout, loads)
 }
 
-// ask makes one call and takes the answer in. It reports whether it can be
+// followHost makes one call and takes the answer in. It reports whether it can be
 // relied on: it must come within timeout and not be older than oldest.
-func (f *logSyncer) ask(ctx context.Context, addr string, oldest, timeout time.Duration, loads []peer.ServiceLoad) bool {
+func (f *logSyncer) followHost(ctx context.Context, addr string, oldest, timeout time.Duration, loads []peer.ServiceLoad) bool {
 	q := peer.FollowRequest{Self: f.self(), Positions: map[metastore.Stream]int64{}, Loads: loads, Notices: f.feedback.Notices(time.Now()), Wait: followWait}
 	relays := q.Self.Followers > 0
 	if relays {
-		q.Wait = relayWait
+		q.Wait = relayFollowWait
 	} else {
-		q.LoadStats, q.Subset = f.board.FlushLoadStats(), f.board.Subset() // a relay's own are in its own sum
+		q.LoadStats, q.Subset = f.picker.FlushLoadStats(), f.picker.Subset() // a relay's own are in its own sum
 	}
 	for _, s := range relay.Streams {
 		q.Positions[s] = f.replica.FetchOffset(s)
@@ -205,11 +205,11 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	got, err := f.peers.Follow(ctx, addr, q)
-	f.failed = err != nil
+	f.lastFollowFailed = err != nil
 	if err != nil {
-		f.oldCopy = errors.Is(err, peer.ErrNoReplica)
+		f.followedReplicaStale = errors.Is(err, peer.ErrNoReplica)
 		f.onPlannerLost()
-		f.note("", 0, err)
+		f.setFollowed("", 0, err)
 		return false
 	}
 	for _, b := range got.Batches {
@@ -218,20 +218,20 @@
 	for _, s := range relay.Streams {
 		f.replica.MarkCurrent(s, time.Now().Add(-got.Age))
 	}
-	if addr == f.relayOf && f.relay == "" {
-		f.last.Store(&heard{at: time.Now(), age: got.Age, steady: got.LogReachableFor})
-		f.relay = got.Relay
+	if addr == f.relayPlannerAddr && f.relayAddr == "" {
+		f.lastPlannerStatus.Store(&plannerStatus{receivedAt: time.Now(), replicaAge: got.Age, logReachableFor: got.LogReachableFor})
+		f.relayAddr = got.Relay
 	}
 	f.fleet.SetPlannerSize(got.HostCount)
 	f.feedback.Merge(addr, got.Notices, time.Now())
 	if !relays {
-		f.board.SetPeerLoads(got.PeerLoads, time.Now())
+		f.picker.SetPeerLoads(got.PeerLoads, time.Now())
 	}
-	if f.oldCopy = got.Age > oldest; f.oldCopy {
-		f.note("", got.Age, nil)
+	if f.followedReplicaStale = got.Age > oldest; f.followedReplicaStale {
+		f.setFollowed("", got.Age, nil)
 		return false
 	}
-	f.note(addr, got.Age, nil)
+	f.setFollowed(addr, got.Age, nil)
 	f.attempts.reset()
 	f.onPlannerFollowed(got.LogReachableFor)
 	return true
@@ -243,12 +243,12 @@
 // planner's steadiness is passed on as it was, without the time since: that it
 // reached the log service then says nothing of now.
 func (f *logSyncer) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
-	if h := f.last.Load(); h != nil {
-		if age := h.age + now.Sub(h.at); age <= maxRelayedReplicaAge {
-			return peer.ReplicaStatus{Age: age, LogReachableFor: h.steady}, true
+	if h := f.lastPlannerStatus.Load(); h != nil {
+		if age := h.replicaAge + now.Sub(h.receivedAt); age <= maxRelayedReplicaAge {
+			return peer.ReplicaStatus{Age: age, LogReachableFor: h.logReachableFor}, true
 		}
 	}
-	if age := f.replica.Age(now); f.reading.Load() && age <= maxRelayedReplicaAge {
+	if age := f.replica.Age(now); f.readingDirectly.Load() && age <= maxRelayedReplicaAge {
 		return peer.ReplicaStatus{Age: age, LogReachableFor: f.replica.LogReachableFor(now)}, true
 	}
 	return peer.ReplicaStatus{}, false
@@ -260,8 +260,8 @@
 	return addr
 }
 
-// note logs that another planner's copy is relied on, or none any more.
-func (f *logSyncer) note(addr string, age time.Duration, err error) {
+// setFollowed logs that another planner's copy is relied on, or none any more.
+func (f *logSyncer) setFollowed(addr string, age time.Duration, err error) {
 	old := f.followedAddr()
 	if addr == old {
 		return
@@ -275,53 +275,53 @@
 	f.following.Store(addr)
 }
 
-// lookAtSeat has the readers begin anew when this host gets the planner's
+// restartReadersOnPromotion has the readers begin anew when this host gets the planner's
 // seat. Their reads under way wait longer than the planner's: its copy would
 // look too old to the others, who would all read the log service.
-func (f *logSyncer) lookAtSeat() {
+func (f *logSyncer) restartReadersOnPromotion() {
 	now := f.isPlanner()
-	if now && !f.wasPlanning {
-		f.indirect()
+	if now && !f.wasPlanner {
+		f.stopDirectReads()
 	}
-	f.wasPlanning = now
+	f.wasPlanner = now
 }
 
-// direct has the log service read: the ownership stream at once, as it says
+// startDirectReads has the log service read: the ownership stream at once, as it says
 // who plans now, the others once they must be.
-func (f *logSyncer) direct(ctx context.Context) {
-	if f.directCtx == nil {
-		f.directCtx, f.stopDirect = context.WithCancel(ctx)
-		f.directAt = time.Now()
-		f.reading.Store(true)
-		go f.ownershipReader.run(f.directCtx)
+func (f *logSyncer) startDirectReads(ctx context.Context) {
+	if f.directReadCtx == nil {
+		f.directReadCtx, f.cancelDirectReads = context.WithCancel(ctx)
+		f.directReadsStartedAt = time.Now()
+		f.readingDirectly.Store(true)
+		go f.ownershipReader.run(f.directReadCtx)
 	}
-	if f.restAtWork || !f.needRest(time.Now()) {
+	if f.otherReadersRunning || !f.shouldReadOtherStreams(time.Now()) {
 		return
 	}
-	f.restAtWork = true
+	f.otherReadersRunning = true
 	for _, fl := range f.otherReaders {
-		go fl.run(f.directCtx)
+		go fl.run(f.directReadCtx)
 	}
 }
 
-// needRest reports whether the streams other than ownership have to be read
+// shouldReadOtherStreams reports whether the streams other than ownership have to be read
 // directly. After a change of planner most hosts find the new one before they
 // have to: a change costs one or two calls a host instead of six.
-func (f *logSyncer) needRest(now time.Time) bool {
+func (f *logSyncer) shouldReadOtherStreams(now time.Time) bool {
 	switch {
 	case f.isPlanner() || f.self().Candidate:
 		return true // others follow it, or will
 	case f.replica.NextOffset(metastore.StreamDesired) < 0:
-		return f.failed || now.Sub(f.startedAt) > f.discoveryTimeout
+		return f.lastFollowFailed || now.Sub(f.startedAt) > f.discoveryTimeout
 	}
 	return f.replica.Age(now) > directReadAge
 }
 
-// indirect ends reading the log service.
-func (f *logSyncer) indirect() {
-	if f.directCtx != nil {
-		f.stopDirect()
-		f.directCtx, f.restAtWork = nil, false
-		f.reading.Store(false)
+// stopDirectReads ends reading the log service.
+func (f *logSyncer) stopDirectReads() {
+	if f.directReadCtx != nil {
+		f.cancelDirectReads()
+		f.directReadCtx, f.otherReadersRunning = nil, false
+		f.readingDirectly.Store(false)
 	}
 }
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -145,7 +145,7 @@
 			log.Put(metastore.StreamUpstreams, "u", []byte(`{"ID":"u","Service":"plain"}`))
 			views := view.NewPublisher()
 			c := newController(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
-			c.crashes = newCrashLog(zap.NewNop(), log, c.planning.Load)
+			c.crashes = newCrashLog(zap.NewNop(), log, c.isPlanner.Load)
 			ctx, cancel := context.WithCancel(t.Context())
 			go c.run(ctx)
 			own, rest := c.newStreamReaders(ctx)
--- a/internal/entryhost/plannerlog.go
+++ b/internal/entryhost/plannerlog.go
@@ -8,7 +8,7 @@
 )
 
 // plannerLines names the line logged for each kind of planner event.
-var plannerLines = map[planner.EventKind]struct {
+var plannerLogLines = map[planner.EventKind]struct {
 	number int
 	text   string
 }{
@@ -25,7 +25,7 @@
 
 // logPlannerEvent logs a change of the planner's belief.
 func (c *controller) logPlannerEvent(e planner.Event) {
-	line := plannerLines[e.Kind]
+	line := plannerLogLines[e.Kind]
 	fields := []zap.Field{zap.Int("event", line.number)}
 	if e.Service != "" {
 		fields = append(fields, zap.String("service", e.Service))
--- a/internal/entryhost/tries.go
+++ b/internal/entryhost/readattempts.go
@@ -23,10 +23,10 @@
 // to have a young copy again. It is safe for concurrent use.
 type readAttempts struct {
 	mu sync.Mutex
-	// underWay is set while a read is, served once one was answered.
-	underWay, served bool
-	// due is when the next one is made; zero before the first.
-	due time.Time
+	// inFlight is set while a read is, served once one was answered.
+	inFlight, succeeded bool
+	// nextAt is when the next one is made; zero before the first.
+	nextAt time.Time
 	// failedAt is when a read last failed, one of the readers at work too.
 	failedAt time.Time
 }
@@ -36,15 +36,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case t.served:
-		t.served = false
+	case t.succeeded:
+		t.succeeded = false
 		return attemptSucceeded
-	case t.underWay || now.Before(t.due):
+	case t.inFlight || now.Before(t.nextAt):
 		return attemptLater
 	}
 	pace := min(time.Duration(hosts)*time.Second/fleetAttemptsPerSecond, maxAttemptInterval)
-	t.due = now.Add(pace/2 + rand.N(pace+1))
-	t.underWay = true
+	t.nextAt = now.Add(pace/2 + rand.N(pace+1))
+	t.inFlight = true
 	return attemptNow
 }
 
@@ -52,7 +52,7 @@
 func (t *readAttempts) finish(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.underWay, t.served = false, err == nil
+	t.inFlight, t.succeeded = false, err == nil
 	if err != nil {
 		t.failedAt = time.Now()
 	}
@@ -76,5 +76,5 @@
 func (t *readAttempts) reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.served, t.due = false, time.Time{}
+	t.succeeded, t.nextAt = false, time.Time{}
 }
--- a/internal/entryhost/records.go
+++ b/internal/entryhost/records.go
@@ -45,7 +45,7 @@
 	case metastore.StreamUpstreams:
 		c.applyUpstreams(fresh.Records, fresh.Reset)
 	case metastore.StreamOwnership:
-		c.plan.AdvanceStreamEnd(fresh.NextOffset)
+		c.planner.AdvanceStreamEnd(fresh.NextOffset)
 		c.applyOwnership(fresh.Records)
 	case metastore.StreamCrashes:
 		c.crashes.apply(fresh.Records, fresh.Reset)
@@ -94,7 +94,7 @@
 	}
 	made := map[int64]*ownership.Table{}
 	for _, change := range b.Changes {
-		t, err := c.changed(change)
+		t, err := c.applyDelta(change)
 		if err != nil {
 			c.zl.Info("change of ownership does not apply; the whole table is asked for", zap.Int("event", events.OwnershipChangeRejected),
 				zap.String("service", change.Key), zap.Int64("offset", change.Offset), ErrorField(err))
@@ -106,14 +106,14 @@
 	if !c.replica.ApplyTables(b.NextOffset, made) {
 		return
 	}
-	c.plan.AdvanceStreamEnd(b.NextOffset)
+	c.planner.AdvanceStreamEnd(b.NextOffset)
 	for _, t := range made {
 		c.adoptTable(t)
 	}
 }
 
-// changed returns the table that a change makes of the one in force.
-func (c *controller) changed(change relay.Change) (*ownership.Table, error) {
+// applyDelta returns the table that a change makes of the one in force.
+func (c *controller) applyDelta(change relay.Change) (*ownership.Table, error) {
 	parsed, err := ownership.DecodeDelta(change.Data)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 			// Its upstream gets nothing new; its keys are taken back from it
 			// as from one that leaves, as it may be alive.
 			c.registry.markMissing(rec.Key, now, now)
-			c.noteRefusedRecord(rec.Key, err, now)
+			c.logRejectedRecord(rec.Key, err, now)
 			continue
 		}
 		listed[rec.Key] = true
@@ -171,11 +171,11 @@
 
 // noteRefused is the least time between two log lines of upstreams' records
 // that cannot be used: another writer may write many a second.
-const noteRefused = time.Second
+const rejectionLogInterval = time.Second
 
-// noteRefusedRecord logs that an upstream's record cannot be used.
-func (c *controller) noteRefusedRecord(server string, err error, now time.Time) {
-	if now.Sub(c.rejectionLoggedAt) < noteRefused {
+// logRejectedRecord logs that an upstream's record cannot be used.
+func (c *controller) logRejectedRecord(server string, err error, now time.Time) {
+	if now.Sub(c.rejectionLoggedAt) < rejectionLogInterval {
 		c.rejectionsUnlogged++
 		return
 	}
--- a/internal/entryhost/requestlog.go
+++ b/internal/entryhost/requestlog.go
@@ -13,29 +13,29 @@
 
 // servedSample is how many served requests share one log line. Refused and
 // failed ones are all logged.
-const servedSample = 50
+const servedLogInterval = 50
 
 var (
-	servedCount  atomic.Int64
-	totalLatency = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="total"}`)
-	waitLatency  = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="admission"}`)
-	connLatency  = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="connect"}`)
-	brokenSends  = metrics.NewCounter(`papayatide_sends_broken_total`)
-	upLatency    = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="upstream"}`)
+	servedCount     atomic.Int64
+	totalLatency    = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="total"}`)
+	queueLatency    = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="admission"}`)
+	connectLatency  = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="connect"}`)
+	brokenSends     = metrics.NewCounter(`papayatide_sends_broken_total`)
+	upstreamLatency = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="upstream"}`)
 )
 
-// onRequestEnd logs and counts a request's end.
-func (h *host) onRequestEnd(e *dispatch.RequestSummary) {
+// onRequestDone logs and counts a request's end.
+func (h *host) onRequestDone(e *dispatch.RequestSummary) {
 	h.loadSampler.add(e)
 	totalLatency.Update(e.Took.Seconds())
 	if e.QueueTime > 0 {
-		waitLatency.Update(e.QueueTime.Seconds())
+		queueLatency.Update(e.QueueTime.Seconds())
 	}
 	if e.ConnectTime > 0 {
-		connLatency.Update(e.ConnectTime.Seconds())
+		connectLatency.Update(e.ConnectTime.Seconds())
 	}
 	if e.UpstreamTime > 0 {
-		upLatency.Update(e.UpstreamTime.Seconds())
+		upstreamLatency.Update(e.UpstreamTime.Seconds())
 	}
 	cause := "served"
 	if e.Refusal != nil {
@@ -44,13 +44,13 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf(`papayatide_requests_total{cause=%q}`, cause)).Inc()
 	switch {
 	case e.Refusal == nil && e.Status < 500:
-		if e.Attempts > 1 || servedCount.Add(1)%servedSample == 1 {
-			h.zl.Info("request served", h.endFields(e, events.RequestServed)...)
+		if e.Attempts > 1 || servedCount.Add(1)%servedLogInterval == 1 {
+			h.zl.Info("request served", h.requestFields(e, events.RequestServed)...)
 		}
 	case e.Refusal == nil:
-		h.zl.Info("request failed at its upstream", h.endFields(e, events.RequestFailed)...)
+		h.zl.Info("request failed at its upstream", h.requestFields(e, events.RequestFailed)...)
 	default:
-		h.zl.Info("request refused", h.endFields(e, events.RequestRefused)...)
+		h.zl.Info("request refused", h.requestFields(e, events.RequestRefused)...)
 	}
 }
 
@@ -66,7 +66,7 @@
 	h.zl.Info("send broke off", f...)
 }
 
-func (h *host) endFields(e *dispatch.RequestSummary, event int) []zap.Field {
+func (h *host) requestFields(e *dispatch.RequestSummary, event int) []zap.Field {
 	f := []zap.Field{zap.Int("event", event), zap.String("request", e.ID), zap.String("route", e.Route), zap.String("service", e.Service),
 		zap.Int64("version", e.Version), zap.Duration("view_age", e.ViewAge), zap.Int("status", e.Status), zap.Int("sends", e.Attempts),
 		zap.Duration("took", e.Took), zap.Duration("left", e.TimeLeft)}
--- a/internal/entryhost/seat_test.go
+++ b/internal/entryhost/seat_test.go
@@ -45,7 +45,7 @@
 func TestLargeFleetsHostsHaveOneMembership(t *testing.T) {
 	st := &seatStore{}
 	s := newPlannerElector(st, "h")
-	s.fleetSize = func() int { return singleMembershipFleetSize }
+	s.fleetSize = func() int { return singleMemberFleetSize }
 	if _, err := s.tryAcquireOrRenew(context.Background(), time.Second); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entryhost/status.go
+++ b/internal/entryhost/status.go
@@ -10,7 +10,7 @@
 )
 
 // keptChanges bounds the changes of ownership that a host remembers.
-const keptChanges = 32
+const maxOwnershipChanges = 32
 
 // ownershipChange is a change of ownership that this host adopted. It does not keep
 // the table: thirty of them are two megabytes on a large fleet.
@@ -23,31 +23,31 @@
 
 // ownershipHistory are the last ones. It is safe for concurrent use.
 type ownershipHistory struct {
-	mu   sync.Mutex
-	last []ownershipChange
+	mu      sync.Mutex
+	changes []ownershipChange
 }
 
 func (c *ownershipHistory) add(old, now *ownership.Table) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = append(c.last, ownershipChange{at: time.Now(), service: now.Service, cause: now.Cause, term: now.Term, fence: now.MaxFencingToken,
+	c.changes = append(c.changes, ownershipChange{at: time.Now(), service: now.Service, cause: now.Cause, term: now.Term, fence: now.MaxFencingToken,
 		keys: now.KeysMovedSince(old)})
-	if n := len(c.last) - keptChanges; n > 0 {
-		c.last = append([]ownershipChange(nil), c.last[n:]...)
+	if n := len(c.changes) - maxOwnershipChanges; n > 0 {
+		c.changes = append([]ownershipChange(nil), c.changes[n:]...)
 	}
 }
 
 func (c *ownershipHistory) list() []ownershipChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]ownershipChange(nil), c.last...)
+	return append([]ownershipChange(nil), c.changes...)
 }
 
 // retire stops what this host plans of the service in terms before the given
 // one, and reports whether no grant of those is under way any more.
 func (h *host) retire(ctx context.Context, service string, term int64) bool {
 	done := make(chan bool, 1)
-	h.controller.post(ctx, func() { done <- h.controller.plan.Retire(service, term, h.controller.clock()) })
+	h.controller.post(ctx, func() { done <- h.controller.planner.Retire(service, term, h.controller.clock()) })
 	select {
 	case retired := <-done:
 		return retired
@@ -60,7 +60,7 @@
 func (h *host) status(context.Context) *peerpb.StatusReply {
 	now := time.Now()
 	v := h.views.Load()
-	out := &peerpb.StatusReply{Host: h.cfg.Host, DataCentre: h.cfg.DataCentre, Planning: h.controller.planning.Load(),
+	out := &peerpb.StatusReply{Host: h.cfg.Host, DataCentre: h.cfg.DataCentre, Planning: h.controller.isPlanner.Load(),
 		ViewAgeMs: uint32(h.controller.replica.Age(now).Milliseconds()), Hosts: uint32(h.fleet.Size(now)), InFlight: h.inFlight.Load()}
 	out.Follows = h.logSyncer.followedAddr()
 	if v.Desired != nil {
--- a/internal/entryhost/follow.go
+++ b/internal/entryhost/streamreader.go
@@ -17,8 +17,8 @@
 	// short; at 0.7 s two streams cost 2.9 calls a second for the whole
 	// fleet. The ownership stream has no other writer than the planner,
 	// which looks every idlePause whether that still holds.
-	plannerLongPoll = 700 * time.Millisecond
-	idlePause       = 100 * time.Millisecond
+	plannerLongPoll   = 700 * time.Millisecond
+	skipCheckInterval = 100 * time.Millisecond
 	// directLongPoll is the wait of hosts that cannot follow the planner. It
 	// bounds how long a record stays unseen if the service misses waking
 	// the reader, as was seen right after a cut healed.
@@ -27,13 +27,13 @@
 	// what it missed within three seconds of a cut's end, of which two pass
 	// in telling lapsed entries from upstreams that left. One reader of the
 	// three tries; the others wait for it, at most awaitLead.
-	retryReadFirst = 100 * time.Millisecond
-	retryReadMost  = 300 * time.Millisecond
-	awaitLead      = 2 * time.Second
-	// lookTimeout bounds a read that does not wait for a record. One that set out
+	minReadRetryDelay = 100 * time.Millisecond
+	maxReadRetryDelay = 300 * time.Millisecond
+	maxProbeWait      = 2 * time.Second
+	// immediateReadTimeout bounds a read that does not wait for a record. One that set out
 	// while the way was cut would otherwise hold the next back for 1.5 s after the
 	// cut's end. A slow service answers within 0.3 s.
-	lookTimeout = 600 * time.Millisecond
+	immediateReadTimeout = 600 * time.Millisecond
 	// Pauses after a read of the upstreams' stream, so that records that
 	// come in a burst cost one read: of the planner, whom all others follow,
 	// and of a host that reads for itself. When a fleet starts every host
@@ -66,36 +66,36 @@
 	// firstReadNoWait readers do not wait for a record the first time: others follow this
 	// host's copy, and until a read has returned it is as old as it was.
 	firstReadNoWait bool
-	// probes is the reader that tries while the service fails.
-	probes bool
-	health *health
+	// isProbe is the reader that tries while the service fails.
+	isProbe bool
+	health  *logHealth
 }
 
-// health tells the readers of one host whether the service answers the one
+// logHealth tells the readers of one host whether the service answers the one
 // that leads. While it does not, the others need not ask.
-type health struct {
+type logHealth struct {
 	mu sync.Mutex
-	// back is closed when the service answers again; nil while it does.
-	back chan struct{}
+	// recovered is closed when the service answers again; nil while it does.
+	recovered chan struct{}
 }
 
-// set takes in whether the leading reader was answered.
-func (h *health) set(ok bool) {
+// setReachable takes in whether the leading reader was answered.
+func (h *logHealth) setReachable(ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case ok && h.back != nil:
-		close(h.back)
-		h.back = nil
-	case !ok && h.back == nil:
-		h.back = make(chan struct{})
+	case ok && h.recovered != nil:
+		close(h.recovered)
+		h.recovered = nil
+	case !ok && h.recovered == nil:
+		h.recovered = make(chan struct{})
 	}
 }
 
-// await waits until the leading reader is answered, for at most d.
-func (h *health) await(ctx context.Context, d time.Duration) {
+// awaitRecovery waits until the leading reader is answered, for at most d.
+func (h *logHealth) awaitRecovery(ctx context.Context, d time.Duration) {
 	h.mu.Lock()
-	back := h.back
+	back := h.recovered
 	h.mu.Unlock()
 	if back == nil {
 		return
@@ -114,12 +114,12 @@
 	if f.startDelay != nil {
 		sleep(ctx, f.startDelay())
 	}
-	backoff := retryReadFirst
+	backoff := minReadRetryDelay
 	next := f.replica.NextOffset(f.stream)
 	noWait := f.firstReadNoWait
 	for ctx.Err() == nil {
 		if f.skip != nil && f.skip() {
-			sleep(ctx, idlePause)
+			sleep(ctx, skipCheckInterval)
 			continue
 		}
 		wait := f.maxWait()
@@ -132,18 +132,18 @@
 		}
 		noWait = err != nil // waiting for a record would keep the service's return unseen
 		f.onResult(err)
-		if f.probes {
-			f.health.set(err == nil)
+		if f.isProbe {
+			f.health.setReachable(err == nil)
 		}
 		if err != nil {
 			sleep(ctx, backoff/2+rand.N(backoff))
-			backoff = min(backoff*2, retryReadMost)
-			if !f.probes {
-				f.health.await(ctx, awaitLead)
+			backoff = min(backoff*2, maxReadRetryDelay)
+			if !f.isProbe {
+				f.health.awaitRecovery(ctx, maxProbeWait)
 			}
 			continue
 		}
-		backoff = retryReadFirst
+		backoff = minReadRetryDelay
 		if at > next {
 			sleep(ctx, f.batchDelay())
 		}
@@ -165,7 +165,7 @@
 // offset to go on from.
 func (f *streamReader) read(ctx context.Context, next int64, wait time.Duration) (int64, error) {
 	if next >= 0 {
-		b, err := f.records(ctx, next, wait)
+		b, err := f.readFrom(ctx, next, wait)
 		if err == nil {
 			f.replica.MarkCurrent(f.stream, time.Now())
 			if len(b.Records) > 0 {
@@ -187,11 +187,11 @@
 	return end, nil
 }
 
-// records reads from offset next on.
-func (f *streamReader) records(ctx context.Context, next int64, wait time.Duration) (metastore.Batch, error) {
+// readFrom reads from offset next on.
+func (f *streamReader) readFrom(ctx context.Context, next int64, wait time.Duration) (metastore.Batch, error) {
 	if wait == 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, lookTimeout)
+		ctx, cancel = context.WithTimeout(ctx, immediateReadTimeout)
 		defer cancel()
 	}
 	return f.store.Read(ctx, f.stream, next, wait)
