--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -20,54 +20,62 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// Decoder reads the platform's records into the product's types.
+// Decoder decodes the platform's records into this module's types.
 type Decoder interface {
-	// Desired returns nil for records that are not the desired state.
+	// Desired returns nil if the record is not the desired state.
 	Desired(key string, data []byte) (*desired.State, error)
 	Upstream(id string, data []byte, now time.Time) (*catalogue.Upstream, error)
-	// EvacuatedDataCentre returns the data centre that a record of the desired state's
-	// stream with the given key evacuates, and whether it is such a record.
+	// EvacuatedDataCentre returns the data centre that the record with the
+	// given key evacuates. ok is false for other records of the desired state's
+	// stream.
 	EvacuatedDataCentre(key string) (dataCentre string, ok bool)
 }
 
-// Granter gives keys to upstreams and takes them back. Errors wrap the
+// Granter grants key ranges to upstreams and releases them. Its errors wrap the
 // sentinel errors of package ownership.
 type Granter interface {
-	// Grant goes over a connection that is open already, if kept is set.
-	Grant(ctx context.Context, addr string, r ownership.Range, hold time.Duration, kept bool) error
-	Release(ctx context.Context, addr string, r ownership.Range) (handover string, err error)
+	// Grant grants r for ttl to the upstream at addr. With existingConnOnly it
+	// never opens a connection.
+	Grant(ctx context.Context, addr string, r ownership.Range, ttl time.Duration, existingConnOnly bool) error
+	// Release ends the grant of r. It returns once the upstream's work in
+	// flight on r has ended, with a token that lets the next owner start warm.
+	Release(ctx context.Context, addr string, r ownership.Range) (handoverToken string, err error)
 }
 
 const (
-	// plannerTickInterval and tickOther are the pauses between looks at what is due,
-	// of the planner and of the other hosts.
+	// plannerTickInterval and followerTickInterval are the control loop's
+	// intervals on the planner and on the other hosts.
 	plannerTickInterval  = 40 * time.Millisecond
 	followerTickInterval = 200 * time.Millisecond
-	// minTickInterval is the least pause between two looks.
+	// minTickInterval is the shortest interval between two ticks.
 	minTickInterval = 10 * time.Millisecond
-	// grantTimeout bounds a grant; an undisturbed answer takes 3 ms.
+	// grantTimeout bounds a grant call, which normally takes 3 ms.
 	grantTimeout = 300 * time.Millisecond
-	// maxGrantSendDelay is how long after it was decided on a grant may be sent. The
-	// proofs count on its arrival within that time: sent a second late by a host
-	// that had no processor, it kept keys at an owner whose lease was taken to have
-	// run out, while another had them already.
+	// maxGrantSendDelay is the longest delay between the decision on a grant
+	// and its sending. The planner assumes it when it computes a grant's
+	// expiry. A host short of processor time sent a grant a second late, which
+	// kept keys at an owner after its grant counted as expired and another
+	// owner had the keys.
 	maxGrantSendDelay = 100 * time.Millisecond
-	// retireTimeout bounds a question to the planner before.
+	// retireTimeout bounds a retire call to a previous planner.
 	retireTimeout = 300 * time.Millisecond
-	// releaseTimeout bounds a release, which is answered when the work under
-	// way on its keys has ended: at most some two seconds.
+	// releaseTimeout bounds a release call. The upstream answers it once its
+	// work in flight on the keys has ended, after at most about two seconds.
 	releaseTimeout = 3 * time.Second
 )
 
-// Retirer asks the planner before this one to send no more grants.
+// Retirer asks a previous planner to stop sending grants.
 type Retirer interface {
-	// Retire returns the name of the host at addr and whether it sends no
-	// grant of a term before the given one any more.
+	// Retire asks the host at addr to send no grant of a term before the given
+	// one. It returns that host's name and whether no such grant is in flight
+	// any more.
 	Retire(ctx context.Context, addr, service string, term int64) (host string, retired bool, err error)
 }
 
-// controller owns what the host believes. All its methods but post run on its
-// own goroutine.
+// controller owns the host's state: desired state, upstreams, ownership and the
+// planner. Its fields belong to the control goroutine (see run). Other
+// goroutines use post, the atomic fields, and the fields whose types are safe
+// for concurrent use.
 type controller struct {
 	zl      *zap.Logger
 	store   metastore.Store
@@ -79,50 +87,52 @@
 	planner *planner.Planner
 	loads   *keyload.Estimator
 	clock   bootclock.Clock
-	// lastRun is when this goroutine last ran.
+	// lastRun is when the control goroutine last ran.
 	lastRun bootclock.Time
 
-	inbox    chan func()
-	registry *upstreamRegistry
-	// evacuations are the data centres that operators have evacuated.
+	// inbox holds the functions to run on the control goroutine.
+	inbox       chan func()
+	registry    *upstreamRegistry
 	evacuations *evacuations
-	// crashes is handed what is read of servers' ends.
+	// crashes stores the crash records read from the log.
 	crashes *crashLog
-	// streamLostSince holds since when each stream of the log service is lost, backAt
-	// when the first of them was regained.
+	// streamLostSince holds, for each stream whose reads fail, when they began
+	// to. logRecoveredAt is when the first stream recovered after an outage of
+	// the log service, or when this host last stalled. It is zero if the
+	// planner reports that there was no outage.
 	streamLostSince map[metastore.Stream]time.Time
 	logRecoveredAt  time.Time
 	replica         *relay.Replica
-	// feedback is what upstreams report of themselves, drain the time from such a
-	// report of leaving to the last request.
+	// feedback holds what upstreams report about themselves. drainTimeout is
+	// the time from an upstream's report that it is leaving to the last request
+	// to it.
 	feedback     *feedback.Tracker
 	drainTimeout time.Duration
-	// rejectionLoggedAt is when a refused upstream's record was last logged,
-	// refusedUntold how many were not since.
+	// rejectionLoggedAt is when a rejected upstream record was last logged,
+	// rejectionsUnlogged how many were suppressed since.
 	rejectionLoggedAt  time.Time
 	rejectionsUnlogged int
-	// ownershipHistory are the last changes of ownership.
-	ownershipHistory ownershipHistory
-	// candidate hosts are strong enough to plan and to relay.
+	ownershipHistory   ownershipHistory
+	// candidate is set if this host has the capacity to be the planner or a
+	// relay.
 	candidate bool
-	// isPlanner tells other goroutines whether this host is the planner.
+	// isPlanner is set while this host holds the planner lease.
 	isPlanner atomic.Bool
-	// soleWriter tells them whether it is the only one that writes the
-	// ownership stream, which need not be read then.
+	// soleWriter is set while only this host writes the ownership stream, which
+	// then needs no reading.
 	soleWriter atomic.Bool
-	// candidateAlive reports whether a host that is strong enough to plan
-	// follows this one.
+	// candidateAlive reports whether a candidate follows this host.
 	candidateAlive func() bool
 }
 
 func newController(zl *zap.Logger, store metastore.Store, dec Decoder, granter Granter, views *view.Publisher, opts planner.Options,
-	evacuateBound time.Duration) *controller {
+	evacuationTimeout time.Duration) *controller {
 	c := &controller{zl: zl, store: store, decoder: dec, granter: granter, views: views, planner: planner.New(opts), candidate: opts.Candidate,
 		elector: newPlannerElector(store, opts.Host), loads: keyload.New(), clock: bootclock.Now, inbox: make(chan func(), 256),
-		registry: newUpstreamRegistry(zl), evacuations: newEvacuations(evacuateBound), streamLostSince: map[metastore.Stream]time.Time{}, replica: relay.NewReplica(), feedback: feedback.NewTracker()}
+		registry: newUpstreamRegistry(zl), evacuations: newEvacuations(evacuationTimeout), streamLostSince: map[metastore.Stream]time.Time{}, replica: relay.NewReplica(), feedback: feedback.NewTracker()}
 	c.planner.Load = func(service string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		load, samples := c.loads.Load(service, owners, time.Now())
-		if samples > 0 { // before, capacities are not in requests a second
+		if samples > 0 { // without samples, capacities are not in requests per second
 			applyReportedLimits(&load, owners, c.feedback, time.Now())
 		}
 		return load, samples
@@ -133,13 +143,13 @@
 	return c
 }
 
-// isCold reports whether an upstream is in its slow start and bears only so many
-// requests meanwhile.
+// isCold reports whether an upstream is in its slow start and its service has a
+// rate limit for that time.
 func (c *controller) isCold(u *catalogue.Upstream) bool {
 	return c.slowStart(u.Service).PerSecond > 0 && u.Cold(time.Now())
 }
 
-// slowStart returns that of a service's upstreams.
+// slowStart returns the slow start settings of a service's upstreams.
 func (c *controller) slowStart(service string) desired.SlowStart {
 	st := c.views.Load().Desired
 	if st == nil || st.Services[service] == nil {
@@ -148,7 +158,8 @@
 	return st.Services[service].SlowStart
 }
 
-// post hands a function to the control goroutine.
+// post queues f to run on the control goroutine, and blocks while the queue is
+// full.
 func (c *controller) post(ctx context.Context, f func()) {
 	select {
 	case c.inbox <- f:
@@ -160,7 +171,7 @@
 func (c *controller) run(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
-	var last time.Time
+	var lastTick time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -169,12 +180,12 @@
 			c.detectStall()
 			f()
 			c.drainInbox()
-			// What arrived is looked at soon, but a stream of events does
-			// not make for a tick each: a planner with dozens of moves
-			// under way spent its whole processor share on them.
-			t.Reset(max(minTickInterval-time.Since(last), 0))
+			// Tick soon after an event, but not once for each event: a
+			// planner with dozens of moves in progress spent its whole
+			// processor share on ticks.
+			t.Reset(max(minTickInterval-time.Since(lastTick), 0))
 		case <-t.C:
-			last = time.Now()
+			lastTick = time.Now()
 			c.detectStall()
 			c.tick(ctx)
 			t.Reset(c.nextTickDelay())
@@ -182,25 +193,27 @@
 	}
 }
 
-// stalled is how long this goroutine must not have run for the host to have
-// stood still: undisturbed it runs every tickOther.
+// stallThreshold is the gap between two runs of the control goroutine above
+// which the host counts as stalled. It normally runs every followerTickInterval
+// or more often.
 const stallThreshold = time.Second
 
-// detectStall notes that the host stood still. What the log service went
-// through meanwhile is unknown: a host that slept through an outage found the
-// upstreams' lapsed entries missing, took all of them for gone, and moved
+// detectStall checks whether the host did not run for a while. The log service
+// may have failed in that time, so a stall counts as an outage that has just
+// ended. A host that had stalled through an outage otherwise found the
+// upstreams' expired entries missing, considered all upstreams gone, and moved
 // every key.
 func (c *controller) detectStall() {
 	now := c.clock()
-	if stood := now.Sub(c.lastRun); c.lastRun != 0 && stood > stallThreshold {
+	if gap := now.Sub(c.lastRun); c.lastRun != 0 && gap > stallThreshold {
 		c.logRecoveredAt = time.Now()
 		c.replica.RecordLogFailure(c.logRecoveredAt)
-		c.zl.Warn("host stood still", zap.Int("event", events.HostStalled), zap.Duration("age", stood))
+		c.zl.Warn("host stalled: its control loop did not run", zap.Int("event", events.HostStalled), zap.Duration("age", gap))
 	}
 	c.lastRun = now
 }
 
-// drainInbox runs what else has arrived, so that a burst costs one tick.
+// drainInbox runs all queued functions, so that a burst costs one tick.
 func (c *controller) drainInbox() {
 	for {
 		select {
@@ -212,16 +225,18 @@
 	}
 }
 
+// nextTickDelay returns the delay until the next tick.
 func (c *controller) nextTickDelay() time.Duration {
 	if c.planner.HoldsLease(c.clock()) {
 		return plannerTickInterval
 	}
 	if _, lost := c.streamLostSince[metastore.StreamUpstreams]; lost {
-		return followerTickInterval // no suspect is taken for gone meanwhile
+		return followerTickInterval // suspects don't expire during an outage
 	}
 	return max(min(followerTickInterval, c.registry.untilNextExpiry(time.Now())), minTickInterval)
 }
 
+// tick expires suspected upstreams and executes what the planner has due.
 func (c *controller) tick(ctx context.Context) {
 	now := c.clock()
 	if c.planner.ShouldStepDown(now) && c.candidateAlive() {
@@ -230,9 +245,9 @@
 	c.isPlanner.Store(c.planner.HoldsLease(now))
 	c.soleWriter.Store(c.planner.SoleWriter(now))
 	_, lost := c.streamLostSince[metastore.StreamUpstreams]
-	wall := time.Now()
-	settled := c.registry.expireSuspects(lost, wall)
-	if c.evacuations.confirmEntriesRead(c.replica.CurrentAt(metastore.StreamUpstreams), wall) || settled {
+	wallNow := time.Now()
+	expired := c.registry.expireSuspects(lost, wallNow)
+	if c.evacuations.confirmEntriesRead(c.replica.CurrentAt(metastore.StreamUpstreams), wallNow) || expired {
 		c.publishUpstreams()
 	}
 	for _, a := range c.planner.Tick(now, c.views.Load()) {
@@ -240,31 +255,32 @@
 	}
 }
 
-// newStreamReaders returns the readers of the log service's streams, that of the
-// ownership stream by itself.
-func (c *controller) newStreamReaders(ctx context.Context) (own *streamReader, rest []*streamReader) {
-	h := &logHealth{}
-	mk := func(s metastore.Stream, gather func() time.Duration) *streamReader {
-		return &streamReader{store: c.store, stream: s, batchDelay: gather, replica: c.replica, maxWait: func() time.Duration { return c.longPollWait(s) }, health: h,
+// newStreamReaders returns the reader of the ownership stream and those of the
+// other streams.
+func (c *controller) newStreamReaders(ctx context.Context) (ownershipReader *streamReader, others []*streamReader) {
+	health := &logHealth{}
+	newReader := func(s metastore.Stream, batchDelay func() time.Duration) *streamReader {
+		return &streamReader{store: c.store, stream: s, batchDelay: batchDelay, replica: c.replica, maxWait: func() time.Duration { return c.longPollWait(s) }, health: health,
 			isProbe:  s == metastore.StreamUpstreams,
 			apply:    func(b relay.Batch) { c.applyAndWait(ctx, b) },
 			onResult: func(err error) { c.post(ctx, func() { c.onStreamResult(s, err) }) }}
 	}
-	atOnce := func() time.Duration { return 0 }
-	own = mk(metastore.StreamOwnership, atOnce)
-	own.skip = c.soleWriter.Load
-	ends := mk(metastore.StreamCrashes, c.crashBatchDelay)
-	ends.startDelay = c.crashReadStartDelay
-	return own, []*streamReader{
-		mk(metastore.StreamDesired, atOnce),
-		mk(metastore.StreamUpstreams, c.upstreamBatchDelay),
-		ends,
+	noDelay := func() time.Duration { return 0 }
+	ownershipReader = newReader(metastore.StreamOwnership, noDelay)
+	ownershipReader.skip = c.soleWriter.Load
+	crashReader := newReader(metastore.StreamCrashes, c.crashBatchDelay)
+	crashReader.startDelay = c.crashReadStartDelay
+	return ownershipReader, []*streamReader{
+		newReader(metastore.StreamDesired, noDelay),
+		newReader(metastore.StreamUpstreams, c.upstreamBatchDelay),
+		crashReader,
 	}
 }
 
-// crashReadStartDelay is the pause before servers' ends are read from the log service
-// itself. A host that has just started mostly finds a planner meanwhile, whose
-// copy carries them; the planner, and a host that has lost it, wait for nothing.
+// crashReadStartDelay returns the delay before the first direct read of the
+// crash stream. A host that has just started usually finds a planner meanwhile,
+// whose replica contains the stream. The planner, and a host that has read the
+// stream before, read at once.
 func (c *controller) crashReadStartDelay() time.Duration {
 	if c.isPlanner.Load() || c.replica.NextOffset(metastore.StreamCrashes) >= 0 {
 		return 0
@@ -272,9 +288,10 @@
 	return firstStartDiscoveryTimeout
 }
 
-// crashBatchDelay is the pause after a read that returned servers' ends. One record
-// of them is acted on within seconds, and while many servers end every host
-// writes some: read one by one, a cut cost each host hundreds of calls.
+// crashBatchDelay returns the delay after a read that returned crash records. A
+// crash record may take seconds to have effect, and while many servers crash
+// every host writes some: without the delay, a cut cost each host hundreds of
+// calls.
 func (c *controller) crashBatchDelay() time.Duration {
 	if c.isPlanner.Load() {
 		return crashBatchDelayPlanner
@@ -282,7 +299,8 @@
 	return crashBatchDelayDirect
 }
 
-// upstreamBatchDelay is the pause after a read that returned upstreams' records.
+// upstreamBatchDelay returns the delay after a read that returned upstream
+// records.
 func (c *controller) upstreamBatchDelay() time.Duration {
 	if c.isPlanner.Load() {
 		return upstreamBatchDelayPlanner
@@ -290,32 +308,33 @@
 	return upstreamBatchDelayDirect
 }
 
-// longPollWait is how long the next read of a stream may wait for a record. The copy
-// of the planner, and of the strong hosts that others go on to follow when it is
-// lost, is never known to be older than planningWait, also where it was older
-// when the seat came here.
+// longPollWait returns how long the next read of a stream may wait for a
+// record. It keeps the replicas of the planner, and of the candidates that may
+// succeed it, from growing older than plannerLongPoll, also when a candidate
+// acquires the lease with an older one.
 func (c *controller) longPollWait(s metastore.Stream) time.Duration {
 	if !(c.isPlanner.Load() || c.candidate) || s == metastore.StreamCrashes {
-		return directLongPoll // the age of the planner's copy does not count it
+		return directLongPoll // a replica's age does not include the crash stream
 	}
 	return min(max(plannerLongPoll-time.Since(c.replica.CurrentAt(s)), 0), plannerLongPoll)
 }
 
-// wasCut is for how long the planner must have reached the log service for a
-// break that this host saw to be its own: no outage, in which entries lapse.
+// minLogReachableFor is how long the planner must have reached the log service
+// without failure for this host's read failures to count as its own. Upstreams'
+// entries then have not expired because of an outage.
 const minLogReachableFor = 4 * time.Second
 
-// onPlannerFollowed notes that the planner's copy is relied on, so that what
-// this host knows of the log service itself no longer counts. If the log
-// service never failed the planner, the upstreams that are missing have left,
-// also where this host saw no sign of it: after a cut it sent requests to
-// upstreams that had left ten seconds before.
-func (c *controller) onPlannerFollowed(steady time.Duration) {
+// onPlannerFollowed handles a successful call to the planner or its relay. Its
+// replica replaces this host's reads, so streams that this host failed to read
+// count as recovered. If the log service has not failed the planner, missing
+// upstreams have left, even if this host saw no failure: after a cut, a host
+// sent requests to upstreams that had left ten seconds before.
+func (c *controller) onPlannerFollowed(logReachableFor time.Duration) {
 	for s := range c.streamLostSince {
 		c.onStreamResult(s, nil)
 	}
 	c.planner.PlannerSeen(c.clock())
-	if steady < minLogReachableFor {
+	if logReachableFor < minLogReachableFor {
 		return
 	}
 	c.logRecoveredAt = time.Time{}
@@ -324,29 +343,30 @@
 	}
 }
 
-// onStreamResult logs the loss and return of a stream.
+// onStreamResult records the result of a stream read. It logs when reads begin
+// to fail and when they succeed again.
 func (c *controller) onStreamResult(s metastore.Stream, err error) {
-	since, was := c.streamLostSince[s]
+	since, wasLost := c.streamLostSince[s]
 	if err != nil {
 		c.replica.RecordLogFailure(time.Now())
 	}
 	switch {
-	case err != nil && !was:
+	case err != nil && !wasLost:
 		c.streamLostSince[s] = time.Now()
-		c.zl.Warn("log service's stream lost", zap.Int("event", events.StreamLost), zap.String("stream", string(s)), ErrorField(err))
-	case err == nil && was:
+		c.zl.Warn("reading a log stream failed", zap.Int("event", events.StreamLost), zap.String("stream", string(s)), ErrorField(err))
+	case err == nil && wasLost:
 		delete(c.streamLostSince, s)
 		c.planner.LogReconnected(c.clock())
 		if now := time.Now(); now.Sub(c.logRecoveredAt) > relistGracePeriod {
 			c.logRecoveredAt = now
 		}
-		c.zl.Info("log service's stream regained", zap.Int("event", events.StreamRecovered), zap.String("stream", string(s)),
+		c.zl.Info("log stream readable again", zap.Int("event", events.StreamRecovered), zap.String("stream", string(s)),
 			zap.Duration("lost_for", time.Since(since)))
 	}
 }
 
-// resign gives the planner's seat up, so that another host plans at once
-// rather than when this one's time to live has run out.
+// resign releases the planner lease, so that another host becomes planner at
+// once and not only when the lease expires.
 func (c *controller) resign(ctx context.Context) {
 	c.post(ctx, func() {
 		c.planner.Resign()
--- a/internal/entryhost/elector.go
+++ b/internal/entryhost/elector.go
@@ -7,30 +7,24 @@
 	"github.com/papayatide/papayatide/internal/metastore"
 )
 
-// memberships is how many a host holds in the group that deals the planner's
-// seat.
-//
-// The group deals its partitions evenly and anew whenever a member comes or
-// goes. With fewer members than partitions some hold two and must give one up
-// to a newcomer, and the planner lost the seat to hosts that restarted or came
-// back from a cut: on four days of trouble 13 times besides the start, each
-// time with 0.6 s without a planner and a new term. With two memberships a
-// host, half of twelve hosts are as many as the twelve partitions, nobody has
-// two to give one up, and none of the 13 happened; mean worth of five days of
-// trouble, three seeds each, 0.774 before and 0.781 with it (and with lost
-// owners getting keys again after one second).
+// groupMembersPerHost is how many members each host has in the log service's
+// group. With one, a small fleet lost its planner whenever a host joined; see
+// the package comment.
 const groupMembersPerHost = 2
 
-// alone is the number of hosts from which on one membership each is enough.
+// singleMemberFleetSize is the number of hosts from which on one member per
+// host suffices.
 const singleMemberFleetSize = 24
 
-// plannerElector seeks the seat under several names.
+// plannerElector acquires and renews the planner lease as several members of
+// the group.
 type plannerElector struct {
 	store metastore.Store
-	// memberNames are the memberships', generations what the group last told each.
+	// memberNames are the names of this host's members, generations the group
+	// generation that each received last.
 	memberNames []string
 	generations []int64
-	// fleetSize returns how many hosts there are.
+	// fleetSize returns the number of hosts.
 	fleetSize func() int
 }
 
@@ -39,34 +33,35 @@
 		fleetSize: func() int { return 1 }}
 }
 
-// tryAcquireOrRenew seeks the seat, or proves it, and reports whether this host holds it.
-// It must not be called twice at once.
-func (s *plannerElector) tryAcquireOrRenew(ctx context.Context, ttl time.Duration) (held bool, err error) {
-	for i, name := range s.activeMemberNames() {
-		seat, err := s.store.JoinElection(ctx, name, ttl, s.generations[i])
+// tryAcquireOrRenew acquires or renews the planner lease and reports whether
+// this host holds it. It must not be called concurrently.
+func (e *plannerElector) tryAcquireOrRenew(ctx context.Context, ttl time.Duration) (held bool, err error) {
+	for i, name := range e.activeMemberNames() {
+		lease, err := e.store.JoinElection(ctx, name, ttl, e.generations[i])
 		if err != nil {
 			return false, err
 		}
-		s.generations[i] = seat.Generation
-		if seat.Held {
+		e.generations[i] = lease.Generation
+		if lease.Held {
 			return true, nil
 		}
 	}
 	return false, nil
 }
 
-// activeMemberNames returns the names under which the seat is sought now.
-func (s *plannerElector) activeMemberNames() []string {
-	if s.fleetSize() >= singleMemberFleetSize {
-		return s.memberNames[:1]
+// activeMemberNames returns the members that the host has at the current fleet
+// size.
+func (e *plannerElector) activeMemberNames() []string {
+	if e.fleetSize() >= singleMemberFleetSize {
+		return e.memberNames[:1]
 	}
-	return s.memberNames
+	return e.memberNames
 }
 
-// release ends all memberships.
-func (s *plannerElector) release(ctx context.Context) error {
-	for _, name := range s.memberNames {
-		if err := s.store.LeaveElection(ctx, name); err != nil {
+// release removes all members of this host from the group.
+func (e *plannerElector) release(ctx context.Context) error {
+	for _, name := range e.memberNames {
+		if err := e.store.LeaveElection(ctx, name); err != nil {
 			return err
 		}
 	}
--- a/internal/entryhost/gauges.go
+++ b/internal/entryhost/gauges.go
@@ -7,8 +7,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// writeGauges writes what this host believes at the moment, for the metrics
-// page. Labels are services, of which the desired state has a few.
+// writeGauges writes this host's current state to the metrics page. Service
+// names are the only label values; the desired state has few of them.
 func (h *host) writeGauges(w io.Writer, now time.Time) {
 	metrics.WriteGaugeUint64(w, "papayatide_in_flight_requests", uint64(h.inFlight.Load()))
 	if st := h.views.Load().Desired; st != nil {
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -35,18 +35,18 @@
 	"github.com/papayatide/papayatide/rpc/refusedpb"
 )
 
-// Platform is what an entry host needs of the platform it runs on.
+// Platform holds the platform adapters that an entry host depends on.
 type Platform struct {
 	Store     metastore.Store
 	Decoder   Decoder
 	Granter   Granter
 	Headers   protocol.Headers
 	ReadyPath string
-	// LogDropped returns how many log lines were dropped so far.
+	// LogDropped returns how many log lines have been dropped since the start.
 	LogDropped func() int64
-	// Net opens the host's sockets and Clock bounds its leases. Without them
-	// they are the kernel's; tests of whole fleets bring their own, as order and
-	// outcome must not depend on how busy the machine is.
+	// Net opens the host's sockets and Clock measures its lease and grants. If
+	// nil, the kernel's are used. Fleet tests supply their own, so that order and
+	// outcome don't depend on the machine's load.
 	Net   Network
 	Clock bootclock.Clock
 }
@@ -57,7 +57,7 @@
 	Dial(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// listenOn opens a listener at addr (host:port).
+// listenOn opens a TCP listener at addr (host:port).
 func (p *Platform) listenOn(addr string) (net.Listener, error) {
 	if p.Net != nil {
 		return p.Net.Listen(addr)
@@ -65,7 +65,7 @@
 	return net.Listen("tcp4", addr)
 }
 
-// peerTransport carries calls to other entry hosts.
+// peerTransport returns the HTTP transport for calls to other entry hosts.
 func (p *Platform) peerTransport() *http.Transport {
 	t := &http.Transport{MaxIdleConnsPerHost: 2}
 	if p.Net != nil {
@@ -75,28 +75,30 @@
 }
 
 const (
-	// readinessPropagationDelay is how long after it reports unready a stopping host keeps
-	// taking connections: the platform asks once a second and takes a host
-	// out after two misses.
+	// readinessPropagationDelay is how long a stopping host keeps accepting
+	// connections after it starts to report unready: the platform probes once a
+	// second and removes a host after two failed probes.
 	readinessPropagationDelay = 2300 * time.Millisecond
-	// shutdownMargin is left of the grace period for the process to end, and
-	// answerMargin for the last answers to be written before that.
+	// shutdownMargin is the part of the grace period reserved for the process to
+	// exit, responseWriteMargin the part before that for writing the last
+	// responses.
 	shutdownMargin      = 400 * time.Millisecond
 	responseWriteMargin = 300 * time.Millisecond
-	// callerIdleTimeout is how long callers' idle connections are kept. It is over
-	// every idle time that callers are told.
+	// callerIdleTimeout is how long callers' idle connections stay open. It
+	// exceeds every keep-alive time announced to callers.
 	callerIdleTimeout = 75 * time.Second
-	// readHeaderTimeout bounds how long a caller takes for its headers.
+	// readHeaderTimeout bounds the time in which a client must send its headers.
 	readHeaderTimeout = 5 * time.Second
 	maxHeaderBytes    = 64 << 10
 	housekeepInterval = time.Second
-	// gcPercent trades a little processor time for memory, which is priced.
+	// gcPercent is below Go's default of 100: memory is priced, and the extra
+	// collections cost little processor time.
 	gcPercent = 50
-	// memoryLimitFraction of the allowance makes the collector work harder.
+	// memoryLimitFraction is the part of the host's memory allowance that is set as
+	// Go's soft memory limit, above which the collector runs more often.
 	memoryLimitFraction = 0.8
-	// minAssumedHosts is the least number of hosts that the fixed part of the
-	// repeat budget is divided by: for the time in which the fleet's size is
-	// not known yet.
+	// minAssumedHosts is the smallest fleet size that the fixed part of the retry
+	// budget is divided by. It applies while the fleet size is still unknown.
 	minAssumedHosts = 16
 )
 
@@ -110,12 +112,13 @@
 	picker     *balance.Picker
 	budget     *budget.Budget
 	feedback   *feedback.Tracker
-	// allocator divides upstreams' rate limits among the hosts while this one plans.
+	// allocator divides upstreams' rate limits among the hosts while this host is
+	// the planner.
 	allocator *ratelimit.Allocator
 	peers     *peer.Client
 	logSyncer *logSyncer
 	fleet     *fleet.Fleet
-	// candidate hosts are strong enough to plan and to relay.
+	// candidate is set if this host has the capacity to be the planner or a relay.
 	candidate          bool
 	loadSampler        *loadSampler
 	inFlightAggregator *inFlightAggregator
@@ -123,31 +126,32 @@
 	callerServer       *http.Server
 	stopping           atomic.Bool
 	inFlight           atomic.Int64
-	// reportedDroppedLines is how many dropped log lines were told of.
+	// reportedDroppedLines is the number of dropped log lines already logged.
 	reportedDroppedLines int64
 }
 
-// Run serves until ctx ends or a part fails. The end of ctx is a planned
-// stop: the host reports unready, serves on until the platform sends it no
-// more callers, and ends when the requests under way are answered. Each
+// Run serves until ctx ends or a component fails. The end of ctx is a planned
+// stop: the host reports unready, serves until the platform routes no more
+// callers to it, and returns once the requests in flight are answered. Each
 // value from reload replaces the settings that can change at run time.
 func Run(ctx context.Context, cfg *settings.EntryHost, plat Platform, reload <-chan *settings.EntryHost, zl *zap.Logger) error {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	h := newHost(cfg, plat, zl)
 	var g run.Group
-	work, cancel := context.WithCancel(context.Background())
-	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamReport(work, c) }
-	g.Add(func() error { h.controller.run(work); return nil }, func(error) { cancel() })
-	g.Add(func() error { h.controller.crashes.run(work); return nil }, func(error) { cancel() })
-	h.logSyncer = h.newLogSyncer(work)
-	g.Add(func() error { h.logSyncer.run(work); return nil }, func(error) { cancel() })
-	g.Add(func() error { h.housekeep(work, reload); return nil }, func(error) { cancel() })
-	if err := h.listen(work, &g); err != nil {
+	// workCtx outlives ctx: the host keeps working until the planned stop is done.
+	workCtx, cancel := context.WithCancel(context.Background())
+	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamReport(workCtx, c) }
+	g.Add(func() error { h.controller.run(workCtx); return nil }, func(error) { cancel() })
+	g.Add(func() error { h.controller.crashes.run(workCtx); return nil }, func(error) { cancel() })
+	h.logSyncer = h.newLogSyncer(workCtx)
+	g.Add(func() error { h.logSyncer.run(workCtx); return nil }, func(error) { cancel() })
+	g.Add(func() error { h.housekeep(workCtx, reload); return nil }, func(error) { cancel() })
+	if err := h.listen(workCtx, &g); err != nil {
 		cancel()
 		return err
 	}
-	g.Add(func() error { return h.awaitStop(ctx, work) }, func(error) { cancel() })
+	g.Add(func() error { return h.awaitStop(ctx, workCtx) }, func(error) { cancel() })
 	zl.Info("started", zap.Int("event", events.EntryHostStarted), zap.String("host", cfg.Host), zap.String("data_centre", cfg.DataCentre),
 		zap.Float64("cpu_share", cfg.CPUShare), zap.Float64("link_mbps", cfg.LinkMbps), zap.Bool("eager", h.candidate))
 	err := g.Run()
@@ -185,50 +189,52 @@
 	return h
 }
 
-// eagerCPU (parts of a core) and eagerLink (Mbit/s) are what a host needs to
-// plan for a hundred others: a change of ownership sends each some 5 KB, and
-// a change of load brings several a second.
+// candidateMinCPU (in cores) and candidateMinLinkMbps are the capacity that a
+// host needs to plan for a hundred others: each ownership change sends some 5 KB
+// to every host, and a change of load causes several of them a second.
 const candidateMinCPU, candidateMinLinkMbps = 0.3, 100
 
-// seatTTL is how long the planner's seat outlives its holder's last word.
+// leaseTTL is how long the planner lease lasts after its last renewal, unless the
+// log service's minimum is longer.
 const leaseTTL = 1200 * time.Millisecond
 
-// hostBudgetLimits is this host's part of the repeats in a fleet of so many.
+// hostBudgetLimits returns this host's share of the retry budget in a fleet of
+// the given number of hosts.
 func hostBudgetLimits(cfg *settings.EntryHost, hosts int) budget.Limits {
 	return budget.Limits{Ratio: cfg.RetryBudgetRatio, Slack: cfg.RetryBudgetSlack / float64(max(hosts, minAssumedHosts)), Window: cfg.RetryBudgetWindow}
 }
 
-// listen adds the host's servers.
-func (h *host) listen(work context.Context, g *run.Group) error {
+// listen opens the host's listeners and adds their HTTP servers to g.
+func (h *host) listen(workCtx context.Context, g *run.Group) error {
 	h.callerServer = &http.Server{Handler: http.HandlerFunc(h.serve), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnContext: dispatch.WithCaller}
-	if err := h.addServer(work, g, h.cfg.Listen, h.callerServer); err != nil {
+	if err := h.addServer(workCtx, g, h.cfg.Listen, h.callerServer); err != nil {
 		return err
 	}
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+h.plat.ReadyPath, h.serveReady)
-	if err := h.addServer(work, g, h.cfg.ReadyListen, &http.Server{Handler: ready, ReadHeaderTimeout: readHeaderTimeout}); err != nil {
+	if err := h.addServer(workCtx, g, h.cfg.ReadyListen, &http.Server{Handler: ready, ReadHeaderTimeout: readHeaderTimeout}); err != nil {
 		return err
 	}
 	peers := http.NewServeMux()
 	ps := peerpb.NewPeerServer(&peer.Server{Copy: h.controller.replica, ReplicaStatus: h.replicaStatus, Fleet: h.fleet, Name: h.cfg.Host, HostStatus: h.status, RetireTermsBefore: h.retire,
-		OnLoads: func(l []peer.ServiceLoad) { h.receiveLoads(work, l) }, OnLoadStats: h.inFlightAggregator.report, PeerLoads: h.inFlightAggregator.othersInFlight,
+		OnLoads: func(l []peer.ServiceLoad) { h.receiveLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.report, PeerLoads: h.inFlightAggregator.othersInFlight,
 		Feedback: h.feedback, AcquirePermits: h.issuePermits})
 	peers.Handle(ps.PathPrefix(), ps)
 	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.tracker, Log: h.zl})
 	peers.Handle(rs.PathPrefix(), rs)
-	if err := h.addServer(work, g, h.cfg.PeerListen, &http.Server{Handler: peers, ReadHeaderTimeout: readHeaderTimeout}); err != nil {
+	if err := h.addServer(workCtx, g, h.cfg.PeerListen, &http.Server{Handler: peers, ReadHeaderTimeout: readHeaderTimeout}); err != nil {
 		return err
 	}
-	page := http.NewServeMux()
-	page.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
+	metricsMux := http.NewServeMux()
+	metricsMux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		metrics.WritePrometheus(w, true)
 		h.writeGauges(w, time.Now())
 	})
-	return h.addServer(work, g, h.cfg.MetricsListen, &http.Server{Handler: page, ReadHeaderTimeout: readHeaderTimeout})
+	return h.addServer(workCtx, g, h.cfg.MetricsListen, &http.Server{Handler: metricsMux, ReadHeaderTimeout: readHeaderTimeout})
 }
 
-func (h *host) addServer(work context.Context, g *run.Group, addr string, srv *http.Server) error {
+func (h *host) addServer(workCtx context.Context, g *run.Group, addr string, srv *http.Server) error {
 	ln, err := h.plat.listenOn(addr)
 	if err != nil {
 		return eris.Wrapf(err, "listen %s", addr)
@@ -237,7 +243,7 @@
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			return eris.Wrapf(err, "serve %s", addr)
 		}
-		<-work.Done() // Shutdown ends Serve before the answers are out
+		<-workCtx.Done() // Serve returns as soon as Shutdown begins, before the responses are written
 		return nil
 	}, func(error) { _ = srv.Close() })
 	return nil
@@ -252,8 +258,8 @@
 	h.dispatch.ServeHTTP(w, r)
 }
 
-// serveReady answers whether the platform may send callers: not before the
-// desired state is known, and not while stopping.
+// serveReady answers the platform's readiness probe. The host is unready until
+// it knows the desired state, and while it is stopping.
 func (h *host) serveReady(w http.ResponseWriter, _ *http.Request) {
 	v := h.views.Load()
 	if h.stopping.Load() || v.Desired == nil {
@@ -263,30 +269,33 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// awaitStop waits for the planned stop and carries it out.
-func (h *host) awaitStop(ctx, work context.Context) error {
+// awaitStop waits for the end of ctx and performs the planned stop. It returns
+// nil if workCtx ends first.
+func (h *host) awaitStop(ctx, workCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-work.Done():
+	case <-workCtx.Done():
 		return nil
 	}
 	h.stopping.Store(true)
 	began := time.Now()
 	h.zl.Info("stopping", zap.Int("event", events.EntryHostStopping), zap.Int64("in_flight", h.inFlight.Load()))
-	last := began.Add(h.cfg.ShutdownGrace - shutdownMargin)
-	h.dispatch.StopBy(last.Add(-responseWriteMargin))
-	h.controller.resign(work)
+	deadline := began.Add(h.cfg.ShutdownGrace - shutdownMargin)
+	h.dispatch.StopBy(deadline.Add(-responseWriteMargin))
+	h.controller.resign(workCtx)
 	time.Sleep(readinessPropagationDelay)
-	// Shutdown, unlike Close, lets answers that are being written go out.
-	sctx, cancel := context.WithDeadline(work, last)
+	// Shutdown, unlike Close, lets responses that are being written finish.
+	shutdownCtx, cancel := context.WithDeadline(workCtx, deadline)
 	defer cancel()
-	if err := h.callerServer.Shutdown(sctx); err != nil {
-		h.zl.Warn("stopped with requests under way", zap.Int("event", events.EntryHostStopping), zap.Int64("in_flight", h.inFlight.Load()), ErrorField(err))
+	if err := h.callerServer.Shutdown(shutdownCtx); err != nil {
+		h.zl.Warn("stopped with requests still in flight", zap.Int("event", events.EntryHostStopping), zap.Int64("in_flight", h.inFlight.Load()), ErrorField(err))
 	}
 	return ctx.Err()
 }
 
-// housekeep closes what is no longer used and takes in changed settings.
+// housekeep runs once a housekeepInterval until ctx ends: it updates the limits
+// that depend on the fleet size and discards the state of upstreams that are no
+// longer listed. It also applies reloaded settings.
 func (h *host) housekeep(ctx context.Context, reload <-chan *settings.EntryHost) {
 	t := time.NewTicker(housekeepInterval)
 	defer t.Stop()
@@ -303,27 +312,28 @@
 			hosts := h.fleet.Size(now)
 			h.dispatch.SetHostCount(hosts, h.fleetSizeKnown(now))
 			h.budget.SetLimits(hostBudgetLimits(current, hosts))
-			keep := listedIn(h.views.Load().Upstreams)
-			h.client.Prune(now, keep)
-			h.picker.Prune(keep)
+			listed := listedIn(h.views.Load().Upstreams)
+			h.client.Prune(now, listed)
+			h.picker.Prune(listed)
 			h.picker.MarkSynced(h.controller.replica.CurrentAt(metastore.StreamUpstreams))
-			h.feedback.Prune(keep, now)
+			h.feedback.Prune(listed, now)
 			h.dispatch.Prune()
 		}
 	}
 }
 
-// fleetSizeKnown reports whether the fleet's size rests on the planner's word, or,
-// on a planner, on the calls of the others, who have had time to find it.
+// fleetSizeKnown reports whether the fleet size can be relied on: it came from
+// the planner, or this host is the planner and the other hosts have had
+// fleetDiscoveryTime to call it.
 func (h *host) fleetSizeKnown(now time.Time) bool {
 	return h.fleet.HasPlannerSize() || (h.controller.isPlanner.Load() && now.Sub(h.logSyncer.startedAt) > fleetDiscoveryTime)
 }
 
-// gatherFleet is how long after its start a planner that nobody told how many
-// hosts there are waits for them to call.
+// fleetDiscoveryTime is how long after its start a planner that has received no
+// fleet size from another planner waits for the other hosts to call.
 const fleetDiscoveryTime = 3 * time.Second
 
-// logDroppedLines logs that log lines were dropped since it last looked.
+// logDroppedLines logs how many log lines were dropped since its last call.
 func (h *host) logDroppedLines() {
 	total := h.plat.LogDropped()
 	if total > h.reportedDroppedLines {
@@ -332,6 +342,7 @@
 	h.reportedDroppedLines = total
 }
 
+// listedIn returns a function that reports whether s contains an upstream ID.
 func listedIn(s *catalogue.Snapshot) func(id string) bool {
 	return func(id string) bool { return s.ByID[id] != nil }
 }
--- a/internal/entryhost/inflight.go
+++ b/internal/entryhost/inflight.go
@@ -10,11 +10,12 @@
 	"github.com/papayatide/papayatide/internal/inflight"
 )
 
-// ownEvery is how often a host that others follow adds what it has itself.
+// ownReportInterval is how often a host that others follow adds its own load
+// statistics.
 const ownReportInterval = 200 * time.Millisecond
 
-// inFlightAggregator shares what the hosts of a data centre have at upstreams, on the host
-// that the others follow.
+// inFlightAggregator sums the in-flight requests at upstreams over the hosts of
+// one data centre. It runs on the host that the others follow.
 type inFlightAggregator struct {
 	host, dataCentre string
 	picker           *balance.Picker
@@ -24,39 +25,41 @@
 	ownReportedAt time.Time
 }
 
-func newInFlightAggregator(name, home string, board *balance.Picker, upstreams func() *catalogue.Snapshot) *inFlightAggregator {
-	return &inFlightAggregator{host: name, dataCentre: home, picker: board, aggregator: inflight.New(upstreams, time.Now())}
+func newInFlightAggregator(host, dataCentre string, picker *balance.Picker, upstreams func() *catalogue.Snapshot) *inFlightAggregator {
+	return &inFlightAggregator{host: host, dataCentre: dataCentre, picker: picker, aggregator: inflight.New(upstreams, time.Now())}
 }
 
-// report takes in what a host that follows this one has, and adds what this host
-// has itself.
-func (u *inFlightAggregator) report(caller fleet.Host, its []balance.LoadStats) {
-	if caller.DataCentre != u.dataCentre {
+// report records the load statistics of a follower, and every ownReportInterval
+// those of this host. It ignores hosts of other data centres.
+func (a *inFlightAggregator) report(caller fleet.Host, stats []balance.LoadStats) {
+	if caller.DataCentre != a.dataCentre {
 		return
 	}
 	now := time.Now()
-	u.aggregator.Record(caller.Name, its, now)
-	if u.ownReportDue(now) {
-		u.aggregator.Record(u.host, u.picker.FlushLoadStats(), now)
-		u.picker.SetPeerLoads(u.aggregator.PeerLoads(u.host, u.picker.Subset().IDs, now), now)
+	a.aggregator.Record(caller.Name, stats, now)
+	if a.ownReportDue(now) {
+		a.aggregator.Record(a.host, a.picker.FlushLoadStats(), now)
+		a.picker.SetPeerLoads(a.aggregator.PeerLoads(a.host, a.picker.Subset().IDs, now), now)
 	}
 }
 
-func (u *inFlightAggregator) ownReportDue(now time.Time) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if now.Sub(u.ownReportedAt) < ownReportInterval {
+// ownReportDue reports whether ownReportInterval has passed, and if so starts it anew.
+func (a *inFlightAggregator) ownReportDue(now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if now.Sub(a.ownReportedAt) < ownReportInterval {
 		return false
 	}
-	u.ownReportedAt = now
+	a.ownReportedAt = now
 	return true
 }
 
-// othersInFlight returns what the hosts of the caller's data centre have but itself at
-// each of the upstreams, if that is this host's too.
-func (u *inFlightAggregator) othersInFlight(caller fleet.Host, ids []string) []balance.PeerLoad {
-	if caller.DataCentre != u.dataCentre {
+// othersInFlight returns, for each of the upstreams, what the other hosts of
+// the caller's data centre have in flight. It returns nil for a caller in
+// another data centre.
+func (a *inFlightAggregator) othersInFlight(caller fleet.Host, ids []string) []balance.PeerLoad {
+	if caller.DataCentre != a.dataCentre {
 		return nil
 	}
-	return u.aggregator.PeerLoads(caller.Name, ids, time.Now())
+	return a.aggregator.PeerLoads(caller.Name, ids, time.Now())
 }
--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -18,310 +18,330 @@
 )
 
 const (
-	// followWait is how long a call to the planner waits for something new.
-	// Load is reported with each call, and a burst on a few keys is to be
-	// answered within a second.
+	// followWait is how long a call to the planner waits for new records. Each
+	// call also reports load, and the planner must react within a second to a
+	// burst on a few keys.
 	followWait = 300 * time.Millisecond
-	// followTimeout bounds such a call; a planner that does not answer in
-	// time is taken for lost and the log service is read directly.
+	// followTimeout bounds such a call. A planner that does not answer in time
+	// counts as lost, and the host reads the log service directly.
 	followTimeout = followWait + 400*time.Millisecond
-	// relayFollowTimeout is followTimeout of a call to a relay, which is in this
-	// host's data centre: undisturbed it answers in a millisecond.
+	// relayFollowTimeout bounds a call to a relay. It is shorter than
+	// followTimeout because the relay is in this host's data centre and
+	// normally answers within a millisecond.
 	relayFollowTimeout = followWait + 250*time.Millisecond
-	// relayFollowWait is followWait of a host that relays: what it passes on is so
-	// much older.
+	// relayFollowWait replaces followWait on a relay, whose followers receive
+	// records later by its own wait.
 	relayFollowWait = 200 * time.Millisecond
-	// maxReplicaAge is the greatest age of the planner's copy that is relied on.
-	// With followTimeout it leaves a host behind the log by at most 1.8 s
-	// before it reads for itself; relayedAge is that of a relay's copy, with
-	// which and relayTimeout it is 1.8 s too. A change must be in force, and an
-	// upstream that leaves left alone, within 2 s.
+	// maxReplicaAge and maxRelayedReplicaAge are the greatest usable ages of
+	// the planner's and of a relay's replica. Together with followTimeout or
+	// relayFollowTimeout, a host is at most 1.8 s behind the log before it
+	// reads the log itself: a change must be in force, and a leaving upstream
+	// avoided, within 2 s.
 	maxReplicaAge        = 1100 * time.Millisecond
 	maxRelayedReplicaAge = 1250 * time.Millisecond
-	// directReadAge is the age of what this host knows from which on it reads
-	// every stream itself, if it does not find the planner again; it leaves
-	// 0.5 s for that.
+	// directReadAge is the age of this host's replica from which on it reads
+	// all streams directly, unless it finds the planner again. It leaves 0.5 s
+	// to catch up.
 	directReadAge = 1500 * time.Millisecond
-	// discoveryTimeout is how long a weak host that knows nothing looks for a planner
-	// before it reads every stream itself: one that plans already answers within
-	// a tenth of a second, and without one callers wait. At the first start of
-	// the fleet there are no callers yet, and a planner takes a second or two. A
-	// strong host reads at once: it may have to plan.
-	discoveryTimeout           = 300 * time.Millisecond
+	// discoveryTimeout is how long a host that is no candidate and has read
+	// nothing yet looks for a planner before it reads all streams directly. An
+	// existing planner answers within 0.1 s, and without one callers wait. A
+	// candidate reads at once, because it may have to be the planner.
+	discoveryTimeout = 300 * time.Millisecond
+	// firstStartDiscoveryTimeout replaces it at the fleet's first start: there are
+	// no callers yet, and a planner takes one or two seconds to appear.
 	firstStartDiscoveryTimeout = 3 * time.Second
-	// plannerRetryInterval is the pause between calls while the planner is unknown,
-	// this host itself, or does not answer.
+	// plannerRetryInterval is the pause between calls while no planner is
+	// known, this host is the planner, or the planner does not answer.
 	plannerRetryInterval = 150 * time.Millisecond
-	// While the host that is followed answers, but with too old a copy, the log
-	// service mostly fails all of them. A weak host asks it once then, as it may
-	// be the only one that is served; if it fails, all weak hosts together ask
-	// triesPerSecond times a second from then on, each at least every tryMost.
+	// While the followed host answers with too old a replica, the log service
+	// usually fails all hosts. A host that is no candidate then tries one read,
+	// as it may be the only one that is served. If that fails, all such hosts
+	// together make fleetAttemptsPerSecond reads, and each host on average at
+	// least one per maxAttemptInterval.
 	fleetAttemptsPerSecond = 10
 	maxAttemptInterval     = 2500 * time.Millisecond
 )
 
-// logSyncer keeps the copy of the log current: from the planner's copy, or that
-// of a relay, where it is young enough, from the log service otherwise.
+// logSyncer keeps this host's replica of the log current. It follows the
+// planner or a relay while their replica is recent enough, and otherwise reads
+// the log service.
 type logSyncer struct {
 	peers   *peer.Client
 	replica *relay.Replica
-	// ownershipReader reads the ownership stream, which says who plans; rest are
-	// the readers of the others.
+	// ownershipReader reads the ownership stream, which names the planner.
+	// otherReaders read the other streams.
 	ownershipReader *streamReader
 	otherReaders    []*streamReader
-	// isPlanner reports whether this host plans.
+	// isPlanner reports whether this host is the planner.
 	isPlanner func() bool
-	// self describes this host to the others.
+	// self describes this host to the hosts that it calls.
 	self  func() fleet.Host
 	fleet *fleet.Fleet
-	// picker reports what this host has at upstreams, and learns of the others.
+	// picker supplies this host's load statistics of upstreams, and receives
+	// those of the other hosts.
 	picker *balance.Picker
-	// feedback is what upstreams report of themselves.
+	// feedback holds what upstreams report about themselves, which hosts
+	// exchange as notices.
 	feedback *feedback.Tracker
-	// plannerAddr returns the planner's peer address; empty if there is none
-	// or it is this host.
+	// plannerAddr returns the planner's peer address (host:port). It is empty
+	// if no planner is known or it is this host.
 	plannerAddr func() string
-	// takeLoads returns the load to report, localLoads uses it on the
-	// planner itself.
+	// takeLoads returns the load to report and resets it. applyLoads processes
+	// it locally if this host is the planner or knows none.
 	takeLoads  func() []peer.ServiceLoad
 	applyLoads func([]peer.ServiceLoad)
-	apply      func(relay.Batch)
-	// onPlannerFollowed is told that a call to the planner was good, and for how long
-	// the planner has reached the log service.
-	onPlannerFollowed func(steady time.Duration)
-	// onPlannerLost is told of a call that failed, seen of a strong host that answers
-	// without a young copy.
+	// apply updates this host's state, replica included, from a batch.
+	apply func(relay.Batch)
+	// onPlannerFollowed is called after a successful call, with the time for
+	// which the planner has reached the log service without failure.
+	onPlannerFollowed func(logReachableFor time.Duration)
+	// onPlannerLost is called after a failed call, onCandidateSeen while the
+	// followed host answers with too old a replica or none.
 	onPlannerLost, onCandidateSeen func()
 	zl                             *zap.Logger
 
-	// discoveryTimeout is for how long a weak host looks for a planner first.
+	// discoveryTimeout is how long a host that is no candidate looks for a
+	// planner before it reads all streams directly.
 	discoveryTimeout time.Duration
-	// startedAt is when run began, failed whether the last call failed.
+	// startedAt is when run began, lastFollowFailed whether the last call
+	// failed.
 	startedAt        time.Time
 	lastFollowFailed bool
-	// followedReplicaStale is set while the host that is followed answers with a copy that is
-	// too old, or that it has none.
+	// followedReplicaStale is set while the followed host answers that its
+	// replica is too old, or that it has none.
 	followedReplicaStale bool
-	// attempts are this host's own reads while oldCopy is set.
+	// attempts schedules this host's single reads while followedReplicaStale is
+	// set.
 	attempts readAttempts
-	// wasPlanner is planning as of the last look.
+	// wasPlanner is the result of isPlanner at the last iteration of run.
 	wasPlanner bool
-	// directReadCtx is that of the readers at work, nil while there are none;
-	// restAtWork is set once those of rest are among them.
+	// directReadCtx is the context of the running readers; nil while none runs.
+	// otherReadersRunning is set while otherReaders run too.
 	directReadCtx       context.Context
 	cancelDirectReads   context.CancelFunc
 	otherReadersRunning bool
-	// directReadsStartedAt is when they began, reading whether there are any.
+	// directReadsStartedAt is when the running readers were started.
+	// readingDirectly is set while readers run.
 	directReadsStartedAt time.Time
 	readingDirectly      atomic.Bool
-	// following holds the address of the host whose copy is relied on, a
-	// string; empty or nil if there is none.
+	// following holds the address of the followed host as a string; empty or
+	// nil if there is none.
 	following atomic.Value
-	// relayAddr is the host that relays the copy of the planner at relayOf.
+	// relayAddr is the relay that the planner at relayPlannerAddr has named for
+	// this host; empty if there is none.
 	relayAddr, relayPlannerAddr string
-	// lastPlannerStatus is the last answer of the planner itself; see standing.
+	// lastPlannerStatus is from the planner's last answer; see replicaStatus.
 	lastPlannerStatus atomic.Pointer[plannerStatus]
 }
 
-// plannerStatus is what the planner said of its copy.
+// plannerStatus is the planner's replica status at the time of an answer.
 type plannerStatus struct {
 	receivedAt                  time.Time
 	replicaAge, logReachableFor time.Duration
 }
 
-// run keeps the copy current until ctx ends.
-func (f *logSyncer) run(ctx context.Context) {
-	f.startedAt = time.Now()
-	f.startDirectReads(ctx)
+// run keeps the replica current until ctx ends.
+func (s *logSyncer) run(ctx context.Context) {
+	s.startedAt = time.Now()
+	s.startDirectReads(ctx)
 	for ctx.Err() == nil {
-		f.restartReadersOnPromotion()
-		if f.follow(ctx) {
-			f.stopDirectReads()
+		s.restartReadersOnPromotion()
+		if s.follow(ctx) {
+			s.stopDirectReads()
 			continue
 		}
-		f.readFromLog(ctx)
+		s.readFromLog(ctx)
 		sleep(ctx, plannerRetryInterval)
 	}
-	f.stopDirectReads()
+	s.stopDirectReads()
 }
 
-// readFromLog has this host read the log service, if it is one of those that
-// should.
-func (f *logSyncer) readFromLog(ctx context.Context) {
-	if f.self().Candidate || f.isPlanner() || !f.followedReplicaStale || f.replica.NextOffset(metastore.StreamDesired) < 0 {
-		f.startDirectReads(ctx)
+// readFromLog starts direct reads where this host should read the log service.
+// While the followed host's replica is stale, a host that is no candidate reads
+// only after a single attempt has succeeded, and stops when a read fails.
+func (s *logSyncer) readFromLog(ctx context.Context) {
+	if s.self().Candidate || s.isPlanner() || !s.followedReplicaStale || s.replica.NextOffset(metastore.StreamDesired) < 0 {
+		s.startDirectReads(ctx)
 		return
 	}
-	if f.directReadCtx != nil && f.attempts.failedSince(f.directReadsStartedAt) {
-		f.stopDirectReads()
+	if s.directReadCtx != nil && s.attempts.failedSince(s.directReadsStartedAt) {
+		s.stopDirectReads()
 		return
 	}
-	if f.directReadCtx != nil {
-		f.startDirectReads(ctx) // the streams that were young enough may not be any more
+	if s.directReadCtx != nil {
+		s.startDirectReads(ctx) // the other streams may have become too old since
 		return
 	}
-	f.onCandidateSeen() // a host that is strong enough to plan answers, if without a copy
-	switch f.attempts.next(time.Now(), f.fleet.Size(time.Now())) {
+	s.onCandidateSeen() // the host that answered is a candidate, though its replica is stale
+	switch s.attempts.next(time.Now(), s.fleet.Size(time.Now())) {
 	case attemptNow:
-		go func() { f.attempts.finish(f.otherReaders[attemptStreamIndex].readOnce(ctx)) }()
+		go func() { s.attempts.finish(s.otherReaders[attemptStreamIndex].readOnce(ctx)) }()
 	case attemptSucceeded:
-		f.startDirectReads(ctx)
+		s.startDirectReads(ctx)
 	}
 }
 
-// follow makes one call to the planner, or to the relay of its copy, and
-// reports whether the answer can be relied on.
-func (f *logSyncer) follow(ctx context.Context) bool {
-	planner := f.plannerAddr()
-	loads := f.takeLoads()
+// follow makes one call to the planner or its relay. If the relay's answer
+// can't be used, it calls the planner too. It reports whether this host's
+// replica is now recent enough.
+func (s *logSyncer) follow(ctx context.Context) bool {
+	planner := s.plannerAddr()
+	loads := s.takeLoads()
 	if planner == "" {
-		f.applyLoads(loads)
-		f.setFollowed("", 0, nil)
+		s.applyLoads(loads)
+		s.setFollowed("", 0, nil)
 		return false
 	}
-	if f.relayAddr != "" && f.relayPlannerAddr == planner {
-		if f.followHost(ctx, f.relayAddr, maxRelayedReplicaAge, relayFollowTimeout, loads) {
+	if s.relayAddr != "" && s.relayPlannerAddr == planner {
+		if s.followHost(ctx, s.relayAddr, maxRelayedReplicaAge, relayFollowTimeout, loads) {
 			return true
 		}
 		loads = nil
 	}
-	f.relayAddr, f.relayPlannerAddr = "", planner
-	return f.followHost(ctx, planner, maxReplicaAge, followTimeout, loads)
+	s.relayAddr, s.relayPlannerAddr = "", planner
+	return s.followHost(ctx, planner, maxReplicaAge, followTimeout, loads)
 }
 
-// followHost makes one call and takes the answer in. It reports whether it can be
-// relied on: it must come within timeout and not be older than oldest.
-func (f *logSyncer) followHost(ctx context.Context, addr string, oldest, timeout time.Duration, loads []peer.ServiceLoad) bool {
-	q := peer.FollowRequest{Self: f.self(), Positions: map[metastore.Stream]int64{}, Loads: loads, Notices: f.feedback.Notices(time.Now()), Wait: followWait}
-	relays := q.Self.Followers > 0
-	if relays {
-		q.Wait = relayFollowWait
+// followHost makes one call to the host at addr and applies the answer. It
+// reports whether the answer came within timeout and its replica's age is at
+// most maxAge.
+func (s *logSyncer) followHost(ctx context.Context, addr string, maxAge, timeout time.Duration, loads []peer.ServiceLoad) bool {
+	req := peer.FollowRequest{Self: s.self(), Positions: map[metastore.Stream]int64{}, Loads: loads, Notices: s.feedback.Notices(time.Now()), Wait: followWait}
+	isRelay := req.Self.Followers > 0
+	if isRelay {
+		req.Wait = relayFollowWait
 	} else {
-		q.LoadStats, q.Subset = f.picker.FlushLoadStats(), f.picker.Subset() // a relay's own are in its own sum
+		req.LoadStats, req.Subset = s.picker.FlushLoadStats(), s.picker.Subset() // a relay reports its own with its followers', see inFlightAggregator
 	}
-	for _, s := range relay.Streams {
-		q.Positions[s] = f.replica.FetchOffset(s)
+	for _, stream := range relay.Streams {
+		req.Positions[stream] = s.replica.FetchOffset(stream)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	got, err := f.peers.Follow(ctx, addr, q)
-	f.lastFollowFailed = err != nil
+	reply, err := s.peers.Follow(ctx, addr, req)
+	s.lastFollowFailed = err != nil
 	if err != nil {
-		f.followedReplicaStale = errors.Is(err, peer.ErrNoReplica)
-		f.onPlannerLost()
-		f.setFollowed("", 0, err)
+		s.followedReplicaStale = errors.Is(err, peer.ErrNoReplica)
+		s.onPlannerLost()
+		s.setFollowed("", 0, err)
 		return false
 	}
-	for _, b := range got.Batches {
-		f.apply(b)
+	for _, b := range reply.Batches {
+		s.apply(b)
 	}
-	for _, s := range relay.Streams {
-		f.replica.MarkCurrent(s, time.Now().Add(-got.Age))
+	for _, stream := range relay.Streams {
+		s.replica.MarkCurrent(stream, time.Now().Add(-reply.Age))
 	}
-	if addr == f.relayPlannerAddr && f.relayAddr == "" {
-		f.lastPlannerStatus.Store(&plannerStatus{receivedAt: time.Now(), replicaAge: got.Age, logReachableFor: got.LogReachableFor})
-		f.relayAddr = got.Relay
+	if addr == s.relayPlannerAddr && s.relayAddr == "" {
+		s.lastPlannerStatus.Store(&plannerStatus{receivedAt: time.Now(), replicaAge: reply.Age, logReachableFor: reply.LogReachableFor})
+		s.relayAddr = reply.Relay
 	}
-	f.fleet.SetPlannerSize(got.HostCount)
-	f.feedback.Merge(addr, got.Notices, time.Now())
-	if !relays {
-		f.picker.SetPeerLoads(got.PeerLoads, time.Now())
+	s.fleet.SetPlannerSize(reply.HostCount)
+	s.feedback.Merge(addr, reply.Notices, time.Now())
+	if !isRelay {
+		s.picker.SetPeerLoads(reply.PeerLoads, time.Now())
 	}
-	if f.followedReplicaStale = got.Age > oldest; f.followedReplicaStale {
-		f.setFollowed("", got.Age, nil)
+	if s.followedReplicaStale = reply.Age > maxAge; s.followedReplicaStale {
+		s.setFollowed("", reply.Age, nil)
 		return false
 	}
-	f.setFollowed(addr, got.Age, nil)
-	f.attempts.reset()
-	f.onPlannerFollowed(got.LogReachableFor)
+	s.setFollowed(addr, reply.Age, nil)
+	s.attempts.reset()
+	s.onPlannerFollowed(reply.LogReachableFor)
 	return true
 }
 
-// replicaStatus is the standing of this host's copy where it follows the planner
-// itself, or reads the log service: a relay whose planner was lost goes on with
-// what it reads, and those behind it need not read it all themselves. The
-// planner's steadiness is passed on as it was, without the time since: that it
-// reached the log service then says nothing of now.
-func (f *logSyncer) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
-	if h := f.lastPlannerStatus.Load(); h != nil {
-		if age := h.replicaAge + now.Sub(h.receivedAt); age <= maxRelayedReplicaAge {
-			return peer.ReplicaStatus{Age: age, LogReachableFor: h.logReachableFor}, true
+// replicaStatus returns the status of this host's replica if other hosts may
+// rely on it: if this host follows the planner itself or reads the log service.
+// A relay that has lost its planner thus serves what it reads, and its
+// followers need not all read the log service.
+//
+// The planner's LogReachableFor is passed on unchanged, without the time since
+// its answer: it says nothing about that time.
+func (s *logSyncer) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
+	if status := s.lastPlannerStatus.Load(); status != nil {
+		if age := status.replicaAge + now.Sub(status.receivedAt); age <= maxRelayedReplicaAge {
+			return peer.ReplicaStatus{Age: age, LogReachableFor: status.logReachableFor}, true
 		}
 	}
-	if age := f.replica.Age(now); f.readingDirectly.Load() && age <= maxRelayedReplicaAge {
-		return peer.ReplicaStatus{Age: age, LogReachableFor: f.replica.LogReachableFor(now)}, true
+	if age := s.replica.Age(now); s.readingDirectly.Load() && age <= maxRelayedReplicaAge {
+		return peer.ReplicaStatus{Age: age, LogReachableFor: s.replica.LogReachableFor(now)}, true
 	}
 	return peer.ReplicaStatus{}, false
 }
 
-// followedAddr returns the address of the host whose copy is relied on, if any.
-func (f *logSyncer) followedAddr() string {
-	addr, _ := f.following.Load().(string)
+// followedAddr returns the address of the host that this host follows, or "".
+func (s *logSyncer) followedAddr() string {
+	addr, _ := s.following.Load().(string)
 	return addr
 }
 
-// setFollowed logs that another planner's copy is relied on, or none any more.
-func (f *logSyncer) setFollowed(addr string, age time.Duration, err error) {
-	old := f.followedAddr()
+// setFollowed sets the followed address, "" for none, and logs a change.
+func (s *logSyncer) setFollowed(addr string, age time.Duration, err error) {
+	old := s.followedAddr()
 	if addr == old {
 		return
 	}
 	if addr != "" {
-		f.zl.Info("planner's copy of the log followed", zap.Int("event", events.PlannerFollowed), zap.String("planner", addr), zap.Duration("age", age))
+		s.zl.Info("following the log replica of another host", zap.Int("event", events.PlannerFollowed), zap.String("planner", addr), zap.Duration("age", age))
 	} else {
-		f.zl.Info("planner's copy of the log left", zap.Int("event", events.PlannerUnfollowed), zap.String("planner", old),
+		s.zl.Info("stopped following the log replica of another host", zap.Int("event", events.PlannerUnfollowed), zap.String("planner", old),
 			zap.Duration("age", age), ErrorField(err))
 	}
-	f.following.Store(addr)
+	s.following.Store(addr)
 }
 
-// restartReadersOnPromotion has the readers begin anew when this host gets the planner's
-// seat. Their reads under way wait longer than the planner's: its copy would
-// look too old to the others, who would all read the log service.
-func (f *logSyncer) restartReadersOnPromotion() {
-	now := f.isPlanner()
-	if now && !f.wasPlanner {
-		f.stopDirectReads()
+// restartReadersOnPromotion stops the readers when this host becomes the
+// planner; run starts them again. Their pending reads wait longer than a
+// planner's, so that the replica would look too old to the other hosts, which
+// would all read the log service.
+func (s *logSyncer) restartReadersOnPromotion() {
+	planning := s.isPlanner()
+	if planning && !s.wasPlanner {
+		s.stopDirectReads()
 	}
-	f.wasPlanner = now
+	s.wasPlanner = planning
 }
 
-// startDirectReads has the log service read: the ownership stream at once, as it says
-// who plans now, the others once they must be.
-func (f *logSyncer) startDirectReads(ctx context.Context) {
-	if f.directReadCtx == nil {
-		f.directReadCtx, f.cancelDirectReads = context.WithCancel(ctx)
-		f.directReadsStartedAt = time.Now()
-		f.readingDirectly.Store(true)
-		go f.ownershipReader.run(f.directReadCtx)
+// startDirectReads starts reading the log service: the ownership stream at
+// once, because it names the planner, and the others as soon as
+// shouldReadOtherStreams.
+func (s *logSyncer) startDirectReads(ctx context.Context) {
+	if s.directReadCtx == nil {
+		s.directReadCtx, s.cancelDirectReads = context.WithCancel(ctx)
+		s.directReadsStartedAt = time.Now()
+		s.readingDirectly.Store(true)
+		go s.ownershipReader.run(s.directReadCtx)
 	}
-	if f.otherReadersRunning || !f.shouldReadOtherStreams(time.Now()) {
+	if s.otherReadersRunning || !s.shouldReadOtherStreams(time.Now()) {
 		return
 	}
-	f.otherReadersRunning = true
-	for _, fl := range f.otherReaders {
-		go fl.run(f.directReadCtx)
+	s.otherReadersRunning = true
+	for _, reader := range s.otherReaders {
+		go reader.run(s.directReadCtx)
 	}
 }
 
-// shouldReadOtherStreams reports whether the streams other than ownership have to be read
-// directly. After a change of planner most hosts find the new one before they
-// have to: a change costs one or two calls a host instead of six.
-func (f *logSyncer) shouldReadOtherStreams(now time.Time) bool {
+// shouldReadOtherStreams reports whether the streams other than ownership must
+// be read directly. After a change of planner most hosts find the new one
+// before that, so that the change costs one or two calls per host instead of
+// six.
+func (s *logSyncer) shouldReadOtherStreams(now time.Time) bool {
 	switch {
-	case f.isPlanner() || f.self().Candidate:
-		return true // others follow it, or will
-	case f.replica.NextOffset(metastore.StreamDesired) < 0:
-		return f.lastFollowFailed || now.Sub(f.startedAt) > f.discoveryTimeout
+	case s.isPlanner() || s.self().Candidate:
+		return true // other hosts follow this one, or may soon
+	case s.replica.NextOffset(metastore.StreamDesired) < 0:
+		return s.lastFollowFailed || now.Sub(s.startedAt) > s.discoveryTimeout
 	}
-	return f.replica.Age(now) > directReadAge
+	return s.replica.Age(now) > directReadAge
 }
 
-// stopDirectReads ends reading the log service.
-func (f *logSyncer) stopDirectReads() {
-	if f.directReadCtx != nil {
-		f.cancelDirectReads()
-		f.directReadCtx, f.otherReadersRunning = nil, false
-		f.readingDirectly.Store(false)
+// stopDirectReads stops reading the log service.
+func (s *logSyncer) stopDirectReads() {
+	if s.directReadCtx != nil {
+		s.cancelDirectReads()
+		s.directReadCtx, s.otherReadersRunning = nil, false
+		s.readingDirectly.Store(false)
 	}
 }
--- a/internal/entryhost/plannerlog.go
+++ b/internal/entryhost/plannerlog.go
@@ -7,26 +7,27 @@
 	"github.com/papayatide/papayatide/internal/planner"
 )
 
-// plannerLines names the line logged for each kind of planner event.
+// plannerLogLines holds the event number and message logged for each kind of
+// planner event.
 var plannerLogLines = map[planner.EventKind]struct {
-	number int
-	text   string
+	event   int
+	message string
 }{
-	planner.LeaseAcquired:  {events.PlannerLeaseAcquired, "planner's seat taken"},
-	planner.LeaseLost:      {events.PlannerLeaseLost, "planner's seat lost"},
-	planner.TermStarted:    {events.PlannerTermStarted, "planner's term started"},
-	planner.TermEnded:      {events.PlannerTermEnded, "planner's term ended"},
+	planner.LeaseAcquired:  {events.PlannerLeaseAcquired, "planner lease acquired"},
+	planner.LeaseLost:      {events.PlannerLeaseLost, "planner lease lost"},
+	planner.TermStarted:    {events.PlannerTermStarted, "planner term started"},
+	planner.TermEnded:      {events.PlannerTermEnded, "planner term ended"},
 	planner.TableRecorded:  {events.OwnershipRecorded, "ownership recorded"},
-	planner.RecordConflict: {events.OwnershipConflict, "ownership record lost a race"},
-	planner.UpstreamLost:   {events.OwnerLost, "upstream answers no grants; its keys move once its grants have run out"},
-	planner.GrantRejected:  {events.GrantRejected, "grant refused"},
+	planner.RecordConflict: {events.OwnershipConflict, "ownership append conflicted with another record"},
+	planner.UpstreamLost:   {events.OwnerLost, "upstream lost: it answers no grants; its keys move once its grants have expired"},
+	planner.GrantRejected:  {events.GrantRejected, "grant rejected"},
 	planner.ReleaseFailed:  {events.ReleaseFailed, "release failed"},
 }
 
-// logPlannerEvent logs a change of the planner's belief.
+// logPlannerEvent logs a planner event.
 func (c *controller) logPlannerEvent(e planner.Event) {
 	line := plannerLogLines[e.Kind]
-	fields := []zap.Field{zap.Int("event", line.number)}
+	fields := []zap.Field{zap.Int("event", line.event)}
 	if e.Service != "" {
 		fields = append(fields, zap.String("service", e.Service))
 	}
@@ -48,5 +49,5 @@
 	if e.Err != nil {
 		fields = append(fields, ErrorField(e.Err))
 	}
-	c.zl.Info(line.text, fields...)
+	c.zl.Info(line.message, fields...)
 }
--- a/internal/entryhost/readattempts.go
+++ b/internal/entryhost/readattempts.go
@@ -6,75 +6,78 @@
 	"time"
 )
 
-// tryStream is the place of the upstreams' stream, which is tried, among those
-// that followers returns.
+// attemptStreamIndex is the index of the upstream stream's reader, which makes
+// the attempts, among the other readers that newStreamReaders returns.
 const attemptStreamIndex = 1
 
-// attemptDecision is what a host does that waits for the log service to serve it.
+// attemptDecision is what a host whose followed host has a stale replica does
+// next.
 type attemptDecision int
 
 const (
-	attemptLater attemptDecision = iota
-	attemptNow
-	attemptSucceeded
+	attemptLater     attemptDecision = iota // wait
+	attemptNow                              // make one read
+	attemptSucceeded                        // an attempt succeeded: start the readers
 )
 
-// readAttempts are a host's single reads of the log service while it waits for others
-// to have a young copy again. It is safe for concurrent use.
+// readAttempts schedules a host's single reads of the log service while the
+// followed host's replica is stale. It is safe for concurrent use.
 type readAttempts struct {
 	mu sync.Mutex
-	// inFlight is set while a read is, served once one was answered.
+	// inFlight is set while an attempt is running, succeeded once one has
+	// succeeded.
 	inFlight, succeeded bool
-	// nextAt is when the next one is made; zero before the first.
+	// nextAt is the time of the next attempt; zero before the first.
 	nextAt time.Time
-	// failedAt is when a read last failed, one of the readers at work too.
+	// failedAt is when an attempt, or a read by a running reader, last failed.
 	failedAt time.Time
 }
 
-// next returns what to do now, in a fleet of so many hosts.
-func (t *readAttempts) next(now time.Time, hosts int) attemptDecision {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// next returns what to do now in a fleet of the given number of hosts. On
+// attemptNow the caller must call finish.
+func (a *readAttempts) next(now time.Time, hosts int) attemptDecision {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	switch {
-	case t.succeeded:
-		t.succeeded = false
+	case a.succeeded:
+		a.succeeded = false
 		return attemptSucceeded
-	case t.inFlight || now.Before(t.nextAt):
+	case a.inFlight || now.Before(a.nextAt):
 		return attemptLater
 	}
-	pace := min(time.Duration(hosts)*time.Second/fleetAttemptsPerSecond, maxAttemptInterval)
-	t.nextAt = now.Add(pace/2 + rand.N(pace+1))
-	t.inFlight = true
+	interval := min(time.Duration(hosts)*time.Second/fleetAttemptsPerSecond, maxAttemptInterval)
+	a.nextAt = now.Add(interval/2 + rand.N(interval+1))
+	a.inFlight = true
 	return attemptNow
 }
 
-// finish takes a read's outcome.
-func (t *readAttempts) finish(err error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.inFlight, t.succeeded = false, err == nil
+// finish records the result of an attempt.
+func (a *readAttempts) finish(err error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.inFlight, a.succeeded = false, err == nil
 	if err != nil {
-		t.failedAt = time.Now()
+		a.failedAt = time.Now()
 	}
 }
 
-// recordFailure takes note that a reader at work failed.
-func (t *readAttempts) recordFailure() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.failedAt = time.Now()
+// recordFailure records that a running reader's read failed.
+func (a *readAttempts) recordFailure() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.failedAt = time.Now()
 }
 
-// failedSince reports whether a read failed after the given time.
-func (t *readAttempts) failedSince(at time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.failedAt.After(at)
+// failedSince reports whether a read has failed after the given time.
+func (a *readAttempts) failedSince(at time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.failedAt.After(at)
 }
 
-// reset takes note that another host's copy is young again.
-func (t *readAttempts) reset() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.succeeded, t.nextAt = false, time.Time{}
+// reset records that the followed host's replica is recent again.
+func (a *readAttempts) reset() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.succeeded, a.nextAt = false, time.Time{}
 }
--- a/internal/entryhost/status.go
+++ b/internal/entryhost/status.go
@@ -9,11 +9,11 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// keptChanges bounds the changes of ownership that a host remembers.
+// maxOwnershipChanges bounds the ownership changes that a host remembers.
 const maxOwnershipChanges = 32
 
-// ownershipChange is a change of ownership that this host adopted. It does not keep
-// the table: thirty of them are two megabytes on a large fleet.
+// ownershipChange summarizes an adopted ownership table. It does not keep the
+// table: thirty of them take two megabytes on a large fleet.
 type ownershipChange struct {
 	at             time.Time
 	service, cause string
@@ -21,30 +21,32 @@
 	keys           int
 }
 
-// ownershipHistory are the last ones. It is safe for concurrent use.
+// ownershipHistory holds the latest ownership changes, oldest first. It is safe
+// for concurrent use.
 type ownershipHistory struct {
 	mu      sync.Mutex
 	changes []ownershipChange
 }
 
-func (c *ownershipHistory) add(old, now *ownership.Table) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.changes = append(c.changes, ownershipChange{at: time.Now(), service: now.Service, cause: now.Cause, term: now.Term, fence: now.MaxFencingToken,
-		keys: now.KeysMovedSince(old)})
-	if n := len(c.changes) - maxOwnershipChanges; n > 0 {
-		c.changes = append([]ownershipChange(nil), c.changes[n:]...)
+// add records that table has replaced old, which is nil for a service's first.
+func (h *ownershipHistory) add(old, table *ownership.Table) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.changes = append(h.changes, ownershipChange{at: time.Now(), service: table.Service, cause: table.Cause, term: table.Term, fence: table.MaxFencingToken,
+		keys: table.KeysMovedSince(old)})
+	if n := len(h.changes) - maxOwnershipChanges; n > 0 {
+		h.changes = append([]ownershipChange(nil), h.changes[n:]...)
 	}
 }
 
-func (c *ownershipHistory) list() []ownershipChange {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return append([]ownershipChange(nil), c.changes...)
+func (h *ownershipHistory) list() []ownershipChange {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]ownershipChange(nil), h.changes...)
 }
 
-// retire stops what this host plans of the service in terms before the given
-// one, and reports whether no grant of those is under way any more.
+// retire stops this host's planning of the service in terms before the given
+// one. It reports whether no grant of those terms is in flight any more.
 func (h *host) retire(ctx context.Context, service string, term int64) bool {
 	done := make(chan bool, 1)
 	h.controller.post(ctx, func() { done <- h.controller.planner.Retire(service, term, h.controller.clock()) })
@@ -56,30 +58,30 @@
 	}
 }
 
-// status tells what this host believes, for operators.
+// status returns this host's state for operators.
 func (h *host) status(context.Context) *peerpb.StatusReply {
 	now := time.Now()
 	v := h.views.Load()
-	out := &peerpb.StatusReply{Host: h.cfg.Host, DataCentre: h.cfg.DataCentre, Planning: h.controller.isPlanner.Load(),
+	reply := &peerpb.StatusReply{Host: h.cfg.Host, DataCentre: h.cfg.DataCentre, Planning: h.controller.isPlanner.Load(),
 		ViewAgeMs: uint32(h.controller.replica.Age(now).Milliseconds()), Hosts: uint32(h.fleet.Size(now)), InFlight: h.inFlight.Load()}
-	out.Follows = h.logSyncer.followedAddr()
+	reply.Follows = h.logSyncer.followedAddr()
 	if v.Desired != nil {
-		out.Version = v.Desired.Version
+		reply.Version = v.Desired.Version
 	}
 	for _, t := range v.Tables {
-		out.Services = append(out.Services, describeTable(t))
+		reply.Services = append(reply.Services, describeTable(t))
 	}
 	for _, c := range h.controller.ownershipHistory.list() {
-		out.Changes = append(out.Changes, &peerpb.OwnershipChange{AgeMs: uint32(now.Sub(c.at).Milliseconds()), Service: c.service,
+		reply.Changes = append(reply.Changes, &peerpb.OwnershipChange{AgeMs: uint32(now.Sub(c.at).Milliseconds()), Service: c.service,
 			Term: c.term, Fence: c.fence, Keys: uint32(c.keys), Cause: c.cause})
 	}
-	return out
+	return reply
 }
 
 func describeTable(t *ownership.Table) *peerpb.ServiceStatus {
-	s := &peerpb.ServiceStatus{Name: t.Service, Term: t.Term, Fence: t.MaxFencingToken, Planner: t.Planner, Lost: t.Lost}
+	status := &peerpb.ServiceStatus{Name: t.Service, Term: t.Term, Fence: t.MaxFencingToken, Planner: t.Planner, Lost: t.Lost}
 	for _, r := range t.Ranges {
-		s.Ranges = append(s.Ranges, &peerpb.OwnedRange{From: uint32(r.From), To: uint32(r.To), Owner: r.Owner, Fence: r.FencingToken})
+		status.Ranges = append(status.Ranges, &peerpb.OwnedRange{From: uint32(r.From), To: uint32(r.To), Owner: r.Owner, Fence: r.FencingToken})
 	}
-	return s
+	return status
 }
--- a/internal/entryhost/streamreader.go
+++ b/internal/entryhost/streamreader.go
@@ -12,74 +12,81 @@
 )
 
 const (
-	// Waits of a read for a record. The planner's copy is followed by all
-	// hosts, and each read that returns proves it current, so its reads are
-	// short; at 0.7 s two streams cost 2.9 calls a second for the whole
-	// fleet. The ownership stream has no other writer than the planner,
-	// which looks every idlePause whether that still holds.
-	plannerLongPoll   = 700 * time.Millisecond
+	// plannerLongPoll is how long a read by the planner or a candidate waits
+	// for a record. Each read that returns proves the replica current, and all
+	// hosts follow the planner's, so the wait is short. At 0.7 s two streams
+	// cost 2.9 calls a second for the whole fleet.
+	plannerLongPoll = 700 * time.Millisecond
+	// skipCheckInterval is how often a skipped stream is checked. Only the planner
+	// skips one, the ownership stream, while nobody else writes it.
 	skipCheckInterval = 100 * time.Millisecond
-	// directLongPoll is the wait of hosts that cannot follow the planner. It
-	// bounds how long a record stays unseen if the service misses waking
-	// the reader, as was seen right after a cut healed.
+	// directLongPoll is how long a read waits on hosts that can't follow the
+	// planner. It bounds how long a record remains unread if the service does
+	// not wake the reader, which happened right after a cut ended.
 	directLongPoll = 1500 * time.Millisecond
-	// Pauses after a read that failed. They are short, as a host must know
-	// what it missed within three seconds of a cut's end, of which two pass
-	// in telling lapsed entries from upstreams that left. One reader of the
-	// three tries; the others wait for it, at most awaitLead.
+	// minReadRetryDelay and maxReadRetryDelay bound the backoff after a failed
+	// read. They are short: within 3 s of the end of a cut a host must have
+	// read what it missed, and 2 s of that pass in telling expired entries from
+	// upstreams that have left.
 	minReadRetryDelay = 100 * time.Millisecond
 	maxReadRetryDelay = 300 * time.Millisecond
-	maxProbeWait      = 2 * time.Second
-	// immediateReadTimeout bounds a read that does not wait for a record. One that set out
-	// while the way was cut would otherwise hold the next back for 1.5 s after the
-	// cut's end. A slow service answers within 0.3 s.
+	// maxProbeWait is how long the other readers wait for the probing reader to
+	// succeed before they retry themselves.
+	maxProbeWait = 2 * time.Second
+	// immediateReadTimeout bounds a read that does not wait for a record.
+	// Without it, a read sent during a cut would delay the next one until 1.5 s
+	// after the cut's end. A slow service answers within 0.3 s.
 	immediateReadTimeout = 600 * time.Millisecond
-	// Pauses after a read of the upstreams' stream, so that records that
-	// come in a burst cost one read: of the planner, whom all others follow,
-	// and of a host that reads for itself. When a fleet starts every host
-	// does, and every upstream writes: 91 hosts made some 1,800 calls in two
-	// seconds with the short pause.
+	// upstreamBatchDelayPlanner and upstreamBatchDelayDirect are the delays
+	// after a read of the upstream stream, on the planner and on a host that
+	// reads for itself. They let a burst of records cost one read. At a fleet's
+	// start every host reads and every upstream writes: with the planner's
+	// delay, 91 hosts made some 1,800 calls in two seconds.
 	upstreamBatchDelayPlanner = 150 * time.Millisecond
 	upstreamBatchDelayDirect  = 600 * time.Millisecond
-	// The same after a read of servers' ends.
+	// crashBatchDelayPlanner and crashBatchDelayDirect are the same for the
+	// crash stream.
 	crashBatchDelayPlanner = 300 * time.Millisecond
 	crashBatchDelayDirect  = 2 * time.Second
 )
 
-// streamReader reads one stream from the log service itself.
+// streamReader reads one stream from the log service.
 type streamReader struct {
 	store  metastore.Store
 	stream metastore.Stream
-	// delay, if set, says how long to pause before the first read.
+	// startDelay, if set, returns the delay before the first read.
 	startDelay func() time.Duration
-	// batchDelay says how long to pause after a read that returned records.
+	// batchDelay returns the delay after a read that returned records.
 	batchDelay func() time.Duration
 	replica    *relay.Replica
-	// maxWait says how long the next read may wait.
+	// maxWait returns how long the next read may wait for a record.
 	maxWait func() time.Duration
-	// apply is handed what was read, failed each error and nil after a
-	// success.
+	// apply receives each batch that was read. onResult receives the error of
+	// each read, nil after a success.
 	apply    func(relay.Batch)
 	onResult func(error)
-	// idle, if set, says that the stream need not be read at present.
+	// skip, if set, reports whether the stream needs no reading at present.
 	skip func() bool
-	// firstReadNoWait readers do not wait for a record the first time: others follow this
-	// host's copy, and until a read has returned it is as old as it was.
+	// firstReadNoWait makes the first read not wait for a record. Other hosts
+	// may follow this host's replica, whose age only drops once a read has
+	// returned.
 	firstReadNoWait bool
-	// isProbe is the reader that tries while the service fails.
+	// isProbe is set on the reader that retries without waiting for another
+	// while the service fails.
 	isProbe bool
 	health  *logHealth
 }
 
-// logHealth tells the readers of one host whether the service answers the one
-// that leads. While it does not, the others need not ask.
+// logHealth tells the readers of one host whether the probing reader reaches
+// the log service. While it does not, the others wait.
 type logHealth struct {
 	mu sync.Mutex
-	// recovered is closed when the service answers again; nil while it does.
+	// recovered is closed when the service answers again; nil while it is
+	// reachable.
 	recovered chan struct{}
 }
 
-// setReachable takes in whether the leading reader was answered.
+// setReachable records whether the probing reader's last read succeeded.
 func (h *logHealth) setReachable(ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,111 +99,113 @@
 	}
 }
 
-// awaitRecovery waits until the leading reader is answered, for at most d.
+// awaitRecovery waits until the probing reader succeeds, ctx ends or d has
+// passed. It returns at once if the last probe succeeded.
 func (h *logHealth) awaitRecovery(ctx context.Context, d time.Duration) {
 	h.mu.Lock()
-	back := h.recovered
+	recovered := h.recovered
 	h.mu.Unlock()
-	if back == nil {
+	if recovered == nil {
 		return
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-back:
+	case <-recovered:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-// run follows the stream until ctx ends.
-func (f *streamReader) run(ctx context.Context) {
-	if f.startDelay != nil {
-		sleep(ctx, f.startDelay())
+// run reads the stream until ctx ends.
+func (r *streamReader) run(ctx context.Context) {
+	if r.startDelay != nil {
+		sleep(ctx, r.startDelay())
 	}
 	backoff := minReadRetryDelay
-	next := f.replica.NextOffset(f.stream)
-	noWait := f.firstReadNoWait
+	next := r.replica.NextOffset(r.stream)
+	noWait := r.firstReadNoWait
 	for ctx.Err() == nil {
-		if f.skip != nil && f.skip() {
+		if r.skip != nil && r.skip() {
 			sleep(ctx, skipCheckInterval)
 			continue
 		}
-		wait := f.maxWait()
+		wait := r.maxWait()
 		if noWait {
 			wait = 0
 		}
-		at, err := f.read(ctx, max(next, f.replica.NextOffset(f.stream)), wait)
+		end, err := r.read(ctx, max(next, r.replica.NextOffset(r.stream)), wait)
 		if ctx.Err() != nil {
 			return
 		}
-		noWait = err != nil // waiting for a record would keep the service's return unseen
-		f.onResult(err)
-		if f.isProbe {
-			f.health.setReachable(err == nil)
+		noWait = err != nil // a read that waits for a record would detect the recovery late
+		r.onResult(err)
+		if r.isProbe {
+			r.health.setReachable(err == nil)
 		}
 		if err != nil {
 			sleep(ctx, backoff/2+rand.N(backoff))
 			backoff = min(backoff*2, maxReadRetryDelay)
-			if !f.isProbe {
-				f.health.awaitRecovery(ctx, maxProbeWait)
+			if !r.isProbe {
+				r.health.awaitRecovery(ctx, maxProbeWait)
 			}
 			continue
 		}
 		backoff = minReadRetryDelay
-		if at > next {
-			sleep(ctx, f.batchDelay())
+		if end > next {
+			sleep(ctx, r.batchDelay())
 		}
-		next = at
+		next = end
 	}
 }
 
-// readOnce makes one read, as run does, and returns why it failed.
-func (f *streamReader) readOnce(ctx context.Context) error {
-	_, err := f.read(ctx, f.replica.NextOffset(f.stream), 0)
+// readOnce makes one read that does not wait for a record.
+func (r *streamReader) readOnce(ctx context.Context) error {
+	_, err := r.read(ctx, r.replica.NextOffset(r.stream), 0)
 	if ctx.Err() == nil {
-		f.onResult(err)
+		r.onResult(err)
 	}
 	return err
 }
 
-// read makes one read from offset next, which may wait so long for a record, or
-// of the newest records if next is negative or no longer kept, and returns the
-// offset to go on from.
-func (f *streamReader) read(ctx context.Context, next int64, wait time.Duration) (int64, error) {
+// read makes one read and returns the offset to continue from. It reads from
+// offset next and waits up to wait for a record. If next is negative or its
+// record is no longer kept, it reads the newest record of each key.
+func (r *streamReader) read(ctx context.Context, next int64, wait time.Duration) (int64, error) {
 	if next >= 0 {
-		b, err := f.readFrom(ctx, next, wait)
+		batch, err := r.readFrom(ctx, next, wait)
 		if err == nil {
-			f.replica.MarkCurrent(f.stream, time.Now())
-			if len(b.Records) > 0 {
-				f.apply(relay.Batch{Stream: f.stream, Records: b.Records, NextOffset: b.Next})
+			r.replica.MarkCurrent(r.stream, time.Now())
+			if len(batch.Records) > 0 {
+				r.apply(relay.Batch{Stream: r.stream, Records: batch.Records, NextOffset: batch.Next})
 			}
-			return b.Next, nil
+			return batch.Next, nil
 		}
 		if !errors.Is(err, metastore.ErrTrimmed) {
 			return next, err
 		}
 	}
-	asked := time.Now()
-	recs, end, err := f.store.Newest(ctx, f.stream)
+	sentAt := time.Now()
+	records, end, err := r.store.Newest(ctx, r.stream)
 	if err != nil {
 		return next, err
 	}
-	f.replica.MarkCurrent(f.stream, asked)
-	f.apply(relay.Batch{Stream: f.stream, Reset: true, Records: recs, NextOffset: end})
+	r.replica.MarkCurrent(r.stream, sentAt)
+	r.apply(relay.Batch{Stream: r.stream, Reset: true, Records: records, NextOffset: end})
 	return end, nil
 }
 
-// readFrom reads from offset next on.
-func (f *streamReader) readFrom(ctx context.Context, next int64, wait time.Duration) (metastore.Batch, error) {
+// readFrom reads the records from offset next on.
+func (r *streamReader) readFrom(ctx context.Context, next int64, wait time.Duration) (metastore.Batch, error) {
 	if wait == 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, immediateReadTimeout)
 		defer cancel()
 	}
-	return f.store.Read(ctx, f.stream, next, wait)
+	return r.store.Read(ctx, r.stream, next, wait)
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
