--- a/internal/entryhost/actions.go
+++ b/internal/entryhost/actions.go
@@ -13,7 +13,8 @@
 	"github.com/papayatide/papayatide/internal/relay"
 )
 
-// execute makes a planner's call and hands its result back.
+// execute starts a planner's action on a goroutine of its own, which posts the
+// result back to the planner.
 func (c *controller) execute(ctx context.Context, a planner.Action) {
 	switch a := a.(type) {
 	case *planner.AcquireLease:
@@ -24,18 +25,18 @@
 	case *planner.ReleaseLease:
 		go func() {
 			if err := c.elector.release(ctx); err != nil {
-				c.zl.Info("planner's group not left; the membership lapses", zap.Int("event", events.PlannerLeaseLost), ErrorField(err))
+				c.zl.Info("leaving the planner group failed; the membership will expire", zap.Int("event", events.PlannerLeaseLost), ErrorField(err))
 			}
 		}()
 	case *planner.Append:
 		go c.append(ctx, a)
 	case *planner.Retire:
 		go func() {
-			rctx, cancel := context.WithTimeout(ctx, retireTimeout)
-			host, retired, err := c.retirer.Retire(rctx, a.Addr, a.Service, a.Term)
+			callCtx, cancel := context.WithTimeout(ctx, retireTimeout)
+			host, retired, err := c.retirer.Retire(callCtx, a.Addr, a.Service, a.Term)
 			cancel()
 			if err != nil {
-				c.zl.Debug("planner before does not answer", zap.Int("event", events.PreviousPlannerUnreachable), zap.String("peer", a.Host), ErrorField(err))
+				c.zl.Debug("previous planner does not answer", zap.Int("event", events.PreviousPlannerUnreachable), zap.String("peer", a.Host), ErrorField(err))
 			}
 			c.post(ctx, func() { c.planner.RetireDone(a, host, retired, c.clock()) })
 		}()
@@ -46,25 +47,28 @@
 		}()
 	case *planner.Release:
 		go func() {
-			rctx, cancel := context.WithTimeout(ctx, releaseTimeout)
-			token, err := c.granter.Release(rctx, a.Addr, a.Range)
+			callCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
+			token, err := c.granter.Release(callCtx, a.Addr, a.Range)
 			cancel()
 			c.post(ctx, func() { c.planner.ReleaseDone(a, token, err, c.clock()) })
 		}()
 	}
 }
 
-// grant sends a grant, unless it was decided on too long ago.
+// grant sends a grant, unless it was decided on longer than maxGrantSendDelay
+// ago. It runs on a goroutine of its own.
 func (c *controller) grant(ctx context.Context, a *planner.Grant) error {
-	late := c.clock().Sub(a.SentAt)
-	if late > maxGrantSendDelay {
-		return eris.Wrapf(ownership.ErrNotSent, "upstream %s: grant decided on %v ago", a.Addr, late)
+	delay := c.clock().Sub(a.SentAt)
+	if delay > maxGrantSendDelay {
+		return eris.Wrapf(ownership.ErrNotSent, "upstream %s: grant is %v old", a.Addr, delay)
 	}
-	gctx, cancel := context.WithTimeout(ctx, grantTimeout-late)
+	grantCtx, cancel := context.WithTimeout(ctx, grantTimeout-delay)
 	defer cancel()
-	return c.granter.Grant(gctx, a.Addr, a.Range, a.TTL, a.ExistingConnOnly)
+	return c.granter.Grant(grantCtx, a.Addr, a.Range, a.TTL, a.ExistingConnOnly)
 }
 
+// append appends an ownership table to the log, and adopts it if the log accepts it.
+// It runs on a goroutine of its own.
 func (c *controller) append(ctx context.Context, a *planner.Append) {
 	data, err := a.Table.Encode()
 	var end int64
@@ -72,13 +76,13 @@
 		end, err = c.store.AppendAt(ctx, metastore.StreamOwnership, a.Table.Service, data, a.ExpectedOffset)
 	}
 	c.post(ctx, func() {
-		t := c.planner.AppendDone(a, end, err, c.clock())
-		if t == nil {
+		table := c.planner.AppendDone(a, end, err, c.clock())
+		if table == nil {
 			return
 		}
-		c.adoptTable(t)
-		c.replica.KeepTable(end-1, t)
+		c.adoptTable(table)
+		c.replica.KeepTable(end-1, table)
 		c.replica.Apply(relay.Batch{Stream: metastore.StreamOwnership, NextOffset: end,
-			Records: []metastore.Record{{Key: t.Service, Value: data, Offset: end - 1}}})
+			Records: []metastore.Record{{Key: table.Service, Value: data, Offset: end - 1}}})
 	})
 }
--- a/internal/entryhost/crashlog.go
+++ b/internal/entryhost/crashlog.go
@@ -12,39 +12,41 @@
 )
 
 const (
-	// crashWriteDelay is the pause before ends are written, so that those of one
-	// moment cost one call, and it is known whether they have a common cause.
+	// crashWriteDelay is the delay before crashes are written. It lets
+	// simultaneous crashes share one call, and shows whether they are
+	// correlated failures.
 	crashWriteDelay = time.Second
-	// Pauses after a write that failed. Hosts have three seconds after the end
-	// of an outage to act on what they know.
+	// minCrashWriteRetryDelay and maxCrashWriteRetryDelay bound the backoff
+	// after a failed write. Hosts must act on known crashes within 3 s of the
+	// end of an outage.
 	minCrashWriteRetryDelay = 200 * time.Millisecond
 	maxCrashWriteRetryDelay = time.Second
-	// crashExpiryInterval is how often ends that no longer count are looked for. They
-	// count for a day.
+	// crashExpiryInterval is how often expired crashes are removed. They expire
+	// after a day.
 	crashExpiryInterval = time.Minute
 )
 
-// crashLog shares with the other hosts which requests end their servers. Each
-// host sees a few of the ends only, as callers come back on any host, and a
-// host that starts has seen none; so they are kept in the log service, where
-// the planner's copy of it carries them to every host.
+// crashLog shares with the other hosts which requests crash their servers. A
+// host sees only some of the crashes itself, because callers retry on any host,
+// and none before its start. Crashes are therefore kept in the log, which all
+// hosts get from the planner's replica.
 type crashLog struct {
 	zl      *zap.Logger
 	store   metastore.Store
 	tracker *crashes.Tracker
-	// isPlanner reports whether this host has records deleted that no longer
-	// count.
+	// isPlanner reports whether this host is the planner, which deletes expired
+	// records and lets refused fingerprints be tried again.
 	isPlanner func() bool
 }
 
-func newCrashLog(zl *zap.Logger, store metastore.Store, planning func() bool) *crashLog {
-	l := &crashLog{zl: zl, store: store, isPlanner: planning}
+func newCrashLog(zl *zap.Logger, store metastore.Store, isPlanner func() bool) *crashLog {
+	l := &crashLog{zl: zl, store: store, isPlanner: isPlanner}
 	l.tracker = crashes.NewTracker(l.onFingerprintRefused)
-	l.tracker.AllowTrialsIf(planning)
+	l.tracker.AllowTrialsIf(isPlanner)
 	return l
 }
 
-// run writes what this host saw until ctx ends.
+// run writes this host's crashes and removes expired ones until ctx ends.
 func (l *crashLog) run(ctx context.Context) {
 	t := time.NewTicker(crashExpiryInterval)
 	defer t.Stop()
@@ -61,9 +63,9 @@
 	}
 }
 
-// write writes all that is pending, however long that takes. A write without an
-// answer may take effect all the same, or later: an end that is written twice
-// is one end.
+// write writes all pending changes, and retries until it succeeds or ctx ends.
+// A write without an answer may take effect, even later. Writing a crash twice
+// does no harm, because it has the same key.
 func (l *crashLog) write(ctx context.Context) {
 	backoff := minCrashWriteRetryDelay
 	for ctx.Err() == nil {
@@ -76,21 +78,21 @@
 			l.tracker.MarkWritten(changes)
 			continue
 		}
-		l.zl.Warn("servers' ends not written; tried again", zap.Int("event", events.CrashWriteFailed), zap.Int("records", len(changes)), ErrorField(err))
+		l.zl.Warn("writing crash records failed; retrying", zap.Int("event", events.CrashWriteFailed), zap.Int("records", len(changes)), ErrorField(err))
 		sleep(ctx, backoff)
 		backoff = min(backoff*2, maxCrashWriteRetryDelay)
 	}
 }
 
-// append writes the changes in one call. One that has no record stays this
-// host's own: refused with the others, it would keep them from being written.
+// append writes the changes in one call. A change that can't be encoded is left
+// out and stays on this host: with it, the service would reject the whole call.
 func (l *crashLog) append(ctx context.Context, changes []crashes.Change) error {
 	recs := make([]metastore.Record, 0, len(changes))
 	now := time.Now()
 	for _, c := range changes {
 		key, value, err := c.Encode(now)
 		if err != nil {
-			l.zl.Error("record of a server's end refused", zap.Int("event", events.CrashRecordRejected), ErrorField(err))
+			l.zl.Error("crash record can't be encoded", zap.Int("event", events.CrashRecordRejected), ErrorField(err))
 			continue
 		}
 		recs = append(recs, metastore.Record{Key: key, Value: value})
@@ -101,29 +103,31 @@
 	return l.store.Append(ctx, metastore.StreamCrashes, recs)
 }
 
-// apply takes in records that were read. After a reset they are all there are.
+// apply applies records that were read. After a reset they replace all earlier
+// ones.
 func (l *crashLog) apply(recs []metastore.Record, reset bool) {
-	var ends []crashes.Crash
+	var read []crashes.Crash
 	for _, rec := range recs {
 		c, err := crashes.Decode(rec.Key, rec.Value, time.Now())
 		if err != nil {
-			l.zl.Error("record of a server's end refused", zap.Int("event", events.CrashRecordRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
+			l.zl.Error("crash record rejected", zap.Int("event", events.CrashRecordRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
 			continue
 		}
 		if reset {
-			ends = append(ends, c.Crash)
+			read = append(read, c.Crash)
 			continue
 		}
 		l.tracker.Apply(c)
 	}
 	if reset {
-		l.tracker.Replace(ends)
-		l.zl.Info("servers' ends read", zap.Int("event", events.CrashRecordsRead), zap.Int("records", len(ends)))
+		l.tracker.Replace(read)
+		l.zl.Info("crash records read", zap.Int("event", events.CrashRecordsRead), zap.Int("records", len(read)))
 	}
 }
 
-// onFingerprintRefused logs that a content is refused from now on.
-func (l *crashLog) onFingerprintRefused(c crashes.Fingerprint) {
-	l.zl.Warn("requests like this end their servers; they are refused", zap.Int("event", events.FingerprintRefused), zap.String("content", string(c)),
-		zap.Strings("peers", l.tracker.CrashedServers(c)), zap.Duration("refused_for", l.tracker.RefusedFor(c, time.Now())))
+// onFingerprintRefused logs that requests with this fingerprint are refused
+// from now on.
+func (l *crashLog) onFingerprintRefused(fingerprint crashes.Fingerprint) {
+	l.zl.Warn("requests with this fingerprint crash their servers; refusing them", zap.Int("event", events.FingerprintRefused), zap.String("content", string(fingerprint)),
+		zap.Strings("peers", l.tracker.CrashedServers(fingerprint)), zap.Duration("refused_for", l.tracker.RefusedFor(fingerprint, time.Now())))
 }
--- a/internal/entryhost/evacuate.go
+++ b/internal/entryhost/evacuate.go
@@ -11,52 +11,54 @@
 )
 
 const (
-	// evacuationMargin is how much sooner than its bound a host ends an
-	// evacuation: it may have read the order 1.8 s after it was given, and a
-	// request may wait half its objective for its turn.
+	// evacuationMargin is how long before the evacuation timeout a host sends
+	// its last request. The host may have read the order up to 1.8 s late, and
+	// a request may then queue for half its latency objective.
 	evacuationMargin = 2500 * time.Millisecond
-	// assumedColdFor is how long after a data centre is taken back its upstreams
-	// are taken for cold: they may have become so meanwhile, and write their
-	// entries once a heartbeat. Sent their usual share at once, they ended.
+	// assumedColdFor is how long after the end of an evacuation the data
+	// centre's upstreams are treated as cold. They may have restarted
+	// meanwhile, and their entries say so only at their next heartbeat. Given
+	// their usual load at once, cold upstreams crashed.
 	assumedColdFor = 2 * time.Second
-	// maxEntryDelay is how long after it is taken back an upstream's entry tells
-	// at the latest whether it is cold.
+	// maxEntryDelay is the longest time from the end of an evacuation until an
+	// upstream's entry shows whether it is cold.
 	maxEntryDelay = time.Second
 )
 
-// evacuations are the data centres that operators have evacuated. A data centre
-// without an entry was never heard of.
+// evacuations tracks the data centres that operators evacuate, or have
+// evacuated before.
 type evacuations struct {
 	// timeout is the time from the order to the last request.
 	timeout time.Duration
-	// leaveBy is when the last request may be sent to an evacuated data centre,
-	// backAt when one was taken back.
+	// leaveBy is the deadline for the last request to each evacuated data
+	// centre. endedAt is when the evacuation of a data centre ended.
 	leaveBy, endedAt map[string]time.Time
-	// entriesRead are those that were taken back and whose upstreams' entries have been
-	// read since.
+	// entriesRead holds the data centres whose upstreams' entries have been
+	// read since the evacuation ended.
 	entriesRead map[string]bool
 }
 
-func newEvacuations(bound time.Duration) *evacuations {
-	return &evacuations{timeout: bound, leaveBy: map[string]time.Time{}, endedAt: map[string]time.Time{}, entriesRead: map[string]bool{}}
+func newEvacuations(timeout time.Duration) *evacuations {
+	return &evacuations{timeout: timeout, leaveBy: map[string]time.Time{}, endedAt: map[string]time.Time{}, entriesRead: map[string]bool{}}
 }
 
-// begin takes note of an evacuation. A host that reads of it at its start, or
-// after it lost the log, does not know how long ago it was ordered: for it the
-// time is over. It reports whether the evacuation is new.
-func (e *evacuations) begin(dataCentre string, old bool, now time.Time) bool {
+// begin records an evacuation and reports whether it is new. With
+// orderedEarlier the time of the order is unknown, because the host has just
+// started or had lost the log. The timeout then counts as over.
+func (e *evacuations) begin(dataCentre string, orderedEarlier bool, now time.Time) bool {
 	if _, known := e.leaveBy[dataCentre]; known {
 		return false
 	}
 	delete(e.endedAt, dataCentre)
 	e.leaveBy[dataCentre] = now
-	if !old {
+	if !orderedEarlier {
 		e.leaveBy[dataCentre] = now.Add(max(e.timeout-evacuationMargin, 0))
 	}
 	return true
 }
 
-// end takes a data centre back. It reports whether it was evacuated.
+// end records the end of a data centre's evacuation and reports whether it was
+// evacuated.
 func (e *evacuations) end(dataCentre string, now time.Time) bool {
 	if _, known := e.leaveBy[dataCentre]; !known {
 		return false
@@ -67,39 +69,41 @@
 	return true
 }
 
-// confirmEntriesRead takes note that all entries were read that upstreams had written by the
-// given time. It reports whether that says more of a data centre taken back.
+// confirmEntriesRead records that all entries written before the time written
+// have been read. It reports whether this changes the state of a data centre
+// whose evacuation has ended.
 func (e *evacuations) confirmEntriesRead(written, now time.Time) (changed bool) {
-	for dc, back := range e.endedAt {
-		if !e.entriesRead[dc] && now.Sub(back) >= assumedColdFor && written.Sub(back) >= maxEntryDelay {
+	for dc, endedAt := range e.endedAt {
+		if !e.entriesRead[dc] && now.Sub(endedAt) >= assumedColdFor && written.Sub(endedAt) >= maxEntryDelay {
 			e.entriesRead[dc], changed = true, true
 		}
 	}
 	return changed
 }
 
-// annotate returns the upstream, whose slow start lasts so long, as the evacuations make
-// it. While its entry cannot be read it may be cold for all of that time.
+// annotate returns u with the effects of evacuations on LeaveBy and SlowUntil.
+// slowStart is the duration of its slow start: until its entry has been read
+// after an evacuation, it may be cold for all of that time.
 func (e *evacuations) annotate(u *catalogue.Upstream, slowStart time.Duration) *catalogue.Upstream {
-	by, evacuated := e.leaveBy[u.DataCentre]
-	back, was := e.endedAt[u.DataCentre]
-	if !evacuated && !was {
+	leaveBy, evacuated := e.leaveBy[u.DataCentre]
+	endedAt, ended := e.endedAt[u.DataCentre]
+	if !evacuated && !ended {
 		return u
 	}
-	marked := *u
-	marked.LeaveBy = by
-	unsure := back.Add(assumedColdFor)
+	annotated := *u
+	annotated.LeaveBy = leaveBy
+	coldUntil := endedAt.Add(assumedColdFor)
 	if !e.entriesRead[u.DataCentre] {
-		unsure = unsure.Add(slowStart)
+		coldUntil = coldUntil.Add(slowStart)
 	}
-	if was && unsure.After(marked.SlowUntil) {
-		marked.SlowUntil = unsure
+	if ended && coldUntil.After(annotated.SlowUntil) {
+		annotated.SlowUntil = coldUntil
 	}
-	return &marked
+	return &annotated
 }
 
-// applyEvacuations takes in the records of evacuations among recs. After a reset
-// those that are not among them have been taken back.
+// applyEvacuations applies the evacuation records among recs. After a reset,
+// the evacuations without a record have ended.
 func (c *controller) applyEvacuations(recs []metastore.Record, reset bool) {
 	now := time.Now()
 	changed := false
@@ -125,19 +129,21 @@
 	}
 }
 
-func (c *controller) beginEvacuation(dataCentre string, old bool, now time.Time) bool {
-	if !c.evacuations.begin(dataCentre, old, now) {
+// beginEvacuation begins a data centre's evacuation and reports whether it is new.
+func (c *controller) beginEvacuation(dataCentre string, orderedEarlier bool, now time.Time) bool {
+	if !c.evacuations.begin(dataCentre, orderedEarlier, now) {
 		return false
 	}
-	c.zl.Info("data centre evacuated", zap.Int("event", events.EvacuationBegun), zap.String("data_centre", dataCentre),
+	c.zl.Info("evacuation of data centre begun", zap.Int("event", events.EvacuationBegun), zap.String("data_centre", dataCentre),
 		zap.Duration("keys_served_for", c.evacuations.leaveBy[dataCentre].Sub(now)))
 	return true
 }
 
+// endEvacuation ends a data centre's evacuation and reports whether there was one.
 func (c *controller) endEvacuation(dataCentre string, now time.Time) bool {
 	if !c.evacuations.end(dataCentre, now) {
 		return false
 	}
-	c.zl.Info("evacuated data centre taken back", zap.Int("event", events.EvacuationEnded), zap.String("data_centre", dataCentre))
+	c.zl.Info("evacuation of data centre ended", zap.Int("event", events.EvacuationEnded), zap.String("data_centre", dataCentre))
 	return true
 }
--- a/internal/entryhost/feedback.go
+++ b/internal/entryhost/feedback.go
@@ -16,10 +16,12 @@
 	"github.com/papayatide/papayatide/internal/ratelimit"
 )
 
-// slowStartWindow is the window of the sheet's bound for a slow start.
+// slowStartWindow is the window of the configured bound on requests to an
+// upstream in its slow start.
 const slowStartWindow = time.Second
 
-// reportedLimit bounds what an upstream gets that reports a rate limit.
+// reportedLimitBounds bounds the requests to an upstream that reports a rate
+// limit.
 var reportedLimitBounds = ratelimit.Bounds{Factor: 1.5, Slack: 5, Window: 4 * time.Second}
 
 var (
@@ -28,7 +30,7 @@
 	failedPermitRequests = metrics.NewCounter(`papayatide_leave_unanswered_total`)
 )
 
-// onUpstreamReport takes in a change of what an upstream reports of itself.
+// onUpstreamReport handles a change in what an upstream reports about itself.
 func (h *host) onUpstreamReport(ctx context.Context, c feedback.Change) {
 	upstreamReports.Inc()
 	h.zl.Info("upstream reported its state", zap.Int("event", events.UpstreamReported), zap.String("peer", c.Upstream),
@@ -42,47 +44,48 @@
 	}
 }
 
-// leavingMargin is how much sooner than its bound the last request is sent to an
-// upstream that has reported that it leaves, for the way there.
+// drainMargin allows for network delay: the last request to a leaving upstream
+// is sent this much before the end of the drain timeout.
 const drainMargin = 300 * time.Millisecond
 
-// markLeaving returns the upstream with what its answers say of its leaving. What
-// the log says of it may be older.
+// markLeaving returns u, marked as leaving if its responses have reported so.
+// Its entry in the log may be older than that report.
 func (c *controller) markLeaving(u *catalogue.Upstream) *catalogue.Upstream {
-	since, leaving := c.feedback.LeavingSince(u.ID)
+	reportedAt, leaving := c.feedback.LeavingSince(u.ID)
 	if !leaving {
 		return u
 	}
 	marked := *u
 	marked.ReportedLeaving = true
-	if by := since.Add(max(c.drainTimeout-drainMargin, 0)); marked.LeaveBy.IsZero() || by.Before(marked.LeaveBy) {
-		marked.LeaveBy = by
+	if leaveBy := reportedAt.Add(max(c.drainTimeout-drainMargin, 0)); marked.LeaveBy.IsZero() || leaveBy.Before(marked.LeaveBy) {
+		marked.LeaveBy = leaveBy
 	}
 	return &marked
 }
 
-// errNoPlanner means that this host knows of no planner.
-var errNoPlanner = errors.New("no planner is known")
+var errNoPlanner = errors.New("no planner known")
 
-// requestPermits asks the planner for leave to send to an upstream with a rate limit. It
-// is a ratelimit.Ask.
+// requestPermits gets permits to send up to want requests to an upstream with a
+// rate limit of perSecond, from this host if it is the planner and otherwise
+// from the planner. It satisfies ratelimit.Ask.
 func (h *host) requestPermits(ctx context.Context, upstream string, perSecond float64, want int) (ratelimit.Permit, error) {
-	if g, ok := h.issuePermits(upstream, perSecond, want); ok {
-		return g, nil
+	if permit, ok := h.issuePermits(upstream, perSecond, want); ok {
+		return permit, nil
 	}
 	permitRequests.Inc()
 	addr := h.plannerAddr()
 	if addr == "" {
 		return ratelimit.Permit{}, errNoPlanner
 	}
-	g, err := h.peers.AcquirePermits(ctx, addr, upstream, perSecond, want)
+	permit, err := h.peers.AcquirePermits(ctx, addr, upstream, perSecond, want)
 	if err != nil {
 		failedPermitRequests.Inc()
 	}
-	return g, err
+	return permit, err
 }
 
-// issuePermits gives leave to send to an upstream with a rate limit, if this host plans.
+// issuePermits issues permits for an upstream with a rate limit. It returns
+// false if this host is not the planner.
 func (h *host) issuePermits(upstream string, perSecond float64, want int) (ratelimit.Permit, bool) {
 	if !h.controller.isPlanner.Load() {
 		return ratelimit.Permit{}, false
@@ -91,54 +94,56 @@
 }
 
 const (
-	// minBackoffHosts is how many hosts an owner must have asked for a rest for its
-	// keys to move; one alone may have sent it too much.
+	// minBackoffHosts is how many hosts an owner must have asked to back off
+	// before its keys move. A single host may have sent it too much.
 	minBackoffHosts = 2
-	// backoffCapacity is the rate, in requests a second, that a resting owner counts
-	// with.
+	// backoffCapacity is the capacity, in requests per second, assumed for an
+	// owner that asks for backoff.
 	backoffCapacity = 0.1
-	// maxBackoffFraction is the part of the owners above which resting ones keep their
-	// keys, unless it is one alone: the whole service lacks room, and the others
-	// could not take them.
+	// maxBackoffFraction is the fraction of a service's owners, or one owner if
+	// that is more, above which owners that ask for backoff keep their keys:
+	// the whole service then lacks capacity, and the other owners could not
+	// take the keys.
 	maxBackoffFraction = 0.25
 )
 
-// unconfirmed is how long after the last answer that named a limit an owner is
-// expected to do more again, as it may get too few requests to report the end: twice
-// the limit, four times after as long again, and so on.
+// limitDoublingInterval is the time after which the assumed limit of an owner
+// doubles, counted from its last response that reported one. An owner with few
+// keys may get too few requests to report that its limit has ended.
 const limitDoublingInterval = 2 * time.Second
 
-// expectedCapacity returns the rate, in requests a second, that an owner with a limit is
-// expected to take.
+// expectedCapacity returns the capacity, in requests per second, assumed for an
+// owner that reported limit age ago.
 func expectedCapacity(limit float64, age time.Duration) float64 {
 	return limit * math.Exp2(float64(age/limitDoublingInterval))
 }
 
-// applyReportedLimits lowers owners' capacities to the rate limits that they report, and
-// those of owners that turn requests away to nearly nothing, so that keys move to
-// owners with room; and has owners refilled that lost theirs so.
+// applyReportedLimits lowers the capacities in load to the rate limits that
+// owners report, and to backoffCapacity for owners that ask for backoff, so
+// that keys move to owners with spare capacity. It marks the owners that were
+// recently limited, to get keys back.
 func applyReportedLimits(load *ownership.Load, owners []*catalogue.Upstream, reports *feedback.Tracker, now time.Time) {
-	most := map[string]float64{}
+	capacities := map[string]float64{}
 	load.Refill = map[string]bool{}
-	var resting []string
+	var backingOff []string
 	for _, u := range owners {
-		s := reports.Status(u.ID, now)
-		if s.RecentlyThrottled {
+		status := reports.Status(u.ID, now)
+		if status.RecentlyThrottled {
 			load.Refill[u.ID] = true
 		}
-		if s.RateLimit > 0 {
-			most[u.ID] = expectedCapacity(s.RateLimit, s.RateLimitAge)
+		if status.RateLimit > 0 {
+			capacities[u.ID] = expectedCapacity(status.RateLimit, status.RateLimitAge)
 		}
-		if s.BackoffHosts >= minBackoffHosts {
-			resting = append(resting, u.ID)
+		if status.BackoffHosts >= minBackoffHosts {
+			backingOff = append(backingOff, u.ID)
 		}
 	}
-	if float64(len(resting)) <= max(1, maxBackoffFraction*float64(len(owners))) {
-		for _, id := range resting {
-			most[id] = backoffCapacity
+	if float64(len(backingOff)) <= max(1, maxBackoffFraction*float64(len(owners))) {
+		for _, id := range backingOff {
+			capacities[id] = backoffCapacity
 		}
 	}
-	if len(most) > 0 {
-		load.LimitCapacity(most)
+	if len(capacities) > 0 {
+		load.LimitCapacity(capacities)
 	}
 }
--- a/internal/entryhost/loadsampler.go
+++ b/internal/entryhost/loadsampler.go
@@ -13,16 +13,19 @@
 	"github.com/papayatide/papayatide/internal/relay"
 )
 
-// reportSamples bounds one report; more requests are sampled.
+// maxReportSamples bounds the samples per service in one load report. Above it,
+// requests are sampled at random.
 const maxReportSamples = 512
 
-// loadSampler gathers what callers ask of keyed services.
+// loadSampler collects samples of callers' requests to keyed services for the
+// next load report. It is safe for concurrent use.
 type loadSampler struct {
 	mu        sync.Mutex
 	byService map[string]*serviceSample
 }
 
-// serviceSample is a sample of a service's requests; seen is how many they were.
+// serviceSample is a random sample of a service's requests. requests is the
+// number of requests it represents.
 type serviceSample struct {
 	samples  []keyload.Sample
 	requests float64
@@ -30,68 +33,71 @@
 
 func newLoadSampler() *loadSampler { return &loadSampler{byService: map[string]*serviceSample{}} }
 
-// add counts a request that has ended.
-func (r *loadSampler) add(e *dispatch.RequestSummary) {
+// add records a finished request.
+func (s *loadSampler) add(e *dispatch.RequestSummary) {
 	if e.Key < 0 || e.Service == "" {
 		return
 	}
-	s := keyload.Sample{Key: e.Key}
+	request := keyload.Sample{Key: e.Key}
 	if e.Refusal == nil {
-		s.Upstream, s.Latency = e.Upstream, e.UpstreamTime
+		request.Upstream, request.Latency = e.Upstream, e.UpstreamTime
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.service(e.Service).add(s, 1)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.sampleFor(e.Service).add(request, 1)
 }
 
-// merge takes in the reports of hosts that follow this one.
-func (r *loadSampler) merge(loads []peer.ServiceLoad) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// merge adds the load reports of this host's followers.
+func (s *loadSampler) merge(loads []peer.ServiceLoad) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, l := range loads {
-		g := r.service(l.Service)
-		for _, s := range l.Samples {
-			g.add(s, l.Weight)
+		sample := s.sampleFor(l.Service)
+		for _, request := range l.Samples {
+			sample.add(request, l.Weight)
 		}
 	}
 }
 
-func (r *loadSampler) service(service string) *serviceSample {
-	g := r.byService[service]
-	if g == nil {
-		g = &serviceSample{}
-		r.byService[service] = g
+// sampleFor returns the sample of a service and creates it if needed. The
+// caller holds mu.
+func (s *loadSampler) sampleFor(service string) *serviceSample {
+	sample := s.byService[service]
+	if sample == nil {
+		sample = &serviceSample{}
+		s.byService[service] = sample
 	}
-	return g
+	return sample
 }
 
-// add takes in a request that stands for weight requests. Beyond
-// reportSamples each is kept with the chance that all had.
-func (g *serviceSample) add(s keyload.Sample, weight float64) {
-	g.requests += weight
-	if len(g.samples) < maxReportSamples {
-		g.samples = append(g.samples, s)
+// add adds a request that represents weight requests. Once there are
+// maxReportSamples, it replaces a random one, with a probability that gives
+// every request the same chance to be kept (reservoir sampling).
+func (s *serviceSample) add(request keyload.Sample, weight float64) {
+	s.requests += weight
+	if len(s.samples) < maxReportSamples {
+		s.samples = append(s.samples, request)
 		return
 	}
-	if rand.Float64()*g.requests < maxReportSamples*weight {
-		g.samples[rand.IntN(maxReportSamples)] = s
+	if rand.Float64()*s.requests < maxReportSamples*weight {
+		s.samples[rand.IntN(maxReportSamples)] = request
 	}
 }
 
-// take returns what has gathered and starts anew.
-func (r *loadSampler) take() []peer.ServiceLoad {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var out []peer.ServiceLoad
-	for name, g := range r.byService {
-		out = append(out, peer.ServiceLoad{Service: name, Weight: g.requests / float64(len(g.samples)), Samples: g.samples})
+// take returns the collected load and starts a new collection.
+func (s *loadSampler) take() []peer.ServiceLoad {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var loads []peer.ServiceLoad
+	for service, sample := range s.byService {
+		loads = append(loads, peer.ServiceLoad{Service: service, Weight: sample.requests / float64(len(sample.samples)), Samples: sample.samples})
 	}
-	clear(r.byService)
-	return out
+	clear(s.byService)
+	return loads
 }
 
-// plannerAddr returns the planner's peer address; empty if none is known or
-// it is this host.
+// plannerAddr returns the planner's peer address (host:port). It is empty if no
+// planner is known or it is this host.
 func (h *host) plannerAddr() string {
 	for _, t := range h.views.Load().Tables {
 		if t.PlannerAddr != h.cfg.PeerListen {
@@ -101,8 +107,8 @@
 	return ""
 }
 
-// receiveLoads takes in reports of other hosts: the planner uses them, a relay
-// passes them on with its own.
+// receiveLoads handles load reports of followers. The planner uses them; a
+// relay merges them into its own report.
 func (h *host) receiveLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if h.controller.isPlanner.Load() {
 		h.addLoads(ctx, loads)
@@ -111,6 +117,7 @@
 	h.loadSampler.merge(loads)
 }
 
+// addLoads adds load reports to the planner's load estimate.
 func (h *host) addLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if len(loads) == 0 {
 		return
@@ -122,13 +129,14 @@
 	})
 }
 
-// self describes this host to the others.
+// self describes this host to the hosts that it calls.
 func (h *host) self() fleet.Host {
 	return fleet.Host{Name: h.cfg.Host, DataCentre: h.cfg.DataCentre, PeerAddr: h.cfg.PeerListen, Candidate: h.candidate,
 		Followers: h.fleet.Followers(time.Now())}
 }
 
-// replicaStatus is the standing of this host's copy of the log.
+// replicaStatus returns the status of this host's replica of the log, and
+// whether other hosts may follow it.
 func (h *host) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
 	if h.controller.isPlanner.Load() {
 		return peer.ReplicaStatus{Planning: true, Age: h.controller.replica.Age(now), LogReachableFor: h.controller.replica.LogReachableFor(now)}, true
@@ -136,29 +144,32 @@
 	return h.logSyncer.replicaStatus(now)
 }
 
-// newLogSyncer returns the feed of the host's copy of the log.
+// newLogSyncer returns the logSyncer of this host's replica, with its stream
+// readers.
 func (h *host) newLogSyncer(ctx context.Context) *logSyncer {
-	own, rest := h.controller.newStreamReaders(ctx)
-	alone := discoveryTimeout
+	ownershipReader, others := h.controller.newStreamReaders(ctx)
+	timeout := discoveryTimeout
 	if h.cfg.FirstStart {
-		alone = firstStartDiscoveryTimeout
+		timeout = firstStartDiscoveryTimeout
 	}
-	f := &logSyncer{discoveryTimeout: alone, zl: h.zl, peers: h.peers, replica: h.controller.replica, ownershipReader: own, otherReaders: rest, plannerAddr: h.plannerAddr, isPlanner: h.controller.isPlanner.Load,
+	syncer := &logSyncer{discoveryTimeout: timeout, zl: h.zl, peers: h.peers, replica: h.controller.replica, ownershipReader: ownershipReader, otherReaders: others, plannerAddr: h.plannerAddr, isPlanner: h.controller.isPlanner.Load,
 		self: h.self, fleet: h.fleet, picker: h.picker, feedback: h.feedback,
 		takeLoads: h.loadSampler.take, applyLoads: func(l []peer.ServiceLoad) { h.addLoads(ctx, l) },
-		apply:             func(b relay.Batch) { h.controller.applyAndWait(ctx, b) },
-		onPlannerLost:     func() { h.controller.post(ctx, h.controller.planner.PlannerLost) },
-		onCandidateSeen:   func() { h.controller.post(ctx, func() { h.controller.planner.PlannerSeen(h.controller.clock()) }) },
-		onPlannerFollowed: func(steady time.Duration) { h.controller.post(ctx, func() { h.controller.onPlannerFollowed(steady) }) }}
-	for _, fl := range append(rest, own) {
-		fl.firstReadNoWait = h.candidate
-		told := fl.onResult
-		fl.onResult = func(err error) {
-			told(err)
+		apply:           func(b relay.Batch) { h.controller.applyAndWait(ctx, b) },
+		onPlannerLost:   func() { h.controller.post(ctx, h.controller.planner.PlannerLost) },
+		onCandidateSeen: func() { h.controller.post(ctx, func() { h.controller.planner.PlannerSeen(h.controller.clock()) }) },
+		onPlannerFollowed: func(logReachableFor time.Duration) {
+			h.controller.post(ctx, func() { h.controller.onPlannerFollowed(logReachableFor) })
+		}}
+	for _, reader := range append(others, ownershipReader) {
+		reader.firstReadNoWait = h.candidate
+		onResult := reader.onResult
+		reader.onResult = func(err error) {
+			onResult(err)
 			if err != nil {
-				f.attempts.recordFailure()
+				syncer.attempts.recordFailure()
 			}
 		}
 	}
-	return f
+	return syncer
 }
--- a/internal/entryhost/records.go
+++ b/internal/entryhost/records.go
@@ -14,8 +14,9 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// applyAndWait hands a batch that was read to the control goroutine and returns once
-// it was taken in, so that the next read goes on behind it.
+// applyAndWait applies a batch on the control goroutine. It returns once the
+// batch is applied, so that the next read continues after it. It must not be
+// called on the control goroutine.
 func (c *controller) applyAndWait(ctx context.Context, b relay.Batch) {
 	done := make(chan struct{})
 	c.post(ctx, func() {
@@ -28,7 +29,7 @@
 	}
 }
 
-// apply takes in the part of a batch that is new.
+// apply applies the part of a batch that is new to this host's replica.
 func (c *controller) apply(b relay.Batch) {
 	if len(b.Changes) > 0 {
 		c.applyChanges(b)
@@ -52,25 +53,28 @@
 	}
 }
 
+// applyDesired adopts the desired state with the highest version.
 func (c *controller) applyDesired(recs []metastore.Record) {
 	for _, rec := range recs {
 		if rec.Value == nil {
 			continue
 		}
-		st, err := c.decoder.Desired(rec.Key, rec.Value)
+		state, err := c.decoder.Desired(rec.Key, rec.Value)
 		if err != nil {
-			c.zl.Error("desired state refused", zap.Int("event", events.DesiredRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
+			c.zl.Error("desired state rejected", zap.Int("event", events.DesiredRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
 			continue
 		}
-		cur := c.views.Load().Desired
-		if st == nil || (cur != nil && st.Version <= cur.Version) {
+		current := c.views.Load().Desired
+		if state == nil || (current != nil && state.Version <= current.Version) {
 			continue
 		}
-		c.views.Publish(func(v *view.View) { v.Desired = st })
-		c.zl.Info("desired state adopted", zap.Int("event", events.DesiredAdopted), zap.Int64("version", st.Version), zap.Int64("offset", rec.Offset))
+		c.views.Publish(func(v *view.View) { v.Desired = state })
+		c.zl.Info("desired state adopted", zap.Int("event", events.DesiredAdopted), zap.Int64("version", state.Version), zap.Int64("offset", rec.Offset))
 	}
 }
 
+// applyOwnership adopts the tables in ownership records, and keeps them decoded for
+// followers.
 func (c *controller) applyOwnership(recs []metastore.Record) {
 	for _, rec := range recs {
 		if rec.Value == nil {
@@ -78,7 +82,7 @@
 		}
 		t, err := ownership.Decode(rec.Value)
 		if err != nil {
-			c.zl.Error("ownership record refused", zap.Int("event", events.OwnershipRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
+			c.zl.Error("ownership record rejected", zap.Int("event", events.OwnershipRejected), zap.Int64("offset", rec.Offset), ErrorField(err))
 			continue
 		}
 		c.adoptTable(t)
@@ -86,47 +90,49 @@
 	}
 }
 
-// applyChanges takes in changes of the tables that this host has. If one does
-// not apply, none is taken in and whole tables are asked for.
+// applyChanges applies deltas to this host's ownership tables. If one does not
+// apply, none is applied and the host requests full tables.
 func (c *controller) applyChanges(b relay.Batch) {
 	if b.NextOffset <= c.replica.NextOffset(b.Stream) {
-		return // read from the log service meanwhile
+		return // already read from the log service
 	}
-	made := map[int64]*ownership.Table{}
+	tables := map[int64]*ownership.Table{}
 	for _, change := range b.Changes {
 		t, err := c.applyDelta(change)
 		if err != nil {
-			c.zl.Info("change of ownership does not apply; the whole table is asked for", zap.Int("event", events.OwnershipChangeRejected),
+			c.zl.Info("ownership delta does not apply; requesting full tables", zap.Int("event", events.OwnershipChangeRejected),
 				zap.String("service", change.Key), zap.Int64("offset", change.Offset), ErrorField(err))
 			c.replica.RequestFullTables()
 			return
 		}
-		made[change.Offset] = t
+		tables[change.Offset] = t
 	}
-	if !c.replica.ApplyTables(b.NextOffset, made) {
+	if !c.replica.ApplyTables(b.NextOffset, tables) {
 		return
 	}
 	c.planner.AdvanceStreamEnd(b.NextOffset)
-	for _, t := range made {
+	for _, t := range tables {
 		c.adoptTable(t)
 	}
 }
 
-// applyDelta returns the table that a change makes of the one in force.
+// applyDelta returns the table that results from applying a delta to the
+// current one.
 func (c *controller) applyDelta(change relay.Change) (*ownership.Table, error) {
-	parsed, err := ownership.DecodeDelta(change.Data)
+	delta, err := ownership.DecodeDelta(change.Data)
 	if err != nil {
 		return nil, err
 	}
-	return parsed.Apply(c.views.Load().Tables[change.Key])
+	return delta.Apply(c.views.Load().Tables[change.Key])
 }
 
+// adoptTable publishes t, unless the current table of its service is as new.
 func (c *controller) adoptTable(t *ownership.Table) {
-	cur := c.views.Load().Tables[t.Service]
-	if cur != nil && t.MaxFencingToken <= cur.MaxFencingToken {
+	current := c.views.Load().Tables[t.Service]
+	if current != nil && t.MaxFencingToken <= current.MaxFencingToken {
 		return
 	}
-	c.ownershipHistory.add(cur, t)
+	c.ownershipHistory.add(current, t)
 	c.views.Publish(func(v *view.View) {
 		tables := map[string]*ownership.Table{t.Service: t}
 		for name, old := range v.Tables {
@@ -141,8 +147,8 @@
 		zap.String("cause", t.Cause))
 }
 
-// applyUpstreams takes in upstreams' records. After a reset, those that are
-// not among them are missing.
+// applyUpstreams applies upstream records. After a reset, known servers without
+// a record are missing.
 func (c *controller) applyUpstreams(recs []metastore.Record, reset bool) {
 	now := time.Now()
 	listed := map[string]bool{}
@@ -153,9 +159,9 @@
 		}
 		u, err := c.decoder.Upstream(rec.Key, rec.Value, now)
 		if err != nil {
-			// Whoever wrote it, the server's own entry is not there any more.
-			// Its upstream gets nothing new; its keys are taken back from it
-			// as from one that leaves, as it may be alive.
+			// Another writer has replaced the server's own entry. The upstream
+			// gets no new requests, and its keys are released first as for a
+			// leaving upstream, because it may still be running.
 			c.registry.markMissing(rec.Key, now, now)
 			c.logRejectedRecord(rec.Key, err, now)
 			continue
@@ -169,22 +175,25 @@
 	c.publishUpstreams()
 }
 
-// noteRefused is the least time between two log lines of upstreams' records
-// that cannot be used: another writer may write many a second.
+// rejectionLogInterval is the shortest time between two log lines about
+// rejected upstream records. Another writer may write many such records a
+// second.
 const rejectionLogInterval = time.Second
 
-// logRejectedRecord logs that an upstream's record cannot be used.
+// logRejectedRecord logs that an upstream record can't be used, at most once a
+// rejectionLogInterval.
 func (c *controller) logRejectedRecord(server string, err error, now time.Time) {
 	if now.Sub(c.rejectionLoggedAt) < rejectionLogInterval {
 		c.rejectionsUnlogged++
 		return
 	}
-	c.zl.Error("upstream's record refused", zap.Int("event", events.UpstreamRecordRejected), zap.String("peer", server), zap.Int("untold", c.rejectionsUnlogged), ErrorField(err))
+	c.zl.Error("upstream record rejected", zap.Int("event", events.UpstreamRecordRejected), zap.String("peer", server), zap.Int("untold", c.rejectionsUnlogged), ErrorField(err))
 	c.rejectionLoggedAt, c.rejectionsUnlogged = now, 0
 }
 
-// missingGraceUntil returns until when an upstream that is missing now is not taken
-// for gone; in the past unless the log service has only just come back.
+// missingGraceUntil returns the time until which an upstream that is missing
+// now does not count as gone. It is in the past unless the log service fails or
+// has recently recovered.
 func (c *controller) missingGraceUntil(now time.Time) time.Time {
 	if _, lost := c.streamLostSince[metastore.StreamUpstreams]; lost {
 		return now.Add(relistGracePeriod)
@@ -192,9 +201,11 @@
 	return c.logRecoveredAt.Add(relistGracePeriod)
 }
 
+// publishUpstreams publishes the registered upstreams, with the effects of
+// evacuations and of their own reports.
 func (c *controller) publishUpstreams() {
-	snap := c.registry.snapshot(func(u *catalogue.Upstream) *catalogue.Upstream {
+	upstreams := c.registry.snapshot(func(u *catalogue.Upstream) *catalogue.Upstream {
 		return c.markLeaving(c.evacuations.annotate(u, c.slowStart(u.Service).Duration))
 	})
-	c.views.Publish(func(v *view.View) { v.Upstreams = snap })
+	c.views.Publish(func(v *view.View) { v.Upstreams = upstreams })
 }
--- a/internal/entryhost/registry.go
+++ b/internal/entryhost/registry.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// relistGracePeriod is how long after an outage of the log service upstreams whose
-	// entries lapsed meanwhile need to be listed again.
+	// relistGracePeriod is how long after an outage of the log service
+	// upstreams may take to renew entries that expired during it.
 	relistGracePeriod = 2 * time.Second
-	// unlistedRetention is how long an upstream that is no longer listed is kept
-	// as leaving, so that its keys can be taken back.
+	// unlistedRetention is how long an upstream that is no longer listed is
+	// kept, as leaving, so that its keys can be released.
 	unlistedRetention = 20 * time.Second
 )
 
-// upstreamRegistry is what this host believes of the upstreams: listed, leaving, or
-// missing from the list for how long.
+// upstreamRegistry tracks the upstreams that have an entry in the log, and
+// those whose entry has disappeared.
 type upstreamRegistry struct {
 	zl        *zap.Logger
 	upstreams map[string]*catalogue.Upstream
-	// incarnations holds the ID of each server's last known life. Entries are kept
-	// by server: the entry of a newer life replaces the older one's.
+	// incarnations holds the upstream ID of each server's latest incarnation,
+	// by server ID. The log has one entry per server, which a new incarnation
+	// replaces.
 	incarnations map[string]string
-	// unlisted holds when an upstream was taken for gone, suspects when one
-	// that lapsed during an outage will be.
+	// unlisted holds the time at which an upstream was considered gone.
+	// suspects holds the time at which an upstream will be, whose entry may
+	// have expired because of an outage. Both are by upstream ID.
 	unlisted map[string]time.Time
 	suspects map[string]time.Time
 }
@@ -36,8 +38,8 @@
 	return &upstreamRegistry{zl: zl, upstreams: map[string]*catalogue.Upstream{}, incarnations: map[string]string{}, unlisted: map[string]time.Time{}, suspects: map[string]time.Time{}}
 }
 
-// register takes in an upstream's entry. The entry of a newer life ends the older
-// one; that of an older life was written late and says nothing any more.
+// register records an upstream's entry. A newer incarnation replaces the older
+// one. The entry of an older incarnation was written late and is ignored.
 func (r *upstreamRegistry) register(u *catalogue.Upstream) {
 	server := catalogue.ServerID(u.ID)
 	known, ok := r.incarnations[server]
@@ -46,7 +48,7 @@
 	}
 	if ok && known != u.ID {
 		r.forget(known)
-		r.zl.Info("upstream started again", zap.Int("event", events.UpstreamRestarted), zap.String("peer", u.ID), zap.String("service", u.Service))
+		r.zl.Info("upstream restarted", zap.Int("event", events.UpstreamRestarted), zap.String("peer", u.ID), zap.String("service", u.Service))
 	}
 	r.incarnations[server] = u.ID
 	old := r.upstreams[u.ID]
@@ -62,7 +64,7 @@
 	}
 }
 
-// forget drops a life that has ended.
+// forget removes an upstream, that is one incarnation of a server.
 func (r *upstreamRegistry) forget(id string) {
 	delete(r.upstreams, id)
 	delete(r.suspects, id)
@@ -72,33 +74,36 @@
 	}
 }
 
-// markMissing takes note that a server is not listed any more. During an outage
-// of the log service entries lapse though their upstreams live; they are back
-// within about two seconds, and until spare it is no sign of leaving.
-func (r *upstreamRegistry) markMissing(server string, spare, now time.Time) {
+// markMissing records that a server has no entry any more. Before graceUntil
+// the upstream only becomes a suspect: entries expire during an outage of the
+// log service though their upstreams run, and are written again within about
+// two seconds of its end.
+func (r *upstreamRegistry) markMissing(server string, graceUntil, now time.Time) {
 	id := r.incarnations[server]
-	_, gone := r.unlisted[id]
-	if r.upstreams[id] == nil || gone {
+	_, isUnlisted := r.unlisted[id]
+	if r.upstreams[id] == nil || isUnlisted {
 		return
 	}
-	if !now.Before(spare) {
+	if !now.Before(graceUntil) {
 		r.unlist(id, now)
 		return
 	}
 	if _, ok := r.suspects[id]; !ok {
-		r.suspects[id] = spare
+		r.suspects[id] = graceUntil
 	}
 }
 
-// markMissingExcept takes note that only the listed servers are.
-func (r *upstreamRegistry) markMissingExcept(listed map[string]bool, spare, now time.Time) {
+// markMissingExcept calls markMissing for all known servers except the listed
+// ones.
+func (r *upstreamRegistry) markMissingExcept(listed map[string]bool, graceUntil, now time.Time) {
 	for server := range r.incarnations {
 		if !listed[server] {
-			r.markMissing(server, spare, now)
+			r.markMissing(server, graceUntil, now)
 		}
 	}
 }
 
+// unlist marks an upstream as leaving and no longer listed.
 func (r *upstreamRegistry) unlist(id string, now time.Time) {
 	u := *r.upstreams[id]
 	u.Leaving, u.Unlisted = true, true
@@ -107,22 +112,23 @@
 	r.zl.Info("upstream is no longer listed", zap.Int("event", events.UpstreamUnlisted), zap.String("peer", id), zap.String("service", u.Service))
 }
 
-// untilNextExpiry returns how long it is until the next suspect is taken for gone.
+// untilNextExpiry returns the time until the next suspect expires, at most
+// unlistedRetention.
 func (r *upstreamRegistry) untilNextExpiry(now time.Time) time.Duration {
-	soonest := unlistedRetention
+	earliest := unlistedRetention
 	for _, at := range r.suspects {
-		soonest = min(soonest, at.Sub(now))
+		earliest = min(earliest, at.Sub(now))
 	}
-	return soonest
+	return earliest
 }
 
-// expireSuspects takes suspects for gone whose time is up, unless the outage lasts,
-// and forgets upstreams that have been gone for long. It reports whether
-// anything changed.
-func (r *upstreamRegistry) expireSuspects(outage bool, now time.Time) bool {
+// expireSuspects unlists the suspects whose grace period has ended, unless the
+// log service still fails, and forgets upstreams after unlistedRetention. It
+// reports whether anything changed.
+func (r *upstreamRegistry) expireSuspects(logLost bool, now time.Time) bool {
 	changed := false
 	for id, at := range r.suspects {
-		if now.Before(at) || outage {
+		if now.Before(at) || logLost {
 			continue
 		}
 		delete(r.suspects, id)
@@ -138,8 +144,8 @@
 	return changed
 }
 
-// unlistSuspects takes all suspects for gone: there was no outage in which their
-// entries could have lapsed. It reports whether anything changed.
+// unlistSuspects unlists all suspects: there was no outage that could explain
+// their missing entries. It reports whether anything changed.
 func (r *upstreamRegistry) unlistSuspects(now time.Time) bool {
 	changed := len(r.suspects) > 0
 	for id := range r.suspects {
@@ -149,11 +155,11 @@
 	return changed
 }
 
-// snapshot returns the upstreams, each as mark makes it.
-func (r *upstreamRegistry) snapshot(mark func(*catalogue.Upstream) *catalogue.Upstream) *catalogue.Snapshot {
-	ups := make(map[string]*catalogue.Upstream, len(r.upstreams))
+// snapshot returns the upstreams, each as returned by annotate.
+func (r *upstreamRegistry) snapshot(annotate func(*catalogue.Upstream) *catalogue.Upstream) *catalogue.Snapshot {
+	upstreams := make(map[string]*catalogue.Upstream, len(r.upstreams))
 	for id, u := range r.upstreams {
-		ups[id] = mark(u)
+		upstreams[id] = annotate(u)
 	}
-	return catalogue.NewSnapshot(ups)
+	return catalogue.NewSnapshot(upstreams)
 }
--- a/internal/entryhost/requestlog.go
+++ b/internal/entryhost/requestlog.go
@@ -11,8 +11,8 @@
 	"github.com/papayatide/papayatide/internal/events"
 )
 
-// servedSample is how many served requests share one log line. Refused and
-// failed ones are all logged.
+// servedLogInterval is the number of served requests per log line. Requests
+// that took more than one attempt, failed or were refused are all logged.
 const servedLogInterval = 50
 
 var (
@@ -24,7 +24,7 @@
 	upstreamLatency = metrics.NewHistogram(`papayatide_request_duration_seconds{stage="upstream"}`)
 )
 
-// onRequestDone logs and counts a request's end.
+// onRequestDone counts and logs a finished request.
 func (h *host) onRequestDone(e *dispatch.RequestSummary) {
 	h.loadSampler.add(e)
 	totalLatency.Update(e.Took.Seconds())
@@ -48,52 +48,55 @@
 			h.zl.Info("request served", h.requestFields(e, events.RequestServed)...)
 		}
 	case e.Refusal == nil:
-		h.zl.Info("request failed at its upstream", h.requestFields(e, events.RequestFailed)...)
+		h.zl.Info("request failed at upstream", h.requestFields(e, events.RequestFailed)...)
 	default:
 		h.zl.Info("request refused", h.requestFields(e, events.RequestRefused)...)
 	}
 }
 
-// onBrokenSend logs and counts a send that ended without an answer.
+// onBrokenSend counts and logs a send whose connection broke before a whole
+// response arrived.
 func (h *host) onBrokenSend(b *dispatch.BrokenSend) {
 	brokenSends.Inc()
-	f := []zap.Field{zap.Int("event", events.BrokenSend), zap.String("request", b.ID), zap.String("service", b.Service),
+	fields := []zap.Field{zap.Int("event", events.BrokenSend), zap.String("request", b.ID), zap.String("service", b.Service),
 		zap.String("peer", b.Upstream), zap.String("content", string(b.Fingerprint)), zap.Duration("at_upstream", b.UpstreamTime),
 		zap.Bool("ended", b.Crashed), zap.Int("ends", b.Crashes), ErrorField(b.Err)}
 	if b.Key >= 0 {
-		f = append(f, zap.Int("key", b.Key), zap.Int64("fence", b.FencingToken))
+		fields = append(fields, zap.Int("key", b.Key), zap.Int64("fence", b.FencingToken))
 	}
-	h.zl.Info("send broke off", f...)
+	h.zl.Info("connection to upstream broke before a whole response", fields...)
 }
 
+// requestFields returns the log fields of a finished request.
 func (h *host) requestFields(e *dispatch.RequestSummary, event int) []zap.Field {
-	f := []zap.Field{zap.Int("event", event), zap.String("request", e.ID), zap.String("route", e.Route), zap.String("service", e.Service),
+	fields := []zap.Field{zap.Int("event", event), zap.String("request", e.ID), zap.String("route", e.Route), zap.String("service", e.Service),
 		zap.Int64("version", e.Version), zap.Duration("view_age", e.ViewAge), zap.Int("status", e.Status), zap.Int("sends", e.Attempts),
 		zap.Duration("took", e.Took), zap.Duration("left", e.TimeLeft)}
 	if e.Key >= 0 {
-		f = append(f, zap.Int("key", e.Key), zap.Int64("fence", e.FencingToken))
+		fields = append(fields, zap.Int("key", e.Key), zap.Int64("fence", e.FencingToken))
 	}
 	if e.Upstream != "" {
-		f = append(f, zap.String("peer", e.Upstream), zap.Duration("at_upstream", e.UpstreamTime))
+		fields = append(fields, zap.String("peer", e.Upstream), zap.Duration("at_upstream", e.UpstreamTime))
 	}
 	if e.LimiterState.Limit > 0 {
-		f = append(f, zap.Float64("limit", e.LimiterState.Limit), zap.Int("under_way", e.LimiterState.InFlight), zap.Int("waiting", e.LimiterState.Waiting),
+		fields = append(fields, zap.Float64("limit", e.LimiterState.Limit), zap.Int("under_way", e.LimiterState.InFlight), zap.Int("waiting", e.LimiterState.Waiting),
 			zap.Duration("latency", e.LimiterState.Latency))
 	}
 	if e.Refusal != nil && e.Refusal.Cause == dispatch.CauseCrashes {
-		f = append(f, zap.String("content", string(e.Fingerprint)))
+		fields = append(fields, zap.String("content", string(e.Fingerprint)))
 	}
 	if e.Refusal != nil {
-		f = append(f, zap.String("cause", string(e.Refusal.Cause)), zap.Duration("retry_after", e.Refusal.RetryAfter))
+		fields = append(fields, zap.String("cause", string(e.Refusal.Cause)), zap.Duration("retry_after", e.Refusal.RetryAfter))
 	}
 	if e.Err != nil {
-		f = append(f, ErrorField(e.Err))
+		fields = append(fields, ErrorField(e.Err))
 	}
-	return f
+	return fields
 }
 
-// ErrorField is an error's text as a log field. zap.Error would add the stack
-// traces that eris keeps, a hundred times the size of the line.
+// ErrorField returns the error's text as a log field, zap.Skip for nil.
+// zap.Error would add the stack traces that eris keeps, which are a hundred
+// times the size of the line.
 func ErrorField(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
