--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -52,10 +52,9 @@
 	// grantTimeout bounds a grant call, which normally takes 3 ms.
 	grantTimeout = 300 * time.Millisecond
 	// maxGrantSendDelay is the longest delay between the decision on a grant
-	// and its sending. The planner assumes it when it computes a grant's
-	// expiry. A host short of processor time sent a grant a second late, which
-	// kept keys at an owner after its grant counted as expired and another
-	// owner had the keys.
+	// and its sending, which the planner's bound on the grant's expiry assumes.
+	// A grant sent a second late, by a host short of processor time, kept keys
+	// at an owner after another one had received them.
 	maxGrantSendDelay = 100 * time.Millisecond
 	// retireTimeout bounds a retire call to a previous planner.
 	retireTimeout = 300 * time.Millisecond
@@ -194,15 +193,14 @@
 }
 
 // stallThreshold is the gap between two runs of the control goroutine above
-// which the host counts as stalled. It normally runs every followerTickInterval
-// or more often.
+// which the host counts as stalled. Normally the goroutine runs at least every
+// followerTickInterval.
 const stallThreshold = time.Second
 
 // detectStall checks whether the host did not run for a while. The log service
-// may have failed in that time, so a stall counts as an outage that has just
-// ended. A host that had stalled through an outage otherwise found the
-// upstreams' expired entries missing, considered all upstreams gone, and moved
-// every key.
+// may have failed meanwhile, so a stall counts as an outage that has just
+// ended. Without this, a host that had stalled through an outage considered all
+// upstreams gone, because their entries had expired, and moved every key.
 func (c *controller) detectStall() {
 	now := c.clock()
 	if gap := now.Sub(c.lastRun); c.lastRun != 0 && gap > stallThreshold {
@@ -324,11 +322,11 @@
 // entries then have not expired because of an outage.
 const minLogReachableFor = 4 * time.Second
 
-// onPlannerFollowed handles a successful call to the planner or its relay. Its
-// replica replaces this host's reads, so streams that this host failed to read
-// count as recovered. If the log service has not failed the planner, missing
-// upstreams have left, even if this host saw no failure: after a cut, a host
-// sent requests to upstreams that had left ten seconds before.
+// onPlannerFollowed handles a successful call to the planner or its relay,
+// whose replica replaces this host's failed reads. If the log service has not
+// failed the planner, missing upstreams have left, even if this host saw no
+// failure: after a cut, a host sent requests to upstreams that had left 10 s
+// before.
 func (c *controller) onPlannerFollowed(logReachableFor time.Duration) {
 	for s := range c.streamLostSince {
 		c.onStreamResult(s, nil)
--- a/internal/entryhost/doc.go
+++ b/internal/entryhost/doc.go
@@ -20,6 +20,5 @@
 // planner could lose its lease to a host that restarted or came back from a cut.
 // Each such loss leaves 0.6 s without a planner and starts a new term. Every
 // host therefore joins as two members in a small fleet: six hosts then have as
-// many members as there are partitions, and no member has one to give up
-// (elector.go).
+// many members as there are partitions, and no member holds two (elector.go).
 package entryhost
--- a/internal/entryhost/elector.go
+++ b/internal/entryhost/elector.go
@@ -8,12 +8,12 @@
 )
 
 // groupMembersPerHost is how many members each host has in the log service's
-// group. With one, a small fleet lost its planner whenever a host joined; see
-// the package comment.
+// group. With one each, the planner of a small fleet could lose its lease when
+// a host joined; see the package comment.
 const groupMembersPerHost = 2
 
-// singleMemberFleetSize is the number of hosts from which on one member per
-// host suffices.
+// singleMemberFleetSize is the fleet size from which on one member per host
+// suffices.
 const singleMemberFleetSize = 24
 
 // plannerElector acquires and renews the planner lease as several members of
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -162,6 +162,7 @@
 	return err
 }
 
+// newHost builds a host's components and connects them. It starts nothing.
 func newHost(cfg *settings.EntryHost, plat Platform, zl *zap.Logger) *host {
 	h := &host{cfg: cfg, zl: zl, views: view.NewPublisher(), client: upstream.NewClient(plat.Headers), picker: balance.NewPicker(cfg.Host),
 		budget: budget.New(hostBudgetLimits(cfg, 1), time.Now()), loadSampler: newLoadSampler(), allocator: ratelimit.NewAllocator(), plat: plat, fleet: fleet.New(cfg.DataCentre),
@@ -234,6 +235,7 @@
 	return h.addServer(workCtx, g, h.cfg.MetricsListen, &http.Server{Handler: metricsMux, ReadHeaderTimeout: readHeaderTimeout})
 }
 
+// addServer listens on addr (host:port) and adds srv to g.
 func (h *host) addServer(workCtx context.Context, g *run.Group, addr string, srv *http.Server) error {
 	ln, err := h.plat.listenOn(addr)
 	if err != nil {
@@ -249,6 +251,8 @@
 	return nil
 }
 
+// serve handles a caller's request. While the host is stopping, it also has the
+// caller close the connection.
 func (h *host) serve(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -33,10 +33,9 @@
 	// records later by its own wait.
 	relayFollowWait = 200 * time.Millisecond
 	// maxReplicaAge and maxRelayedReplicaAge are the greatest usable ages of
-	// the planner's and of a relay's replica. Together with followTimeout or
-	// relayFollowTimeout, a host is at most 1.8 s behind the log before it
-	// reads the log itself: a change must be in force, and a leaving upstream
-	// avoided, within 2 s.
+	// the planner's and a relay's replica. With the follow timeouts they bound
+	// a host's lag to 1.8 s before it reads the log itself: changes must be in
+	// force, and leaving upstreams avoided, within 2 s.
 	maxReplicaAge        = 1100 * time.Millisecond
 	maxRelayedReplicaAge = 1250 * time.Millisecond
 	// directReadAge is the age of this host's replica from which on it reads
@@ -48,17 +47,17 @@
 	// existing planner answers within 0.1 s, and without one callers wait. A
 	// candidate reads at once, because it may have to be the planner.
 	discoveryTimeout = 300 * time.Millisecond
-	// firstStartDiscoveryTimeout replaces it at the fleet's first start: there are
-	// no callers yet, and a planner takes one or two seconds to appear.
+	// firstStartDiscoveryTimeout replaces it at the fleet's first start: there
+	// are no callers yet, and a planner takes one or two seconds to appear.
 	firstStartDiscoveryTimeout = 3 * time.Second
 	// plannerRetryInterval is the pause between calls while no planner is
 	// known, this host is the planner, or the planner does not answer.
 	plannerRetryInterval = 150 * time.Millisecond
-	// While the followed host answers with too old a replica, the log service
-	// usually fails all hosts. A host that is no candidate then tries one read,
-	// as it may be the only one that is served. If that fails, all such hosts
-	// together make fleetAttemptsPerSecond reads, and each host on average at
-	// least one per maxAttemptInterval.
+	// While the followed host's replica is too old, the log service usually
+	// fails all hosts. A host that is no candidate first tries one read, as it
+	// may be the only one served. Afterwards all such hosts together make
+	// fleetAttemptsPerSecond reads a second, or each one per maxAttemptInterval
+	// on average if that is more.
 	fleetAttemptsPerSecond = 10
 	maxAttemptInterval     = 2500 * time.Millisecond
 )
@@ -125,8 +124,8 @@
 	// readingDirectly is set while readers run.
 	directReadsStartedAt time.Time
 	readingDirectly      atomic.Bool
-	// following holds the address of the followed host as a string; empty or
-	// nil if there is none.
+	// following holds the followed host's address as a string; empty or nil if
+	// there is none.
 	following atomic.Value
 	// relayAddr is the relay that the planner at relayPlannerAddr has named for
 	// this host; empty if there is none.
@@ -170,7 +169,7 @@
 		return
 	}
 	if s.directReadCtx != nil {
-		s.startDirectReads(ctx) // the other streams may have become too old since
+		s.startDirectReads(ctx) // reads the other streams too once they are too old
 		return
 	}
 	s.onCandidateSeen() // the host that answered is a candidate, though its replica is stale
@@ -204,15 +203,15 @@
 }
 
 // followHost makes one call to the host at addr and applies the answer. It
-// reports whether the answer came within timeout and its replica's age is at
-// most maxAge.
+// reports whether the call succeeded within timeout and the answer's replica
+// age is at most maxAge.
 func (s *logSyncer) followHost(ctx context.Context, addr string, maxAge, timeout time.Duration, loads []peer.ServiceLoad) bool {
 	req := peer.FollowRequest{Self: s.self(), Positions: map[metastore.Stream]int64{}, Loads: loads, Notices: s.feedback.Notices(time.Now()), Wait: followWait}
 	isRelay := req.Self.Followers > 0
 	if isRelay {
 		req.Wait = relayFollowWait
 	} else {
-		req.LoadStats, req.Subset = s.picker.FlushLoadStats(), s.picker.Subset() // a relay reports its own with its followers', see inFlightAggregator
+		req.LoadStats, req.Subset = s.picker.FlushLoadStats(), s.picker.Subset() // a relay's own are in its inFlightAggregator
 	}
 	for _, stream := range relay.Streams {
 		req.Positions[stream] = s.replica.FetchOffset(stream)
@@ -253,12 +252,10 @@
 }
 
 // replicaStatus returns the status of this host's replica if other hosts may
-// rely on it: if this host follows the planner itself or reads the log service.
-// A relay that has lost its planner thus serves what it reads, and its
-// followers need not all read the log service.
-//
-// The planner's LogReachableFor is passed on unchanged, without the time since
-// its answer: it says nothing about that time.
+// follow it: if this host follows the planner itself or reads the log service.
+// A relay that has lost its planner thus spares its followers reading the log
+// service. The planner's LogReachableFor is passed on as received, because it
+// says nothing about the time since.
 func (s *logSyncer) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
 	if status := s.lastPlannerStatus.Load(); status != nil {
 		if age := status.replicaAge + now.Sub(status.receivedAt); age <= maxRelayedReplicaAge {
@@ -304,9 +301,9 @@
 	s.wasPlanner = planning
 }
 
-// startDirectReads starts reading the log service: the ownership stream at
-// once, because it names the planner, and the others as soon as
-// shouldReadOtherStreams.
+// startDirectReads starts reading the ownership stream, because it names the
+// planner, and the other streams if shouldReadOtherStreams. It is called again
+// while following fails.
 func (s *logSyncer) startDirectReads(ctx context.Context) {
 	if s.directReadCtx == nil {
 		s.directReadCtx, s.cancelDirectReads = context.WithCancel(ctx)
--- a/internal/entryhost/streamreader.go
+++ b/internal/entryhost/streamreader.go
@@ -17,8 +17,8 @@
 	// hosts follow the planner's, so the wait is short. At 0.7 s two streams
 	// cost 2.9 calls a second for the whole fleet.
 	plannerLongPoll = 700 * time.Millisecond
-	// skipCheckInterval is how often a skipped stream is checked. Only the planner
-	// skips one, the ownership stream, while nobody else writes it.
+	// skipCheckInterval is how often a skipped stream is checked. Only the
+	// planner skips a stream: ownership, while no other host writes it.
 	skipCheckInterval = 100 * time.Millisecond
 	// directLongPoll is how long a read waits on hosts that can't follow the
 	// planner. It bounds how long a record remains unread if the service does
@@ -38,10 +38,10 @@
 	// after the cut's end. A slow service answers within 0.3 s.
 	immediateReadTimeout = 600 * time.Millisecond
 	// upstreamBatchDelayPlanner and upstreamBatchDelayDirect are the delays
-	// after a read of the upstream stream, on the planner and on a host that
-	// reads for itself. They let a burst of records cost one read. At a fleet's
-	// start every host reads and every upstream writes: with the planner's
-	// delay, 91 hosts made some 1,800 calls in two seconds.
+	// after a read of the upstream stream, on the planner and on other readers.
+	// They let a burst cost one read: at a fleet's start every host reads and
+	// every upstream writes, and 91 hosts with the planner's delay made some
+	// 1,800 calls in 2 s.
 	upstreamBatchDelayPlanner = 150 * time.Millisecond
 	upstreamBatchDelayDirect  = 600 * time.Millisecond
 	// crashBatchDelayPlanner and crashBatchDelayDirect are the same for the
