--- a/internal/entryhost/calls_test.go
+++ b/internal/entryhost/actions_test.go
@@ -18,29 +18,29 @@
 // countingGranter counts grants.
 type countingGranter struct {
 	Granter
-	sent int
+	grants int
 }
 
 func (g *countingGranter) Grant(context.Context, string, ownership.Range, time.Duration, bool) error {
-	g.sent++
+	g.grants++
 	return nil
 }
 
 // A planner decides on a grant and gets no processor for a second. Meanwhile it, or
 // its successor, takes the lease for over and gives the keys to another. The grant
 // must not go out then: its owner would hold the keys for three seconds more.
-func TestGrantThatWasHeldUpIsNotSent(t *testing.T) {
+func TestDelayedGrantIsNotSent(t *testing.T) {
 	g := &countingGranter{}
-	c := newController(zap.NewNop(), memstore.New(), decoder{}, g, view.NewPublisher(), planner.Options{Host: "h"}, evacuateBound)
+	c := newController(zap.NewNop(), memstore.New(), decoder{}, g, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
 	decided := bootclock.Time(time.Hour)
 	for _, step := range []struct {
 		late time.Duration
 		sent bool
 	}{{maxGrantSendDelay, true}, {time.Second, false}} {
-		g.sent = 0
+		g.grants = 0
 		c.clock = func() bootclock.Time { return decided.Add(step.late) }
 		err := c.grant(t.Context(), &planner.Grant{SentAt: decided})
-		if sent := g.sent == 1; sent != step.sent || errors.Is(err, ownership.ErrNotSent) == step.sent {
+		if sent := g.grants == 1; sent != step.sent || errors.Is(err, ownership.ErrNotSent) == step.sent {
 			t.Errorf("%v late: sent %v, error %v", step.late, sent, err)
 		}
 	}
--- a/internal/entryhost/crash_test.go
+++ b/internal/entryhost/crash_test.go
@@ -14,15 +14,15 @@
 	// settleTime is how long after a change hosts that nothing disturbs may take
 	// to act on it.
 	settleTime = 3 * time.Second
-	// lastTries is how often a request that has ended three servers may be sent
+	// maxLateAttempts is how often a request that has ended three servers may be sent
 	// after that.
-	lastTries = 3
-	// watched is how long such a request is asked for after that. Its keys have
+	maxLateAttempts = 3
+	// observationTime is how long such a request is asked for after that. Its keys have
 	// a new owner within handover each time that theirs is ended.
-	watched = 5 * maxHandover
-	// askEvery is the pause between its callers' asks.
-	askEvery = 50 * time.Millisecond
-	fatalKey = 28264
+	observationTime = 5 * maxHandover
+	// callInterval is the pause between its callers' asks.
+	callInterval = 50 * time.Millisecond
+	fatalKey     = 28264
 )
 
 // Callers of a range of keys were refused for seconds, again and again. One
@@ -32,9 +32,9 @@
 // had ended. No host remembered what a request had done to its servers. The
 // evidence: the broken sends of every server that ended so have one content in
 // common, under IDs that all differ, one send each.
-func TestRequestThatEndsItsServersIsSentToFew(t *testing.T) {
+func TestCrashingRequestIsSentToFewServers(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", plainRoute}} {
+	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
 		t.Run(c.service, func(t *testing.T) {
 			runFleetTest(t, func(t *testing.T) {
 				f := newFleet(t, 3, 0)
@@ -46,9 +46,9 @@
 				third := f.waitCrashes(3, 6*maxHandover)
 				time.Sleep(time.Until(third.Add(settleTime)))
 				before := f.crashCount()
-				time.Sleep(watched)
-				if more := f.crashCount() - before; more > lastTries {
-					t.Errorf("it ended %d more servers, from %v after the third on; at most %d may be tried", more, settleTime, lastTries)
+				time.Sleep(observationTime)
+				if more := f.crashCount() - before; more > maxLateAttempts {
+					t.Errorf("it ended %d more servers, from %v after the third on; at most %d may be tried", more, settleTime, maxLateAttempts)
 				}
 				stop()
 				t.Logf("%d servers ended in all", f.crashCount())
@@ -65,7 +65,7 @@
 	done := make(chan struct{})
 	f.background.Go(func() {
 		defer close(done)
-		for n := 0; !stopped.Load() && f.sleep(askEvery); n++ {
+		for n := 0; !stopped.Load() && f.sleep(callInterval); n++ {
 			f.hosts[n%len(f.hosts)].callPath("GET", route, fatalPath, fmt.Sprint("fatal-", n), fatalKey)
 		}
 	})
@@ -88,7 +88,7 @@
 			if time.Since(start) > within {
 				f.t.Fatalf("%s is not answered through %s after %v: %d %s", path, h.cfg.Host, time.Since(start), status, body)
 			}
-			time.Sleep(askEvery)
+			time.Sleep(callInterval)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // that was.
 func (f *testFleet) waitCrashes(n int, within time.Duration) time.Time {
 	f.t.Helper()
-	for end := time.Now().Add(within); f.crashCount() < n; time.Sleep(askEvery) {
+	for end := time.Now().Add(within); f.crashCount() < n; time.Sleep(callInterval) {
 		if time.Now().After(end) {
 			f.t.Fatalf("%d servers ended within %v, want %d", f.crashCount(), within, n)
 		}
@@ -118,7 +118,7 @@
 // refused from then on for a day: three ends stood against it, and nothing was
 // sent any more that could have been answered. They are served again within
 // seconds, through every host.
-func TestPopularPageIsServedAfterACommonLoss(t *testing.T) {
+func TestPopularPageIsServedAfterCorrelatedFailures(t *testing.T) {
 	all := func(f *testFleet, ups []*rangeowner.Upstream) {
 		for _, u := range ups {
 			f.crash("plain", u)
@@ -127,19 +127,19 @@
 	losses := map[string]func(f *testFleet, ups []*rangeowner.Upstream){
 		"all at once":  all,
 		"half of them": func(f *testFleet, ups []*rangeowner.Upstream) { all(f, ups[:len(ups)/2]) },
-		"one by one":   func(f *testFleet, ups []*rangeowner.Upstream) { f.roll("plain", ups) },
+		"one by one":   func(f *testFleet, ups []*rangeowner.Upstream) { f.crashOneByOne("plain", ups) },
 		"log away": func(f *testFleet, ups []*rangeowner.Upstream) {
 			f.log.SetDown(true)
 			all(f, ups)
-			time.Sleep(entryLapseDelay + restartDelay)
+			time.Sleep(entryExpiryDelay + restartDelay)
 			f.log.SetDown(false)
 		},
 		"hosts restarted": func(f *testFleet, ups []*rangeowner.Upstream) {
 			all(f, ups)
-			time.Sleep(entryLapseDelay)
+			time.Sleep(entryExpiryDelay)
 			f.stopHosts()
 			for i := range 3 {
-				f.askForThePopular(f.startHost(fmt.Sprint("new", i)), askEvery)
+				f.requestPopularPage(f.startHost(fmt.Sprint("new", i)), callInterval)
 			}
 		},
 	}
@@ -151,26 +151,26 @@
 				for i := range 8 {
 					ups = append(ups, f.addServiceUpstream("plain", fmt.Sprint("plain", i)))
 				}
-				f.waitAnswered(plainRoute, "/popular", startupTimeout)
-				every := askEvery
+				f.waitAnswered(unkeyedRoute, "/popular", startupTimeout)
+				every := callInterval
 				if name == "all at once" {
 					every = 10 * time.Millisecond
 				}
 				for _, h := range f.hosts {
-					f.askForThePopular(h, every)
+					f.requestPopularPage(h, every)
 				}
 				time.Sleep(time.Second)
 				lose(f, ups)
-				time.Sleep(entryLapseDelay + restartDelay + backAfterLoss)
-				f.waitAnswered(plainRoute, "/popular", 0)
+				time.Sleep(entryExpiryDelay + restartDelay + maxRecoveryTime)
+				f.waitAnswered(unkeyedRoute, "/popular", 0)
 			})
 		})
 	}
 }
 
-// askForThePopular has eight callers of a host ask for the popular page, and now and
+// requestPopularPage has eight callers of a host ask for the popular page, and now and
 // then for others, with so long a pause between.
-func (f *testFleet) askForThePopular(h *testHost, every time.Duration) {
+func (f *testFleet) requestPopularPage(h *testHost, every time.Duration) {
 	for c := range 8 {
 		f.background.Go(func() {
 			for n := 0; f.sleep(every); n++ {
@@ -178,36 +178,36 @@
 				if n%10 == 0 {
 					path = fmt.Sprint("/", c, n)
 				}
-				h.callPath("GET", plainRoute, path, fmt.Sprint(h.cfg.Host, "-", c, "-", n), fatalKey)
+				h.callPath("GET", unkeyedRoute, path, fmt.Sprint(h.cfg.Host, "-", c, "-", n), fatalKey)
 			}
 		})
 	}
 }
 
-// roll ends upstreams one after the other, each once the one before is back.
-func (f *testFleet) roll(service string, ups []*rangeowner.Upstream) {
+// crashOneByOne ends upstreams one after the other, each once the one before is back.
+func (f *testFleet) crashOneByOne(service string, ups []*rangeowner.Upstream) {
 	for _, u := range ups {
 		f.crash(service, u)
-		time.Sleep(entryLapseDelay + restartDelay)
+		time.Sleep(entryExpiryDelay + restartDelay)
 	}
 }
 
 // backAfterLoss is how long after a loss callers are served again at the latest:
 // a page that is refused for it is tried again once in ten seconds.
-const backAfterLoss = 12 * time.Second
+const maxRecoveryTime = 12 * time.Second
 
 // Three servers have ended under one request. Then every host is stopped and
 // others start, which have seen none of it; callers still ask. What the hosts
 // knew is in the log service: the new ones refuse the request within the time
 // that they are given to settle, and answer others.
-func TestNewHostsKnowWhichRequestsEndTheirServers(t *testing.T) {
+func TestNewHostsRefuseKnownCrashingRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 0)
 		for i := range 5 {
 			f.addServiceUpstream("plain", fmt.Sprint("plain", i))
 		}
-		f.waitAnswered(plainRoute, "/x", startupTimeout)
-		stop := f.sendFatalRequests(plainRoute)
+		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		stop := f.sendFatalRequests(unkeyedRoute)
 		f.waitCrashes(3, maxHandover)
 		time.Sleep(settleTime)
 		stop()
@@ -215,11 +215,11 @@
 		for i := range 2 {
 			f.startHost(fmt.Sprint("new", i))
 		}
-		f.waitAnswered(plainRoute, "/x", startupTimeout)
+		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
 		time.Sleep(settleTime)
 		before := f.crashCount()
 		for n := range 20 {
-			if status, body := f.hosts[n%2].callPath("GET", plainRoute, fatalPath, fmt.Sprint("again-", n), fatalKey); status != http.StatusServiceUnavailable {
+			if status, body := f.hosts[n%2].callPath("GET", unkeyedRoute, fatalPath, fmt.Sprint("again-", n), fatalKey); status != http.StatusServiceUnavailable {
 				t.Errorf("%d %s", status, body)
 			}
 		}
@@ -231,7 +231,7 @@
 
 // Several callers ask for the request that ends its servers at the same time, so that
 // each server runs some of it: counted by runs, it must not go on for longer.
-func TestRequestThatEndsItsServersIsRunByFewAtOnce(t *testing.T) {
+func TestConcurrentCrashingRequestsAreLimited(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 0, 0)
 		f.grantTTL = 3 * time.Second // keys of an ended owner wait as long for the next one
@@ -250,7 +250,7 @@
 			stops = append(stops, f.sendFatalRequests("read.example"))
 		}
 		f.waitCrashes(3, 6*maxHandover)
-		time.Sleep(watched)
+		time.Sleep(observationTime)
 		for _, stop := range stops {
 			stop()
 		}
@@ -263,8 +263,8 @@
 				late++
 			}
 		}
-		if late > lastTries {
-			t.Errorf("%d runs began more than %v after the third had ended, of %d in all; at most %d", late, settleTime, len(f.fatalStarts), lastTries)
+		if late > maxLateAttempts {
+			t.Errorf("%d runs began more than %v after the third had ended, of %d in all; at most %d", late, settleTime, len(f.fatalStarts), maxLateAttempts)
 		}
 	})
 }
--- a/internal/entryhost/evacuate_test.go
+++ b/internal/entryhost/evacuate_test.go
@@ -24,8 +24,8 @@
 	return out
 }
 
-// runs returns how many requests the upstreams have run.
-func runs(ups []*rangeowner.Upstream) int {
+// totalRuns returns how many requests the upstreams have run.
+func totalRuns(ups []*rangeowner.Upstream) int {
 	n := 0
 	for _, u := range ups {
 		n += len(u.Runs())
@@ -33,12 +33,12 @@
 	return n
 }
 
-// traffic has callers ask for keys all over and for the service without keys,
+// sendTraffic has callers ask for keys all over and for the service without keys,
 // through every host, for d. It returns how many were not answered.
-func (f *testFleet) traffic(d time.Duration) (unserved int) {
+func (f *testFleet) sendTraffic(d time.Duration) (unserved int) {
 	for n, end := 0, time.Now().Add(d); time.Now().Before(end); n++ {
 		h := f.hosts[n%len(f.hosts)]
-		for _, route := range []string{"read.example", plainRoute} {
+		for _, route := range []string{"read.example", unkeyedRoute} {
 			if status, _ := h.call("GET", route, fmt.Sprint(route, time.Now().UnixNano()), n*977%65536); status != http.StatusOK {
 				unserved++
 			}
@@ -52,33 +52,33 @@
 // nothing may reach them, through any host, also one that starts meanwhile;
 // callers of their keys are served by others, and once the data centre is taken
 // back it is used again.
-func TestEvacuatedDataCentreGetsNothing(t *testing.T) {
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 4)
 		f.addServiceUpstream("plain", "plain0")
 		evacuated := f.addDataCentre("far", 2)
 		f.waitServed(f.hosts[0], startupTimeout)
-		f.traffic(4 * time.Second)
-		if runs(evacuated) == 0 {
+		f.sendTraffic(4 * time.Second)
+		if totalRuns(evacuated) == 0 {
 			t.Fatal("the play is wrong: the data centre was never used")
 		}
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
-		if unserved := f.traffic(evacuateBound / 2); unserved > 0 {
+		if unserved := f.sendTraffic(testEvacuationTimeout / 2); unserved > 0 {
 			t.Errorf("%d requests were not served while it was evacuated", unserved)
 		}
 		f.startHost("late")
 		f.waitServed(f.hosts[3], startupTimeout)
-		time.Sleep(evacuateBound / 2)
-		before := runs(evacuated)
-		if unserved := f.traffic(5 * time.Second); unserved > 0 {
+		time.Sleep(testEvacuationTimeout / 2)
+		before := totalRuns(evacuated)
+		if unserved := f.sendTraffic(5 * time.Second); unserved > 0 {
 			t.Errorf("%d requests were not served after it was evacuated", unserved)
 		}
-		if n := runs(evacuated) - before; n > 0 {
-			t.Errorf("%d requests reached the data centre later than %v after it was evacuated", n, evacuateBound)
+		if n := totalRuns(evacuated) - before; n > 0 {
+			t.Errorf("%d requests reached the data centre later than %v after it was evacuated", n, testEvacuationTimeout)
 		}
 		f.log.Put(metastore.StreamDesired, "evacuate/far", nil)
 		f.generateLoad("read.example", 8*time.Second) // lightly used owners keep what they have
-		if runs(evacuated) == before {
+		if totalRuns(evacuated) == before {
 			t.Error("it is not used again")
 		}
 	})
@@ -87,7 +87,7 @@
 // The log service is away while a data centre is evacuated: its keys cannot be
 // given to others. Their callers are refused, as nothing may be sent there, and
 // all others are served.
-func TestEvacuationThatCannotBeRecorded(t *testing.T) {
+func TestEvacuationDuringLogOutage(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		evacuated := f.addDataCentre("far", 2)
@@ -95,10 +95,10 @@
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
 		time.Sleep(20 * time.Millisecond) // it is read, and nothing can be recorded any more
 		f.log.SetDown(true)
-		time.Sleep(evacuateBound)
-		before := runs(evacuated)
-		f.traffic(2 * time.Second)
-		if n := runs(evacuated) - before; n > 0 {
+		time.Sleep(testEvacuationTimeout)
+		before := totalRuns(evacuated)
+		f.sendTraffic(2 * time.Second)
+		if n := totalRuns(evacuated) - before; n > 0 {
 			t.Errorf("%d requests reached the data centre", n)
 		}
 		f.log.SetDown(false)
--- a/internal/entryhost/feedback_test.go
+++ b/internal/entryhost/feedback_test.go
@@ -18,12 +18,12 @@
 const burst = 2
 
 // services are the ones of the test's desired state and the routes to them.
-var services = []struct{ name, route string }{{"sheets", "read.example"}, {"plain", plainRoute}}
+var testServices = []struct{ name, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}}
 
-// tally counts answers by status.
-type tally map[int]int
+// statusCounts counts answers by status.
+type statusCounts map[int]int
 
-func (t tally) total() int {
+func (t statusCounts) total() int {
 	n := 0
 	for _, count := range t {
 		n += count
@@ -31,12 +31,12 @@
 	return n
 }
 
-// ask has one caller on every host ask for other keys, every 50 ms, and returns
+// generateSteadyLoad has one caller on every host ask for other keys, every 50 ms, and returns
 // the statuses of what was asked from some time on.
-func (f *testFleet) ask(route string, d, from time.Duration) tally {
+func (f *testFleet) generateSteadyLoad(route string, d, from time.Duration) statusCounts {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	out := tally{}
+	out := statusCounts{}
 	start := time.Now()
 	for i, h := range f.hosts {
 		wg.Go(func() {
@@ -56,24 +56,24 @@
 	return out
 }
 
-// hostOf returns the host that a request of ask was sent to.
-func hostOf(a rangeowner.Arrival) string {
+// sendingHost returns the host that a request of ask was sent to.
+func sendingHost(a rangeowner.Arrival) string {
 	host, _, _ := strings.Cut(a.ID, "-")
 	return host
 }
 
-// afterReport returns the arrivals from hosts that had received an answer which
+// arrivalsAfterReport returns the arrivals from hosts that had received an answer which
 // says so some time before.
-func afterReport(all []rangeowner.Arrival, says func(rangeowner.Report) bool, later time.Duration) []rangeowner.Arrival {
+func arrivalsAfterReport(all []rangeowner.Arrival, says func(rangeowner.Report) bool, later time.Duration) []rangeowner.Arrival {
 	received := map[string]time.Time{}
 	var out []rangeowner.Arrival
 	for _, a := range all {
-		at, ok := received[hostOf(a)]
+		at, ok := received[sendingHost(a)]
 		if ok && a.At.Sub(at) > later {
 			out = append(out, a)
 		}
 		if !ok && says(a.Report) {
-			received[hostOf(a)] = a.At
+			received[sendingHost(a)] = a.At
 		}
 	}
 	return out
@@ -89,23 +89,23 @@
 	}
 	f.waitAnswered(route, "/x", startupTimeout)
 	time.Sleep(4 * time.Second)
-	f.ask(route, 2*time.Second, 0)
+	f.generateSteadyLoad(route, 2*time.Second, 0)
 	return f, ups
 }
 
 // Hosts that each keep an upstream's rate limit by themselves, or not at all, must
 // not exceed it together; callers must be served by upstreams with room.
 func TestUpstreamRateLimitHoldsAcrossHosts(t *testing.T) {
-	for _, c := range services {
+	for _, c := range testServices {
 		for _, limit := range []float64{1, 1.6, 8} {
 			t.Run(fmt.Sprint(c.name, " limit ", limit), func(t *testing.T) {
 				runFleetTest(t, func(t *testing.T) {
 					f, ups := feedbackFleet(t, 12, c.name, c.route)
 					named := time.Now()
 					ups[0].SetReport(rangeowner.Report{RateLimit: limit})
-					got := f.ask(c.route, 12*time.Second, 6*time.Second)
+					got := f.generateSteadyLoad(c.route, 12*time.Second, 6*time.Second)
 					all := ups[0].Arrivals(named, time.Now())
-					counted := afterReport(all, func(s rangeowner.Report) bool { return s.RateLimit > 0 }, rangeowner.ReportGrace)
+					counted := arrivalsAfterReport(all, func(s rangeowner.Report) bool { return s.RateLimit > 0 }, rangeowner.ReportGrace)
 					if n, most := rangeowner.PeakInWindow(counted, rangeowner.RateLimitWindow), rangeowner.MaxRequests(limit); n > most {
 						t.Errorf("%d requests within %v of an upstream that takes %v a second; at most %d", n, rangeowner.RateLimitWindow, limit, most)
 					}
@@ -113,7 +113,7 @@
 						t.Errorf("answers %v while four of five upstreams have room", got)
 					}
 					ups[0].SetReport(rangeowner.Report{})
-					f.ask(c.route, 6*time.Second, 0)
+					f.generateSteadyLoad(c.route, 6*time.Second, 0)
 					const after = 2 * time.Second
 					n := len(ups[0].Arrivals(time.Now().Add(-after), time.Now()))
 					if held := int(limit*after.Seconds()) + burst; c.name == "plain" && n <= held {
@@ -127,8 +127,8 @@
 
 // An upstream that says in its answers that it leaves must get nothing later than
 // the bound, whatever the log says of it and whether the log can be read.
-func TestUpstreamThatSaysItLeavesGetsNothingLater(t *testing.T) {
-	for _, c := range services {
+func TestUpstreamReportingLeavingGetsNoLateRequests(t *testing.T) {
+	for _, c := range testServices {
 		for _, logLost := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, " log lost ", logLost), func(t *testing.T) {
 				runFleetTest(t, func(t *testing.T) {
@@ -138,8 +138,8 @@
 					}
 					said := time.Now()
 					ups[0].SetReport(rangeowner.Report{Leaving: true})
-					got := f.ask(c.route, 5*time.Second, 2*time.Second)
-					late := afterReport(ups[0].Arrivals(said, time.Now()), func(s rangeowner.Report) bool { return s.Leaving }, rangeowner.DrainGrace)
+					got := f.generateSteadyLoad(c.route, 5*time.Second, 2*time.Second)
+					late := arrivalsAfterReport(ups[0].Arrivals(said, time.Now()), func(s rangeowner.Report) bool { return s.Leaving }, rangeowner.DrainGrace)
 					if len(late) > 0 {
 						t.Errorf("%d requests reached it more than %v after their host received the report; first %+v", len(late), rangeowner.DrainGrace, late[0])
 					}
@@ -158,18 +158,18 @@
 
 // A host that an upstream asks for rest must not keep sending it what its callers
 // ask for: keys have one owner, so it has nobody else to send to.
-func TestUpstreamThatAsksForRestGetsIt(t *testing.T) {
+func TestUpstreamBackoffIsObeyed(t *testing.T) {
 	const rest = 3 * time.Second
-	for _, c := range services {
+	for _, c := range testServices {
 		t.Run(c.name, func(t *testing.T) {
 			runFleetTest(t, func(t *testing.T) {
 				f, ups := feedbackFleet(t, 6, c.name, c.route)
 				asked := time.Now()
 				ups[0].SetReport(rangeowner.Report{Backoff: rest})
-				got := f.ask(c.route, 8*time.Second, 0)
+				got := f.generateSteadyLoad(c.route, 8*time.Second, 0)
 				byHost := map[string][]rangeowner.Arrival{}
 				for _, a := range ups[0].Arrivals(asked, time.Now()) {
-					byHost[hostOf(a)] = append(byHost[hostOf(a)], a)
+					byHost[sendingHost(a)] = append(byHost[sendingHost(a)], a)
 				}
 				for host, all := range byHost {
 					if n, _ := rangeowner.BackoffViolation(all, rest, func(_, _ time.Time) bool { return true }); n > 0 {
@@ -189,7 +189,7 @@
 
 // Keys must not move from owners that rest to others that are about to: where many
 // rest, the service lacks room.
-func TestRestingOwnersCountWithNoCapacityUnlessManyRest(t *testing.T) {
+func TestOwnersInBackoffLoseCapacityUnlessMany(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range []struct{ owners, resting, capped int }{{8, 1, 1}, {8, 2, 2}, {8, 3, 0}, {3, 1, 1}, {3, 2, 0}} {
 		load := ownership.Load{ByKey: []float64{1}, Capacity: map[string]float64{}}
@@ -218,7 +218,7 @@
 
 // Owners whose limit has ended must be asked again once the others are busy: one that
 // gets nothing cannot report the end, and each limit would cost the service an owner.
-func TestOwnersAreUsedAgainAfterTheirLimit(t *testing.T) {
+func TestOwnersAreUsedAgainAfterRateLimitEnds(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 12, 0)
 		var ups []*rangeowner.Upstream
@@ -229,12 +229,12 @@
 		}
 		f.waitAnswered("read.example", "/x", startupTimeout)
 		time.Sleep(4 * time.Second)
-		f.ask("read.example", 3*time.Second, 0)
+		f.generateSteadyLoad("read.example", 3*time.Second, 0)
 		for _, u := range ups[:3] {
 			u.SetReport(rangeowner.Report{RateLimit: 1.2})
-			f.ask("read.example", 5*time.Second, 0)
+			f.generateSteadyLoad("read.example", 5*time.Second, 0)
 			u.SetReport(rangeowner.Report{})
-			f.ask("read.example", 12*time.Second, 0)
+			f.generateSteadyLoad("read.example", 12*time.Second, 0)
 		}
 		now := time.Now()
 		for _, u := range ups {
--- a/internal/entryhost/fleet_test.go
+++ b/internal/entryhost/fleet_test.go
@@ -28,7 +28,7 @@
 
 // An upstream dies. Its keys are served again by others once its lease has
 // run out, through all hosts.
-func TestKeysOfALostUpstreamAreServedAgain(t *testing.T) {
+func TestLostUpstreamsKeysAreServedByOthers(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		f.waitServed(f.hosts[0], startupTimeout)
@@ -46,7 +46,7 @@
 
 // An upstream announces that it leaves. Within two seconds it gets nothing
 // new, and its keys are served by others, warm.
-func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		f.waitServed(f.hosts[0], startupTimeout)
@@ -70,7 +70,7 @@
 // The planner's host is stopped as planned: it reports unready at once,
 // answers what is under way, and another host plans on without a key being
 // unserved.
-func TestPlannedStopOfThePlanner(t *testing.T) {
+func TestPlannedStopOfPlanner(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 3)
 		f.waitServed(f.hosts[0], startupTimeout)
@@ -112,7 +112,7 @@
 // The log service is down for longer than a grant lasts. Keys go on being
 // served from what was agreed before, and the desired state published
 // meanwhile comes into force soon after.
-func TestLogOutageLeavesKeysServed(t *testing.T) {
+func TestKeysAreServedDuringLogOutage(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		f.waitServed(f.hosts[0], startupTimeout)
@@ -132,7 +132,7 @@
 
 // The log forgets its history. Hosts go on from the newest records, and what
 // changes afterwards reaches them all.
-func TestForgottenHistory(t *testing.T) {
+func TestHostsContinueAfterLogCompaction(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 2)
 		f.waitServed(f.hosts[0], startupTimeout)
@@ -151,7 +151,7 @@
 
 // All hosts follow the planner's copy: what the log service is asked does
 // not grow with the number of hosts.
-func TestCallsDoNotGrowWithHosts(t *testing.T) {
+func TestLogReadsDoNotGrowWithFleetSize(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		reads := func(hosts int) int {
 			f := newFleet(t, hosts, 3)
--- a/internal/entryhost/rig_test.go
+++ b/internal/entryhost/harness_test.go
@@ -27,7 +27,7 @@
 	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
-var names = protocol.Headers{RequestID: "X-Id", TimeoutMs: "X-Timeout-Ms", Signature: "X-Signature", ExpectedUpstream: "X-Expect",
+var testHeaders = protocol.Headers{RequestID: "X-Id", TimeoutMs: "X-Timeout-Ms", Signature: "X-Signature", ExpectedUpstream: "X-Expect",
 	NotRun: "X-Not-Run", Key: "X-Key", RateLimit: "X-Limit", Leaving: "X-Leaving"}
 
 // testFleet is a few entry hosts, a log and upstreams, on a network in memory and
@@ -49,8 +49,8 @@
 	// when each that ran began.
 	fatalDuration time.Duration
 	fatalStarts   []time.Time
-	// over is closed at the test's end, later waits for what is due until then.
-	over       chan struct{}
+	// testEnded is closed at the test's end, later waits for what is due until then.
+	testEnded  chan struct{}
 	background sync.WaitGroup
 }
 
@@ -66,11 +66,11 @@
 // Bounds of the fleet's sheet.
 const (
 	slowStartFactor, slowStartSlack = 1.5, 8
-	evacuateBound                   = 5 * time.Second
+	testEvacuationTimeout           = 5 * time.Second
 )
 
 // plainRoute leads to a service that is not divided by key.
-const plainRoute = "plain.example"
+const unkeyedRoute = "plain.example"
 
 // decoder reads the test's records: JSON of the product's own types.
 type decoder struct{}
@@ -87,7 +87,7 @@
 		return &desired.Route{Name: host, Host: host, Prefix: "/", Idempotent: idempotent, Timeout: time.Second,
 			LatencyObjective: 600 * time.Millisecond, MaxAttempts: 2, Shares: []desired.Share{{Service: "sheets", Weight: 1}}}
 	}
-	plain := route(plainRoute, true)
+	plain := route(unkeyedRoute, true)
 	plain.Shares = []desired.Share{{Service: "plain", Weight: 1}}
 	slow := desired.SlowStart{Duration: 3 * time.Second, PerSecond: 4}
 	return desired.New(version, []*desired.Route{route("read.example", true), route("charge.example", false), plain},
@@ -104,24 +104,24 @@
 	return &u, json.Unmarshal(data, &u)
 }
 
-// granter reaches the stand-ins without a network.
-type granter struct{ f *testFleet }
+// directGranter reaches the stand-ins without a network.
+type directGranter struct{ f *testFleet }
 
-func (g granter) at(addr string) *rangeowner.Upstream {
+func (g directGranter) upstreamAt(addr string) *rangeowner.Upstream {
 	g.f.mu.Lock()
 	defer g.f.mu.Unlock()
 	return g.f.upstreams[addr]
 }
 
-func (g granter) Grant(_ context.Context, addr string, r ownership.Range, d time.Duration, _ bool) error {
-	if u := g.at(addr); u != nil {
+func (g directGranter) Grant(_ context.Context, addr string, r ownership.Range, d time.Duration, _ bool) error {
+	if u := g.upstreamAt(addr); u != nil {
 		return u.Grant(r, d)
 	}
 	return ownership.ErrNotSent
 }
 
-func (g granter) Release(_ context.Context, addr string, r ownership.Range) (string, error) {
-	if u := g.at(addr); u != nil {
+func (g directGranter) Release(_ context.Context, addr string, r ownership.Range) (string, error) {
+	if u := g.upstreamAt(addr); u != nil {
 		return u.Release(r), nil
 	}
 	return "", ownership.ErrNotSent
@@ -134,12 +134,12 @@
 	synctest.Test(t, test)
 }
 
-// now is the fleet's clock.
-func now() bootclock.Time { return bootclock.Time(time.Now().UnixNano()) }
+// fleetClock is the fleet's clock.
+func fleetClock() bootclock.Time { return bootclock.Time(time.Now().UnixNano()) }
 
 func newFleet(t *testing.T, hosts, upstreams int) *testFleet {
 	t.Helper()
-	f := &testFleet{t: t, log: memstore.New(), net: pipenet.New(), upstreams: map[string]*rangeowner.Upstream{}, grantTTL: time.Second, over: make(chan struct{})}
+	f := &testFleet{t: t, log: memstore.New(), net: pipenet.New(), upstreams: map[string]*rangeowner.Upstream{}, grantTTL: time.Second, testEnded: make(chan struct{})}
 	f.http = &http.Client{Transport: &http.Transport{DialContext: f.net.Dial}}
 	f.log.Put(metastore.StreamDesired, "state", []byte("1"))
 	for i := range upstreams {
@@ -154,7 +154,7 @@
 
 // stopAll stops everything.
 func (f *testFleet) stopAll() {
-	close(f.over)
+	close(f.testEnded)
 	f.background.Wait()
 	f.mu.Lock()
 	for _, u := range f.upstreams {
@@ -203,7 +203,7 @@
 		f.t.Error(err)
 		return nil
 	}
-	u := rangeowner.StartOn(ln, id, names, 20*time.Millisecond)
+	u := rangeowner.StartOn(ln, id, testHeaders, 20*time.Millisecond)
 	u.CrashOn = func(r *http.Request) bool {
 		if r.URL.Path != fatalPath {
 			return false
@@ -225,10 +225,10 @@
 const (
 	// fatalPath is the target of the request that ends its servers.
 	fatalPath = "/fatal"
-	// entryLapseDelay is how long after its end an upstream's entry goes, returns how
+	// entryExpiryDelay is how long after its end an upstream's entry goes, returns how
 	// long after it the server is back, with a new ID.
-	entryLapseDelay = 500 * time.Millisecond
-	restartDelay    = time.Second
+	entryExpiryDelay = 500 * time.Millisecond
+	restartDelay     = time.Second
 )
 
 // crash ends an upstream, whose server is back some time later.
@@ -245,10 +245,10 @@
 	n := len(f.crashes)
 	f.mu.Unlock()
 	f.background.Go(func() {
-		if f.sleep(entryLapseDelay) {
+		if f.sleep(entryExpiryDelay) {
 			f.log.Put(metastore.StreamUpstreams, u.ID, nil)
 		}
-		if f.sleep(restartDelay - entryLapseDelay) {
+		if f.sleep(restartDelay - entryExpiryDelay) {
 			f.addServiceUpstream(service, fmt.Sprint(service, "-again-", n))
 		}
 	})
@@ -259,7 +259,7 @@
 	select {
 	case <-time.After(d):
 		return true
-	case <-f.over:
+	case <-f.testEnded:
 		return false
 	}
 }
@@ -292,20 +292,20 @@
 }
 
 // weakCPU is the processor share of a host that is too weak to plan or relay.
-const weakCPU = candidateMinCPU / 2
+const nonCandidateCPU = candidateMinCPU / 2
 
-func (f *testFleet) startHost(name string) *testHost { return f.startHostWith(name, 1) }
+func (f *testFleet) startHost(name string) *testHost { return f.startHostWithCPU(name, 1) }
 
-// startHostWith starts a host with so much of a core.
-func (f *testFleet) startHostWith(name string, cpu float64) *testHost {
+// startHostWithCPU starts a host with so much of a core.
+func (f *testFleet) startHostWithCPU(name string, cpu float64) *testHost {
 	cfg := &settings.EntryHost{Host: name, DataCentre: "dc", Listen: name + ".front:80", ReadyListen: name + ".ready:80", PeerListen: name + ".peer:80",
 		MetricsListen: name + ".metrics:80", LogLevel: "info", MemoryMB: 284, CPUShare: cpu, LinkMbps: 1000, MinLeaseTTL: 300 * time.Millisecond, MaxGrantTTL: 10 * time.Second,
 		ShutdownGrace: 6 * time.Second, RetryBudgetRatio: 0.5, RetryBudgetSlack: 500, RetryBudgetWindow: 10 * time.Second,
-		SlowStartFactor: slowStartFactor, SlowStartSlack: slowStartSlack, EvacuationTimeout: evacuateBound, DrainTimeout: rangeowner.DrainGrace, GrantTTL: f.grantTTL, MaxViewAge: 2 * time.Second}
+		SlowStartFactor: slowStartFactor, SlowStartSlack: slowStartSlack, EvacuationTimeout: testEvacuationTimeout, DrainTimeout: rangeowner.DrainGrace, GrantTTL: f.grantTTL, MaxViewAge: 2 * time.Second}
 	ctx, stop := context.WithCancel(context.Background())
 	h := &testHost{cfg: cfg, http: f.http, log: &partitionedStore{Log: f.log}, stop: stop, done: make(chan error, 1)}
-	plat := Platform{Store: h.log, Decoder: decoder{}, Granter: granter{f}, Headers: names, ReadyPath: "/ready", LogDropped: func() int64 { return 0 },
-		Net: f.net, Clock: now}
+	plat := Platform{Store: h.log, Decoder: decoder{}, Granter: directGranter{f}, Headers: testHeaders, ReadyPath: "/ready", LogDropped: func() int64 { return 0 },
+		Net: f.net, Clock: fleetClock}
 	go func() { h.done <- Run(ctx, cfg, plat, nil, zap.NewNop()) }()
 	f.hosts = append(f.hosts, h)
 	return h
@@ -341,7 +341,7 @@
 	}
 	req.Host = host
 	req.Header.Set("X-Id", id)
-	if host != plainRoute {
+	if host != unkeyedRoute {
 		req.Header.Set("X-Key", strconv.Itoa(key))
 	}
 	req.Header.Set("X-Timeout-Ms", "2000")
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -21,13 +21,13 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// strongAndWeak is a fleet of which three hosts can plan and relay.
-func strongAndWeak(t *testing.T, weak int) *testFleet {
+// newMixedFleet is a fleet of which three hosts can plan and relay.
+func newMixedFleet(t *testing.T, weak int) *testFleet {
 	t.Helper()
 	f := newFleet(t, 3, 3)
 	f.addServiceUpstream("plain", "plain0")
 	for i := range weak {
-		f.startHostWith(fmt.Sprint("weak", i), weakCPU)
+		f.startHostWithCPU(fmt.Sprint("weak", i), nonCandidateCPU)
 	}
 	for _, h := range f.hosts {
 		f.waitServed(h, startupTimeout)
@@ -41,10 +41,10 @@
 // drown its return. A few of them ask. What is published on its return is in
 // force on every host in time, and no upstream is taken for gone whose entry
 // lapsed meanwhile.
-func TestFewAskALogServiceThatFails(t *testing.T) {
+func TestFewHostsCallFailingLogService(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		const hosts, outage = 40, 8 * time.Second
-		f := strongAndWeak(t, hosts)
+		f := newMixedFleet(t, hosts)
 		before := f.log.WeightedCalls()
 		f.log.SetDown(true)
 		time.Sleep(outage)
@@ -59,7 +59,7 @@
 		f.log.Put(metastore.StreamDesired, "state", []byte("2"))
 		time.Sleep(settleTime)
 		for _, h := range f.hosts {
-			if v := h.version(t); v != 2 {
+			if v := h.desiredVersion(t); v != 2 {
 				t.Errorf("%s is at version %d, %v after the service's return", h.cfg.Host, v, settleTime)
 			}
 		}
@@ -69,10 +69,10 @@
 // The planner is killed. The others learnt who plans now by reading every stream
 // of the log themselves, five calls a host for each change of planner. Those
 // behind a relay that lives need not.
-func TestChangeOfPlannerCostsFewCalls(t *testing.T) {
+func TestPlannerChangeCostsFewCalls(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		const hosts = 30
-		f := strongAndWeak(t, hosts)
+		f := newMixedFleet(t, hosts)
 		var planner *testHost
 		for _, h := range f.hosts {
 			if h.cfg.Host == f.log.LeaseHolder() {
@@ -95,8 +95,8 @@
 	})
 }
 
-// version returns the version of the desired state that is in force on the host.
-func (h *testHost) version(t *testing.T) int64 {
+// desiredVersion returns the version of the desired state that is in force on the host.
+func (h *testHost) desiredVersion(t *testing.T) int64 {
 	t.Helper()
 	resp, err := h.http.Get("http://" + h.cfg.MetricsListen + "/metrics")
 	if err != nil || resp.StatusCode != http.StatusOK {
@@ -115,15 +115,15 @@
 	return 0
 }
 
-// silentStore never answers reads that set out during a cut.
-type silentStore struct {
+// unresponsiveStore never answers reads that set out during a cut.
+type unresponsiveStore struct {
 	*memstore.Log
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
-func (s *silentStore) Read(ctx context.Context, st metastore.Stream, from int64, wait time.Duration) (metastore.Batch, error) {
-	if s.cut.Load() {
-		ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
+func (s *unresponsiveStore) Read(ctx context.Context, st metastore.Stream, from int64, wait time.Duration) (metastore.Batch, error) {
+	if s.partitioned.Load() {
+		ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutSlack)
 		defer cancel()
 		<-ctx.Done()
 		return metastore.Batch{}, metastore.ErrNoAnswer
@@ -132,7 +132,7 @@
 }
 
 // callSlack is how much longer than its wait a read may take.
-const callSlack = 1500 * time.Millisecond
+const readTimeoutSlack = 1500 * time.Millisecond
 
 // A host is cut off from the log service, silently. An upstream leaves meanwhile.
 // Callers were sent to it until 3 s after the cut's end and more: a read that had
@@ -141,10 +141,10 @@
 func TestLeavingUpstreamIsKnownInTimeAfterACut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 20 {
-			log := &silentStore{Log: memstore.New()}
+			log := &unresponsiveStore{Log: memstore.New()}
 			log.Put(metastore.StreamUpstreams, "u", []byte(`{"ID":"u","Service":"plain"}`))
 			views := view.NewPublisher()
-			c := newController(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
+			c := newController(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, testEvacuationTimeout)
 			c.crashes = newCrashLog(zap.NewNop(), log, c.isPlanner.Load)
 			ctx, cancel := context.WithCancel(t.Context())
 			go c.run(ctx)
@@ -153,10 +153,10 @@
 				go f.run(ctx)
 			}
 			time.Sleep(time.Second)
-			log.cut.Store(true)
+			log.partitioned.Store(true)
 			time.Sleep(8*time.Second + rand.N(time.Second))
 			log.Put(metastore.StreamUpstreams, "u", nil)
-			log.cut.Store(false)
+			log.partitioned.Store(false)
 			time.Sleep(settleTime)
 			if u := views.Load().Upstreams.ByID["u"]; u != nil && !u.Leaving {
 				t.Errorf("%v after the cut's end the upstream is taken for one that stays", settleTime)
--- a/internal/entryhost/refused_test.go
+++ b/internal/entryhost/refused_test.go
@@ -10,14 +10,14 @@
 
 // An operator clears a content at one host; it must not stay refused at the others,
 // which read of it from the log service.
-func TestContentClearedAtOneHostIsClearedAtAll(t *testing.T) {
+func TestClearedFingerprintIsClearedOnAllHosts(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 0)
 		for i := range 5 {
 			f.addServiceUpstream("plain", fmt.Sprint("plain", i))
 		}
-		f.waitAnswered(plainRoute, "/x", startupTimeout)
-		stop := f.sendFatalRequests(plainRoute)
+		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		stop := f.sendFatalRequests(unkeyedRoute)
 		f.waitCrashes(3, 6*maxHandover)
 		stop()
 		time.Sleep(settleTime)
--- a/internal/entryhost/roster_test.go
+++ b/internal/entryhost/registry_test.go
@@ -17,7 +17,9 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-func listed(r *upstreamRegistry, id string) { r.register(&catalogue.Upstream{ID: id, Service: "s"}) }
+func registerUpstream(r *upstreamRegistry, id string) {
+	r.register(&catalogue.Upstream{ID: id, Service: "s"})
+}
 
 // state says what the roster believes of an upstream.
 func (r *upstreamRegistry) state(id string) string {
@@ -42,7 +44,7 @@
 func TestUnlistedUpstreamIsLeaving(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
-	listed(r, "u1")
+	registerUpstream(r, "u1")
 	r.markMissing("u1", now, now)
 	wantState(t, r, "u1", "leaving")
 	r.expireSuspects(false, now.Add(unlistedRetention+time.Second))
@@ -52,17 +54,17 @@
 // Entries lapse while the log service is down. An upstream that is listed
 // again within two seconds of its return kept its callers all the while; one
 // that is not is taken for gone then.
-func TestEntriesThatLapsedInAnOutage(t *testing.T) {
+func TestEntriesExpiredDuringOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
-	listed(r, "back")
-	listed(r, "gone")
+	registerUpstream(r, "back")
+	registerUpstream(r, "gone")
 	r.markMissing("back", now.Add(relistGracePeriod), now)
 	r.markMissing("gone", now.Add(relistGracePeriod), now)
 	r.expireSuspects(true, now.Add(time.Minute))
 	wantState(t, r, "back", "ready")
 	wantState(t, r, "gone", "ready")
-	listed(r, "back")
+	registerUpstream(r, "back")
 	r.expireSuspects(false, now.Add(time.Minute))
 	wantState(t, r, "back", "ready")
 	wantState(t, r, "gone", "leaving")
@@ -71,10 +73,10 @@
 // An upstream that was taken for gone before an outage is missing from the
 // list read after it as well. It must not be suspected anew: by the time the
 // suspicion was settled it was forgotten, and the host ended.
-func TestGoneUpstreamIsNotSuspectedAgain(t *testing.T) {
+func TestUnlistedUpstreamIsNotSuspectedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
-	listed(r, "u1")
+	registerUpstream(r, "u1")
 	r.markMissing("u1", now, now)
 	now = now.Add(unlistedRetention - time.Second)
 	r.markMissingExcept(nil, now.Add(relistGracePeriod), now)
@@ -88,10 +90,10 @@
 // left meanwhile are missing from the list it reads then, and it cannot know
 // by itself whether their entries lapsed in an outage. The planner's word that
 // it had no break settles it: callers go to them no longer.
-func TestHostThatWasCutOffTakesThePlannersWord(t *testing.T) {
+func TestPartitionedHostUsesPlannersLogStatus(t *testing.T) {
 	log := memstore.New()
 	views := view.NewPublisher()
-	c := newController(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
+	c := newController(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, testEvacuationTimeout)
 	c.registry.register(&catalogue.Upstream{ID: "left", Service: "s"})
 	c.onStreamResult(metastore.StreamUpstreams, metastore.ErrNoAnswer)
 	c.onStreamResult(metastore.StreamUpstreams, nil)
@@ -112,8 +114,8 @@
 // A host regains one stream after a cut, and reads the list of upstreams half
 // a second later. The time in which lapsed entries come back runs from the
 // first sign that the log service is back, not from the list.
-func TestSparedTimeRunsFromTheFirstSign(t *testing.T) {
-	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, evacuateBound)
+func TestRelistGracePeriodStartsAtFirstRecoveredStream(t *testing.T) {
+	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
 	for _, s := range []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams} {
 		c.onStreamResult(s, metastore.ErrNoAnswer)
 	}
@@ -128,10 +130,10 @@
 }
 
 // While the service fails, one reader tries and the others wait for it.
-func TestOnlyOneReaderTriesDuringAnOutage(t *testing.T) {
+func TestOnlyProbeReadsDuringOutage(t *testing.T) {
 	log := memstore.New()
 	log.SetDown(true)
-	c := newController(zap.NewNop(), log, decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, evacuateBound)
+	c := newController(zap.NewNop(), log, decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.run(ctx)
@@ -148,12 +150,12 @@
 // A host stands still for five seconds, in which the log service was down and
 // entries lapsed. It never saw the outage, but spares what is missing now as
 // if it had: the entries are back within two seconds.
-func TestHostThatStoodStillSparesMissingEntries(t *testing.T) {
-	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, evacuateBound)
+func TestStalledHostKeepsMissingUpstreams(t *testing.T) {
+	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
 	clock := bootclock.Time(time.Hour)
 	c.clock = func() bootclock.Time { return clock }
 	c.detectStall()
-	listed(c.registry, "u")
+	registerUpstream(c.registry, "u")
 	clock = clock.Add(followerTickInterval)
 	c.detectStall()
 	if now := time.Now(); c.missingGraceUntil(now).After(now) {
@@ -173,30 +175,30 @@
 // earlier life. Only the new life is known from its entry on, and an entry that
 // the old one wrote late does not bring it back. When the server leaves it is
 // the new life that is leaving.
-func TestServerThatStartsAgainUnderItsID(t *testing.T) {
+func TestServerRestartsUnderSameID(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
 	first, second := catalogue.IncarnationID("u1", 1), catalogue.IncarnationID("u1", 2)
-	listed(r, first)
-	listed(r, second)
-	listed(r, first)
+	registerUpstream(r, first)
+	registerUpstream(r, second)
+	registerUpstream(r, first)
 	wantState(t, r, first, "unknown")
 	wantState(t, r, second, "ready")
 	r.markMissing("u1", now, now)
 	wantState(t, r, second, "leaving")
 	r.expireSuspects(false, now.Add(unlistedRetention+time.Second))
 	wantState(t, r, second, "unknown")
-	listed(r, first)
+	registerUpstream(r, first)
 	wantState(t, r, first, "ready")
 }
 
 // Another writer replaces an upstream's entry by one that cannot be read, and
 // writes one under a key of its own. The first upstream gets nothing new until
 // it writes again, the others are left alone, and one line is logged for all.
-func TestEntryOfAnotherWriterNamesNoUpstream(t *testing.T) {
+func TestForeignEntryAddsNoUpstream(t *testing.T) {
 	core, logs := observer.New(zap.ErrorLevel)
 	views := view.NewPublisher()
-	c := newController(zap.New(core), memstore.New(), decoder{}, nil, views, planner.Options{Host: "h"}, evacuateBound)
+	c := newController(zap.New(core), memstore.New(), decoder{}, nil, views, planner.Options{Host: "h"}, testEvacuationTimeout)
 	entry := func(id string) metastore.Record {
 		return metastore.Record{Key: id, Value: fmt.Appendf(nil, `{"ID":%q,"Service":"s"}`, id)}
 	}
--- a/internal/entryhost/slowstart_test.go
+++ b/internal/entryhost/slowstart_test.go
@@ -12,10 +12,10 @@
 )
 
 // slowStartMost is how many requests a cold upstream may get in a second.
-const slowStartMost = 4*slowStartFactor + slowStartSlack
+const maxColdRequestsPerSecond = 4*slowStartFactor + slowStartSlack
 
-// startCold adds an upstream that is in its slow start for lasts.
-func (f *testFleet) startCold(service, id string, lasts time.Duration) *rangeowner.Upstream {
+// addColdUpstream adds an upstream that is in its slow start for lasts.
+func (f *testFleet) addColdUpstream(service, id string, lasts time.Duration) *rangeowner.Upstream {
 	u := f.startUpstream(service, id)
 	f.putEntry(u, catalogue.Upstream{Service: service, DataCentre: "dc", Slots: 3, SlowUntil: time.Now().Add(lasts)})
 	return u
@@ -44,9 +44,9 @@
 // at several times the rate that it bears, it ended again, and with it what it
 // was working on. All hosts together must keep to what it bears, for keys and
 // without, also where every upstream of the service is cold.
-func TestColdUpstreamGetsNoMoreThanItBears(t *testing.T) {
+func TestColdUpstreamStaysWithinCapacity(t *testing.T) {
 	const cold = 3 * time.Second
-	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", plainRoute}} {
+	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
 		for _, warm := range []int{3, 0} {
 			t.Run(fmt.Sprint(c.service, " beside ", warm), func(t *testing.T) {
 				runFleetTest(t, func(t *testing.T) {
@@ -61,12 +61,12 @@
 					from := time.Now() // what starts now is cold until then and cold more
 					var started []*rangeowner.Upstream
 					for i := range 2 {
-						started = append(started, f.startCold(c.service, fmt.Sprint("cold", i), cold))
+						started = append(started, f.addColdUpstream(c.service, fmt.Sprint("cold", i), cold))
 					}
 					f.generateLoad(c.route, cold)
 					for _, u := range started {
-						if n := u.PeakInSecond(from, from.Add(cold)); n > int(slowStartMost) {
-							t.Errorf("%d requests came to a cold upstream within a second, it bears %v", n, slowStartMost)
+						if n := u.PeakInSecond(from, from.Add(cold)); n > int(maxColdRequestsPerSecond) {
+							t.Errorf("%d requests came to a cold upstream within a second, it bears %v", n, maxColdRequestsPerSecond)
 						}
 					}
 					time.Sleep(time.Second)
@@ -79,31 +79,31 @@
 
 // A data centre that is taken back has become cold meanwhile, and the log service
 // fails before its upstreams have written so: they must not get their usual share.
-func TestDataCentreTakenBackIsColdWhileTheLogIsAway(t *testing.T) {
+func TestReturnedDataCentreIsColdDuringLogOutage(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		const cold = 3 * time.Second
 		f := newFleet(t, 6, 0)
 		far := f.startUpstream("plain", "far")
 		entry := catalogue.Upstream{Service: "plain", DataCentre: "far", Slots: 30}
 		f.putEntry(far, entry)
-		f.waitAnswered(plainRoute, "/x", startupTimeout)
+		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
 		time.Sleep(4 * time.Second)
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
-		time.Sleep(evacuateBound + time.Second)
+		time.Sleep(testEvacuationTimeout + time.Second)
 		back := time.Now()
 		f.log.Put(metastore.StreamDesired, "evacuate/far", nil)
 		time.Sleep(500 * time.Millisecond)
 		f.log.SetDown(true)
 		entry.SlowUntil = back.Add(cold)
 		f.putEntry(far, entry)
-		f.generateLoad(plainRoute, cold)
-		if n := far.PeakInSecond(back, back.Add(cold)); n > int(slowStartMost) {
-			t.Errorf("%d requests came to a cold upstream within a second, it takes %v", n, slowStartMost)
+		f.generateLoad(unkeyedRoute, cold)
+		if n := far.PeakInSecond(back, back.Add(cold)); n > int(maxColdRequestsPerSecond) {
+			t.Errorf("%d requests came to a cold upstream within a second, it takes %v", n, maxColdRequestsPerSecond)
 		}
 		f.log.SetDown(false)
 		time.Sleep(2 * time.Second)
 		before := time.Now()
-		f.generateLoad(plainRoute, 2*time.Second)
+		f.generateLoad(unkeyedRoute, 2*time.Second)
 		if n := len(far.Arrivals(before, time.Now())); n == 0 {
 			t.Error("it is not used once it is warm")
 		}
@@ -113,11 +113,11 @@
 // A server ends while the log service is away and starts again under its ID, cold,
 // which nobody can read. It must not get what the life before it got, also where
 // only some of the hosts have seen it end.
-func TestServerBackUnderItsIDIsColdWhileTheLogIsAway(t *testing.T) {
+func TestRestartedServerIsColdDuringLogOutage(t *testing.T) {
 	for _, c := range []struct {
 		service, route string
 		busy           int
-	}{{"sheets", "read.example", 4}, {"plain", plainRoute, 4}, {"plain", plainRoute, 1}} {
+	}{{"sheets", "read.example", 4}, {"plain", unkeyedRoute, 4}, {"plain", unkeyedRoute, 1}} {
 		t.Run(fmt.Sprint(c.service, " with ", c.busy, " busy hosts"), func(t *testing.T) {
 			runFleetTest(t, func(t *testing.T) {
 				f := newFleet(t, 4, 0)
@@ -132,8 +132,8 @@
 				again := f.startUpstream(c.service, "server")
 				const cold = 3 * time.Second
 				f.generateLoad(c.route, cold)
-				if n := again.PeakInSecond(back, back.Add(cold)); n > int(slowStartMost) {
-					t.Errorf("%d requests came to it within a second, it takes %v", n, slowStartMost)
+				if n := again.PeakInSecond(back, back.Add(cold)); n > int(maxColdRequestsPerSecond) {
+					t.Errorf("%d requests came to it within a second, it takes %v", n, maxColdRequestsPerSecond)
 				}
 				f.log.SetDown(false)
 				f.registerAs(c.service, again, false)
