--- a/internal/entryhost/actions_test.go
+++ b/internal/entryhost/actions_test.go
@@ -15,7 +15,7 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// countingGranter counts grants.
+// countingGranter counts the grants that it is asked to send.
 type countingGranter struct {
 	Granter
 	grants int
@@ -26,22 +26,23 @@
 	return nil
 }
 
-// A planner decides on a grant and gets no processor for a second. Meanwhile it, or
-// its successor, takes the lease for over and gives the keys to another. The grant
-// must not go out then: its owner would hold the keys for three seconds more.
+// A planner decides on a grant and then doesn't run for a second. Meanwhile it, or
+// the next planner, considers the earlier grant of the keys expired and gives them
+// to another owner. The delayed grant must not be sent: its owner would hold the
+// keys for three more seconds.
 func TestDelayedGrantIsNotSent(t *testing.T) {
 	g := &countingGranter{}
 	c := newController(zap.NewNop(), memstore.New(), decoder{}, g, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
 	decided := bootclock.Time(time.Hour)
 	for _, step := range []struct {
-		late time.Duration
-		sent bool
+		delay time.Duration
+		sent  bool
 	}{{maxGrantSendDelay, true}, {time.Second, false}} {
 		g.grants = 0
-		c.clock = func() bootclock.Time { return decided.Add(step.late) }
+		c.clock = func() bootclock.Time { return decided.Add(step.delay) }
 		err := c.grant(t.Context(), &planner.Grant{SentAt: decided})
 		if sent := g.grants == 1; sent != step.sent || errors.Is(err, ownership.ErrNotSent) == step.sent {
-			t.Errorf("%v late: sent %v, error %v", step.late, sent, err)
+			t.Errorf("delayed by %v: sent %v, error %v", step.delay, sent, err)
 		}
 	}
 }
--- a/internal/entryhost/crash_test.go
+++ b/internal/entryhost/crash_test.go
@@ -11,27 +11,26 @@
 )
 
 const (
-	// settleTime is how long after a change hosts that nothing disturbs may take
-	// to act on it.
+	// settleTime is how long hosts may take to act on a change when nothing else
+	// disturbs them.
 	settleTime = 3 * time.Second
-	// maxLateAttempts is how often a request that has ended three servers may be sent
-	// after that.
+	// maxLateAttempts is how often a request that has crashed three servers may be
+	// sent later than settleTime after the third crash.
 	maxLateAttempts = 3
-	// observationTime is how long such a request is asked for after that. Its keys have
-	// a new owner within handover each time that theirs is ended.
+	// observationTime is how long tests count these attempts. Each time the key's owner
+	// crashes, the key has a new owner within maxHandover.
 	observationTime = 5 * maxHandover
-	// callInterval is the pause between its callers' asks.
+	// callInterval is the pause between the requests of one caller.
 	callInterval = 50 * time.Millisecond
-	fatalKey     = 28264
+	// fatalKey is the key of all requests in these tests.
+	fatalKey = 28264
 )
 
-// Callers of a range of keys were refused for seconds, again and again. One
-// request ended the server that ran it. Its callers asked again, each time on
-// another host and under a new request ID; by then the key had another owner,
-// which it ended too: seven when the alarm was raised, four of them after three
-// had ended. No host remembered what a request had done to its servers. The
-// evidence: the broken sends of every server that ended so have one content in
-// common, under IDs that all differ, one send each.
+// A request that crashes its server is sent again by its callers, on other hosts and
+// under new request IDs, and crashes the next owner of its key. It crashed seven
+// servers in a row, four of them after the first three, and a range of keys was
+// unserved for seconds each time. Hosts must recognize it by the fingerprint that its
+// broken sends have in common, though each has another request ID.
 func TestCrashingRequestIsSentToFewServers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
@@ -43,22 +42,22 @@
 				}
 				f.waitAnswered(c.route, "/x", startupTimeout)
 				stop := f.sendFatalRequests(c.route)
-				third := f.waitCrashes(3, 6*maxHandover)
-				time.Sleep(time.Until(third.Add(settleTime)))
+				thirdCrash := f.waitCrashes(3, 6*maxHandover)
+				time.Sleep(time.Until(thirdCrash.Add(settleTime)))
 				before := f.crashCount()
 				time.Sleep(observationTime)
 				if more := f.crashCount() - before; more > maxLateAttempts {
-					t.Errorf("it ended %d more servers, from %v after the third on; at most %d may be tried", more, settleTime, maxLateAttempts)
+					t.Errorf("the request crashed %d more servers later than %v after the third crash; at most %d are allowed", more, settleTime, maxLateAttempts)
 				}
 				stop()
-				t.Logf("%d servers ended in all", f.crashCount())
+				t.Logf("%d servers crashed in all", f.crashCount())
 				f.waitAnswered(c.route, "/x", maxHandover)
 			})
 		})
 	}
 }
 
-// sendFatalRequests has callers ask for the request that ends its servers, on all
+// sendFatalRequests has a caller send the request that crashes its servers to all
 // hosts in turn, until the returned function is called.
 func (f *testFleet) sendFatalRequests(route string) (stop func()) {
 	var stopped atomic.Bool
@@ -75,7 +74,7 @@
 	}
 }
 
-// waitAnswered waits until a request is answered through every host.
+// waitAnswered waits until every host answers a request with 200.
 func (f *testFleet) waitAnswered(route, path string, within time.Duration) {
 	f.t.Helper()
 	start := time.Now()
@@ -93,19 +92,20 @@
 	}
 }
 
+// crashCount returns how many servers requests have crashed.
 func (f *testFleet) crashCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.crashes)
 }
 
-// waitCrashes waits until the n-th server was ended by a request and returns when
-// that was.
+// waitCrashes waits for the n-th crash of a server by a request and returns its
+// time.
 func (f *testFleet) waitCrashes(n int, within time.Duration) time.Time {
 	f.t.Helper()
 	for end := time.Now().Add(within); f.crashCount() < n; time.Sleep(callInterval) {
 		if time.Now().After(end) {
-			f.t.Fatalf("%d servers ended within %v, want %d", f.crashCount(), within, n)
+			f.t.Fatalf("%d servers crashed within %v, want %d", f.crashCount(), within, n)
 		}
 	}
 	f.mu.Lock()
@@ -113,29 +113,29 @@
 	return f.crashes[n-1]
 }
 
-// Every server of a service loses power at one moment, while each runs a page
-// that most callers read. All are back a second later. Callers of that page were
-// refused from then on for a day: three ends stood against it, and nothing was
-// sent any more that could have been answered. They are served again within
-// seconds, through every host.
+// All servers of a service lose power at the same moment, each while it runs a page
+// that most callers request, and are back a second later. The page was refused for a
+// day: three crashes counted against its fingerprint, and nothing was sent any more
+// that could have succeeded. After this and other correlated failures, every host
+// must serve the page again within maxRecoveryTime.
 func TestPopularPageIsServedAfterCorrelatedFailures(t *testing.T) {
-	all := func(f *testFleet, ups []*rangeowner.Upstream) {
+	crashAll := func(f *testFleet, ups []*rangeowner.Upstream) {
 		for _, u := range ups {
 			f.crash("plain", u)
 		}
 	}
-	losses := map[string]func(f *testFleet, ups []*rangeowner.Upstream){
-		"all at once":  all,
-		"half of them": func(f *testFleet, ups []*rangeowner.Upstream) { all(f, ups[:len(ups)/2]) },
+	failures := map[string]func(f *testFleet, ups []*rangeowner.Upstream){
+		"all at once":  crashAll,
+		"half of them": func(f *testFleet, ups []*rangeowner.Upstream) { crashAll(f, ups[:len(ups)/2]) },
 		"one by one":   func(f *testFleet, ups []*rangeowner.Upstream) { f.crashOneByOne("plain", ups) },
 		"log away": func(f *testFleet, ups []*rangeowner.Upstream) {
 			f.log.SetDown(true)
-			all(f, ups)
+			crashAll(f, ups)
 			time.Sleep(entryExpiryDelay + restartDelay)
 			f.log.SetDown(false)
 		},
 		"hosts restarted": func(f *testFleet, ups []*rangeowner.Upstream) {
-			all(f, ups)
+			crashAll(f, ups)
 			time.Sleep(entryExpiryDelay)
 			f.stopHosts()
 			for i := range 3 {
@@ -143,7 +143,7 @@
 			}
 		},
 	}
-	for name, lose := range losses {
+	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
 			runFleetTest(t, func(t *testing.T) {
 				f := newFleet(t, 3, 0)
@@ -152,15 +152,15 @@
 					ups = append(ups, f.addServiceUpstream("plain", fmt.Sprint("plain", i)))
 				}
 				f.waitAnswered(unkeyedRoute, "/popular", startupTimeout)
-				every := callInterval
+				interval := callInterval
 				if name == "all at once" {
-					every = 10 * time.Millisecond
+					interval = 10 * time.Millisecond
 				}
 				for _, h := range f.hosts {
-					f.requestPopularPage(h, every)
+					f.requestPopularPage(h, interval)
 				}
 				time.Sleep(time.Second)
-				lose(f, ups)
+				fail(f, ups)
 				time.Sleep(entryExpiryDelay + restartDelay + maxRecoveryTime)
 				f.waitAnswered(unkeyedRoute, "/popular", 0)
 			})
@@ -168,12 +168,13 @@
 	}
 }
 
-// requestPopularPage has eight callers of a host ask for the popular page, and now and
-// then for others, with so long a pause between.
-func (f *testFleet) requestPopularPage(h *testHost, every time.Duration) {
+// requestPopularPage has eight callers of a host request the popular page, and
+// every tenth time another one, until the test ends. Each pauses for the interval
+// between its requests.
+func (f *testFleet) requestPopularPage(h *testHost, interval time.Duration) {
 	for c := range 8 {
 		f.background.Go(func() {
-			for n := 0; f.sleep(every); n++ {
+			for n := 0; f.sleep(interval); n++ {
 				path := "/popular"
 				if n%10 == 0 {
 					path = fmt.Sprint("/", c, n)
@@ -184,7 +185,8 @@
 	}
 }
 
-// crashOneByOne ends upstreams one after the other, each once the one before is back.
+// crashOneByOne crashes upstreams one after the other, each once the previous one
+// is back.
 func (f *testFleet) crashOneByOne(service string, ups []*rangeowner.Upstream) {
 	for _, u := range ups {
 		f.crash(service, u)
@@ -192,14 +194,14 @@
 	}
 }
 
-// backAfterLoss is how long after a loss callers are served again at the latest:
-// a page that is refused for it is tried again once in ten seconds.
+// maxRecoveryTime is the longest time from correlated failures until callers are
+// served again: a fingerprint that is refused because of them is tried again once
+// in ten seconds.
 const maxRecoveryTime = 12 * time.Second
 
-// Three servers have ended under one request. Then every host is stopped and
-// others start, which have seen none of it; callers still ask. What the hosts
-// knew is in the log service: the new ones refuse the request within the time
-// that they are given to settle, and answer others.
+// A request has crashed three servers. Then all hosts are replaced by new ones,
+// which have seen none of the crashes. The new hosts must learn of them from the
+// log: within settleTime they must refuse the request, and answer others.
 func TestNewHostsRefuseKnownCrashingRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 0)
@@ -224,17 +226,18 @@
 			}
 		}
 		if more := f.crashCount() - before; more > 0 {
-			t.Errorf("hosts that started later ended %d more servers", more)
+			t.Errorf("requests through the new hosts crashed %d more servers", more)
 		}
 	})
 }
 
-// Several callers ask for the request that ends its servers at the same time, so that
-// each server runs some of it: counted by runs, it must not go on for longer.
+// Several callers send the request that crashes its servers at the same time, so
+// that a server may run it more than once. The number of late runs must be bounded
+// as for one caller.
 func TestConcurrentCrashingRequestsAreLimited(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 0, 0)
-		f.grantTTL = 3 * time.Second // keys of an ended owner wait as long for the next one
+		f.grantTTL = 3 * time.Second // a crashed owner's keys are unserved for that long
 		for i := range 6 {
 			f.startHost(fmt.Sprint("host", i))
 		}
@@ -256,15 +259,16 @@
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		// A run ends its server, or is cut off with it, fatalTakes after it began.
-		third, late := f.fatalStarts[2].Add(f.fatalDuration), 0
-		for _, at := range f.fatalStarts {
-			if at.Sub(third) > settleTime {
-				late++
+		// A run ends within fatalDuration of its start: it crashes its server, or another
+		// run does so first.
+		thirdRunEnd, lateRuns := f.fatalStarts[2].Add(f.fatalDuration), 0
+		for _, start := range f.fatalStarts {
+			if start.Sub(thirdRunEnd) > settleTime {
+				lateRuns++
 			}
 		}
-		if late > maxLateAttempts {
-			t.Errorf("%d runs began more than %v after the third had ended, of %d in all; at most %d", late, settleTime, len(f.fatalStarts), maxLateAttempts)
+		if lateRuns > maxLateAttempts {
+			t.Errorf("%d runs began more than %v after the third one had ended, of %d in all; at most %d are allowed", lateRuns, settleTime, len(f.fatalStarts), maxLateAttempts)
 		}
 	})
 }
--- a/internal/entryhost/elector_test.go
+++ b/internal/entryhost/elector_test.go
@@ -10,7 +10,8 @@
 	"github.com/papayatide/papayatide/internal/metastore"
 )
 
-// electionStore is a log service's group that gives the seat to one member.
+// electionStore is a log service whose group gives the planner lease to holder.
+// Calls for failingMember fail.
 type electionStore struct {
 	metastore.Store
 	holder        string
@@ -26,30 +27,30 @@
 	return metastore.Lease{Generation: generation + 1, Held: member == s.holder}, nil
 }
 
-// A host holds the seat under its second name. A proof of it that fails must
-// count as failed: taken for the loss of the seat, it would end the term of a
-// planner that still is one.
+// A host holds the planner lease as its second member, and a renewal fails. This
+// must be reported as an error: taken for the loss of the lease, it would end the
+// term of a planner that still holds it.
 func TestFailedRenewalOfSecondMemberIsAnError(t *testing.T) {
-	st := &electionStore{holder: "h/2"}
-	s := newPlannerElector(st, "h")
-	if held, err := s.tryAcquireOrRenew(context.Background(), time.Second); !held || err != nil {
+	store := &electionStore{holder: "h/2"}
+	elector := newPlannerElector(store, "h")
+	if held, err := elector.tryAcquireOrRenew(context.Background(), time.Second); !held || err != nil {
 		t.Fatalf("held %v, error %v", held, err)
 	}
-	st.failingMember = "h/2"
-	if _, err := s.tryAcquireOrRenew(context.Background(), time.Second); !errors.Is(err, metastore.ErrNoAnswer) {
+	store.failingMember = "h/2"
+	if _, err := elector.tryAcquireOrRenew(context.Background(), time.Second); !errors.Is(err, metastore.ErrNoAnswer) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// A large fleet has members enough with one for each host.
+// In a large fleet one member per host suffices.
 func TestHostInLargeFleetJoinsAsOneMember(t *testing.T) {
-	st := &electionStore{}
-	s := newPlannerElector(st, "h")
-	s.fleetSize = func() int { return singleMemberFleetSize }
-	if _, err := s.tryAcquireOrRenew(context.Background(), time.Second); err != nil {
+	store := &electionStore{}
+	elector := newPlannerElector(store, "h")
+	elector.fleetSize = func() int { return singleMemberFleetSize }
+	if _, err := elector.tryAcquireOrRenew(context.Background(), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if !slices.Equal(st.joined, []string{"h"}) {
-		t.Errorf("joined as %v", st.joined)
+	if !slices.Equal(store.joined, []string{"h"}) {
+		t.Errorf("joined as %v", store.joined)
 	}
 }
--- a/internal/entryhost/evacuate_test.go
+++ b/internal/entryhost/evacuate_test.go
@@ -11,7 +11,7 @@
 	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
-// addDataCentre adds upstreams of both services in a data centre of their own.
+// addDataCentre adds n upstreams of each service in the given data centre.
 func (f *testFleet) addDataCentre(dataCentre string, n int) []*rangeowner.Upstream {
 	var out []*rangeowner.Upstream
 	for i := range n {
@@ -33,8 +33,9 @@
 	return n
 }
 
-// sendTraffic has callers ask for keys all over and for the service without keys,
-// through every host, for d. It returns how many were not answered.
+// sendTraffic sends requests with keys from the whole key space, and requests
+// without keys, to all hosts in turn for d. It returns how many were not answered
+// with 200.
 func (f *testFleet) sendTraffic(d time.Duration) (unserved int) {
 	for n, end := 0, time.Now().Add(d); time.Now().Before(end); n++ {
 		h := f.hosts[n%len(f.hosts)]
@@ -47,11 +48,10 @@
 	return unserved
 }
 
-// Operators evacuate a data centre to work on it. Callers went on being sent to
-// its upstreams until those were switched off under them. From the bound on
-// nothing may reach them, through any host, also one that starts meanwhile;
-// callers of their keys are served by others, and once the data centre is taken
-// back it is used again.
+// An operator evacuates a data centre to work on it. Hosts went on sending requests
+// to its upstreams until these were switched off. Later than testEvacuationTimeout no
+// host may send any, not even one that started meanwhile, and other upstreams must
+// serve the keys. Once the evacuation has ended, the data centre must be used again.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 4)
@@ -60,40 +60,40 @@
 		f.waitServed(f.hosts[0], startupTimeout)
 		f.sendTraffic(4 * time.Second)
 		if totalRuns(evacuated) == 0 {
-			t.Fatal("the play is wrong: the data centre was never used")
+			t.Fatal("the test's setup is wrong: the data centre got no requests before its evacuation")
 		}
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
 		if unserved := f.sendTraffic(testEvacuationTimeout / 2); unserved > 0 {
-			t.Errorf("%d requests were not served while it was evacuated", unserved)
+			t.Errorf("%d requests were not served during the evacuation", unserved)
 		}
 		f.startHost("late")
 		f.waitServed(f.hosts[3], startupTimeout)
 		time.Sleep(testEvacuationTimeout / 2)
 		before := totalRuns(evacuated)
 		if unserved := f.sendTraffic(5 * time.Second); unserved > 0 {
-			t.Errorf("%d requests were not served after it was evacuated", unserved)
+			t.Errorf("%d requests were not served after the evacuation timeout", unserved)
 		}
 		if n := totalRuns(evacuated) - before; n > 0 {
-			t.Errorf("%d requests reached the data centre later than %v after it was evacuated", n, testEvacuationTimeout)
+			t.Errorf("%d requests reached the data centre later than %v after the evacuation was ordered", n, testEvacuationTimeout)
 		}
 		f.log.Put(metastore.StreamDesired, "evacuate/far", nil)
-		f.generateLoad("read.example", 8*time.Second) // lightly used owners keep what they have
+		f.generateLoad("read.example", 8*time.Second) // owners with little load keep their keys
 		if totalRuns(evacuated) == before {
-			t.Error("it is not used again")
+			t.Error("the data centre gets no requests after the evacuation has ended")
 		}
 	})
 }
 
-// The log service is away while a data centre is evacuated: its keys cannot be
-// given to others. Their callers are refused, as nothing may be sent there, and
-// all others are served.
+// The log service is down while a data centre is evacuated, so that its keys can't
+// be given to other owners. Hosts must refuse requests for these keys rather than
+// send them to the data centre.
 func TestEvacuationDuringLogOutage(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		evacuated := f.addDataCentre("far", 2)
 		f.waitServed(f.hosts[0], startupTimeout)
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
-		time.Sleep(20 * time.Millisecond) // it is read, and nothing can be recorded any more
+		time.Sleep(20 * time.Millisecond) // the hosts read the order, but have not moved the keys yet
 		f.log.SetDown(true)
 		time.Sleep(testEvacuationTimeout)
 		before := totalRuns(evacuated)
--- a/internal/entryhost/fleet_test.go
+++ b/internal/entryhost/fleet_test.go
@@ -13,10 +13,11 @@
 const (
 	testGrantTTL   = time.Second
 	startupTimeout = 5 * time.Second
-	maxHandover    = testGrantTTL + testGrantTTL/2 + time.Second
+	// maxHandover bounds the time until a lost upstream's keys are served by others.
+	maxHandover = testGrantTTL + testGrantTTL/2 + time.Second
 )
 
-// Every key is served through every host soon after the fleet starts.
+// Every host must serve all keys soon after the fleet starts.
 func TestFleetServesEveryKey(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 4)
@@ -26,50 +27,50 @@
 	})
 }
 
-// An upstream dies. Its keys are served again by others once its lease has
-// run out, through all hosts.
+// An upstream dies. Once its grants have expired, every host must serve its keys
+// through other upstreams.
 func TestLostUpstreamsKeysAreServedByOthers(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		f.waitServed(f.hosts[0], startupTimeout)
-		var victim *rangeowner.Upstream
+		var lost *rangeowner.Upstream
 		for _, u := range f.upstreams {
-			victim = u
+			lost = u
 			break
 		}
-		f.killUpstream(victim)
+		f.killUpstream(lost)
 		for _, h := range f.hosts {
 			t.Logf("served again after %v", f.waitServed(h, maxHandover))
 		}
 	})
 }
 
-// An upstream announces that it leaves. Within two seconds it gets nothing
-// new, and its keys are served by others, warm.
+// Two seconds after an upstream announces that it is leaving, it must get no new
+// requests, and other upstreams must serve its keys.
 func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
 		f.waitServed(f.hosts[0], startupTimeout)
-		var leaver *rangeowner.Upstream
+		var leaving *rangeowner.Upstream
 		for _, u := range f.upstreams {
-			leaver = u
+			leaving = u
 			break
 		}
-		f.register(leaver, true)
+		f.register(leaving, true)
 		f.waitServed(f.hosts[1], 2*time.Second)
-		before := len(leaver.Runs())
+		before := len(leaving.Runs())
 		for k := range 200 {
 			f.hosts[k%2].call("GET", "read.example", fmt.Sprint("after-", k), k*327)
 		}
-		if after := len(leaver.Runs()); after != before {
-			t.Errorf("%d requests reached it after it left", after-before)
+		if after := len(leaving.Runs()); after != before {
+			t.Errorf("%d requests reached the upstream after it announced that it was leaving", after-before)
 		}
 	})
 }
 
-// The planner's host is stopped as planned: it reports unready at once,
-// answers what is under way, and another host plans on without a key being
-// unserved.
+// The planner's host is stopped as planned. It must report unready at once and
+// answer the requests in flight. Another host must take over as the planner
+// without any key being unserved.
 func TestPlannedStopOfPlanner(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 3)
@@ -83,13 +84,13 @@
 			}
 		}
 		if planner == nil {
-			t.Fatal("no host holds the seat")
+			t.Fatal("no host holds the planner lease")
 		}
 		var wg sync.WaitGroup
 		for i := range 20 {
 			wg.Go(func() {
 				if status, body := planner.call("POST", "charge.example", fmt.Sprint("stop-", i), i*3000); status != http.StatusOK {
-					t.Errorf("a request under way at the stop got %d %s", status, body)
+					t.Errorf("a request in flight at the stop got %d %s", status, body)
 				}
 			})
 		}
@@ -97,21 +98,20 @@
 		planner.stop()
 		time.Sleep(20 * time.Millisecond)
 		if planner.ready() {
-			t.Error("still ready after the stop signal")
+			t.Error("host is still ready after the stop signal")
 		}
 		wg.Wait()
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
 			if status, body := other.call("GET", "read.example", fmt.Sprint("on-", time.Now().UnixNano()), 12345); status != http.StatusOK {
-				t.Fatalf("a key is unserved while planners change: %d %s", status, body)
+				t.Fatalf("a key is unserved during the change of planner: %d %s", status, body)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	})
 }
 
-// The log service is down for longer than a grant lasts. Keys go on being
-// served from what was agreed before, and the desired state published
-// meanwhile comes into force soon after.
+// The log service is down for longer than the grant TTL. Owners must keep serving
+// their keys meanwhile, and every host must serve all keys soon after.
 func TestKeysAreServedDuringLogOutage(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 3)
@@ -130,8 +130,8 @@
 	})
 }
 
-// The log forgets its history. Hosts go on from the newest records, and what
-// changes afterwards reaches them all.
+// The log service discards its history. Hosts must continue from the newest record
+// of each key, and later changes must reach all of them.
 func TestHostsContinueAfterLogCompaction(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 2)
@@ -149,8 +149,8 @@
 	})
 }
 
-// All hosts follow the planner's copy: what the log service is asked does
-// not grow with the number of hosts.
+// All hosts follow the planner's replica of the log, so the number of reads from
+// the log service must not grow with the number of hosts.
 func TestLogReadsDoNotGrowWithFleetSize(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		reads := func(hosts int) int {
--- a/internal/entryhost/harness_test.go
+++ b/internal/entryhost/harness_test.go
@@ -30,9 +30,9 @@
 var testHeaders = protocol.Headers{RequestID: "X-Id", TimeoutMs: "X-Timeout-Ms", Signature: "X-Signature", ExpectedUpstream: "X-Expect",
 	NotRun: "X-Not-Run", Key: "X-Key", RateLimit: "X-Limit", Leaving: "X-Leaving"}
 
-// testFleet is a few entry hosts, a log and upstreams, on a network in memory and
-// a clock of their own: what they do in which order, and within what time, does
-// not depend on how busy the machine is.
+// testFleet runs entry hosts, a log service and upstreams on an in-memory network
+// and a synthetic clock, so that order and timing don't depend on the machine's
+// load.
 type testFleet struct {
 	t         *testing.T
 	log       *memstore.Log
@@ -41,15 +41,16 @@
 	hosts     []*testHost
 	mu        sync.Mutex
 	upstreams map[string]*rangeowner.Upstream
-	// crashes are the times at which upstreams were ended by a request.
+	// crashes holds the times at which requests crashed upstreams.
 	crashes []time.Time
-	// grantTTL is how long hosts that are started grant keys for.
+	// grantTTL is the grant TTL of the hosts that are started from now on.
 	grantTTL time.Duration
-	// fatalDuration is how long a request runs before it ends its upstream, fatalRuns
-	// when each that ran began.
+	// fatalDuration is how long a fatal request runs before it crashes its upstream.
+	// fatalStarts holds when each of these requests began to run.
 	fatalDuration time.Duration
 	fatalStarts   []time.Time
-	// testEnded is closed at the test's end, later waits for what is due until then.
+	// testEnded is closed when the test ends. background waits for the goroutines
+	// that stop then.
 	testEnded  chan struct{}
 	background sync.WaitGroup
 }
@@ -57,22 +58,24 @@
 type testHost struct {
 	cfg  *settings.EntryHost
 	http *http.Client
-	// log is its way to the log service.
+	// log is this host's connection to the log service.
 	log  *partitionedStore
 	stop context.CancelFunc
 	done chan error
 }
 
-// Bounds of the fleet's sheet.
+// Settings of the test hosts that tests use as bounds.
 const (
 	slowStartFactor, slowStartSlack = 1.5, 8
 	testEvacuationTimeout           = 5 * time.Second
 )
 
-// plainRoute leads to a service that is not divided by key.
+// unkeyedRoute is the route to the service whose requests have no key.
 const unkeyedRoute = "plain.example"
 
-// decoder reads the test's records: JSON of the product's own types.
+// decoder decodes the test's records. An upstream's entry is a catalogue.Upstream
+// in JSON. The desired state's record holds only its version: routes and services
+// are fixed.
 type decoder struct{}
 
 func (decoder) Desired(key string, data []byte) (*desired.State, error) {
@@ -104,9 +107,10 @@
 	return &u, json.Unmarshal(data, &u)
 }
 
-// directGranter reaches the stand-ins without a network.
+// directGranter calls the stand-in upstreams directly, without the network.
 type directGranter struct{ f *testFleet }
 
+// upstreamAt returns the live upstream at addr (host:port), or nil.
 func (g directGranter) upstreamAt(addr string) *rangeowner.Upstream {
 	g.f.mu.Lock()
 	defer g.f.mu.Unlock()
@@ -127,16 +131,18 @@
 	return "", ownership.ErrNotSent
 }
 
-// runFleetTest runs a test of a fleet on a clock of its own.
+// runFleetTest runs test on a synthetic clock, in parallel with other tests.
 func runFleetTest(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	t.Parallel()
 	synctest.Test(t, test)
 }
 
-// fleetClock is the fleet's clock.
+// fleetClock returns the time of the synthetic clock.
 func fleetClock() bootclock.Time { return bootclock.Time(time.Now().UnixNano()) }
 
+// newFleet starts hosts, and upstreams of the keyed service. They stop when the
+// test ends.
 func newFleet(t *testing.T, hosts, upstreams int) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, log: memstore.New(), net: pipenet.New(), upstreams: map[string]*rangeowner.Upstream{}, grantTTL: time.Second, testEnded: make(chan struct{})}
@@ -152,7 +158,7 @@
 	return f
 }
 
-// stopAll stops everything.
+// stopAll ends the upstreams and stops the hosts.
 func (f *testFleet) stopAll() {
 	close(f.testEnded)
 	f.background.Wait()
@@ -165,7 +171,7 @@
 	f.http.CloseIdleConnections()
 }
 
-// stopHosts stops every host and waits for them.
+// stopHosts stops all hosts and waits until they have stopped.
 func (f *testFleet) stopHosts() {
 	for _, h := range f.hosts {
 		h.stop()
@@ -174,20 +180,22 @@
 		select {
 		case err := <-h.done:
 			if err != nil {
-				f.t.Errorf("%s ended with %v", h.cfg.Host, err)
+				f.t.Errorf("%s stopped with error: %v", h.cfg.Host, err)
 			}
 		case <-time.After(10 * time.Second):
-			f.t.Errorf("%s does not stop", h.cfg.Host)
+			f.t.Errorf("%s did not stop in time", h.cfg.Host)
 		}
 	}
 	f.hosts = nil
 }
 
+// addUpstream adds an upstream of the keyed service.
 func (f *testFleet) addUpstream(id string) *rangeowner.Upstream {
 	return f.addServiceUpstream("sheets", id)
 }
 
-// addServiceUpstream starts an upstream of a service, which a request to fatalPath ends.
+// addServiceUpstream starts an upstream of a service and writes its entry. A
+// request to fatalPath crashes it.
 func (f *testFleet) addServiceUpstream(service, id string) *rangeowner.Upstream {
 	u := f.startUpstream(service, id)
 	if u != nil {
@@ -196,7 +204,7 @@
 	return u
 }
 
-// startUpstream starts an upstream of a service that is not listed yet.
+// startUpstream starts an upstream of a service without writing its entry.
 func (f *testFleet) startUpstream(service, id string) *rangeowner.Upstream {
 	ln, err := f.net.Listen(id + ":80")
 	if err != nil {
@@ -210,9 +218,9 @@
 		}
 		f.mu.Lock()
 		f.fatalStarts = append(f.fatalStarts, time.Now())
-		takes := f.fatalDuration
+		duration := f.fatalDuration
 		f.mu.Unlock()
-		time.Sleep(takes)
+		time.Sleep(duration)
 		f.crash(service, u)
 		return true
 	}
@@ -223,21 +231,23 @@
 }
 
 const (
-	// fatalPath is the target of the request that ends its servers.
+	// fatalPath is the path of the request that crashes its servers.
 	fatalPath = "/fatal"
-	// entryExpiryDelay is how long after its end an upstream's entry goes, returns how
-	// long after it the server is back, with a new ID.
+	// entryExpiryDelay is the time from an upstream's crash until its entry is
+	// deleted.
 	entryExpiryDelay = 500 * time.Millisecond
-	restartDelay     = time.Second
+	// restartDelay is the time from a crash until the server is back under a new ID.
+	restartDelay = time.Second
 )
 
-// crash ends an upstream, whose server is back some time later.
+// crash ends an upstream. Its entry is deleted after entryExpiryDelay, and its
+// server is back under a new ID after restartDelay.
 func (f *testFleet) crash(service string, u *rangeowner.Upstream) {
 	f.mu.Lock()
-	ended := f.upstreams[u.Addr()] != u
+	alreadyCrashed := f.upstreams[u.Addr()] != u
 	f.mu.Unlock()
-	if ended {
-		return // under another request
+	if alreadyCrashed {
+		return // another request has crashed it
 	}
 	f.killUpstream(u)
 	f.mu.Lock()
@@ -254,7 +264,7 @@
 	})
 }
 
-// sleep reports false if the test ended meanwhile.
+// sleep waits for d. It returns false if the test ends first.
 func (f *testFleet) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -264,15 +274,17 @@
 	}
 }
 
+// register writes the entry of an upstream of the keyed service.
 func (f *testFleet) register(u *rangeowner.Upstream, leaving bool) {
 	f.registerAs("sheets", u, leaving)
 }
 
+// registerAs writes the entry of an upstream of the given service.
 func (f *testFleet) registerAs(service string, u *rangeowner.Upstream, leaving bool) {
 	f.putEntry(u, catalogue.Upstream{Service: service, DataCentre: "dc", Slots: 3, Leaving: leaving})
 }
 
-// putEntry writes an upstream's entry.
+// putEntry writes an upstream's entry with its ID and address filled in.
 func (f *testFleet) putEntry(u *rangeowner.Upstream, entry catalogue.Upstream) {
 	entry.ID, entry.Addr = u.ID, u.Addr()
 	data, err := json.Marshal(entry)
@@ -283,7 +295,7 @@
 	f.log.Put(metastore.StreamUpstreams, u.ID, data)
 }
 
-// killUpstream makes an upstream unreachable for orders and requests.
+// killUpstream ends an upstream. It receives no grants and no requests any more.
 func (f *testFleet) killUpstream(u *rangeowner.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -291,12 +303,14 @@
 	u.Kill()
 }
 
-// weakCPU is the processor share of a host that is too weak to plan or relay.
+// nonCandidateCPU is the CPU share (in cores) of a host without the capacity to be
+// the planner or a relay.
 const nonCandidateCPU = candidateMinCPU / 2
 
+// startHost starts a host that can be the planner or a relay.
 func (f *testFleet) startHost(name string) *testHost { return f.startHostWithCPU(name, 1) }
 
-// startHostWithCPU starts a host with so much of a core.
+// startHostWithCPU starts a host with the given CPU share (in cores).
 func (f *testFleet) startHostWithCPU(name string, cpu float64) *testHost {
 	cfg := &settings.EntryHost{Host: name, DataCentre: "dc", Listen: name + ".front:80", ReadyListen: name + ".ready:80", PeerListen: name + ".peer:80",
 		MetricsListen: name + ".metrics:80", LogLevel: "info", MemoryMB: 284, CPUShare: cpu, LinkMbps: 1000, MinLeaseTTL: 300 * time.Millisecond, MaxGrantTTL: 10 * time.Second,
@@ -311,8 +325,8 @@
 	return h
 }
 
-// isolateHost ends a host as far as all others can tell: nobody reaches it, and it
-// reaches no log service.
+// isolateHost cuts a host off from callers, the other hosts and the log service,
+// to which it then looks as if it had ended.
 func (f *testFleet) isolateHost(h *testHost) {
 	h.log.partitioned.Store(true)
 	for _, addr := range []string{h.cfg.Listen, h.cfg.ReadyListen, h.cfg.PeerListen, h.cfg.MetricsListen} {
@@ -320,6 +334,7 @@
 	}
 }
 
+// ready reports whether the host answers its readiness probe with 200.
 func (h *testHost) ready() bool {
 	resp, err := h.http.Get("http://" + h.cfg.ReadyListen + "/ready")
 	if err != nil {
@@ -329,11 +344,13 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// call sends one request and returns the status and the body.
+// call sends a request with path /x and returns the status and body of the
+// response, or 0 and the error if there is none.
 func (h *testHost) call(method, host, id string, key int) (int, string) {
 	return h.callPath(method, host, "/x", id, key)
 }
 
+// callPath is call with another path.
 func (h *testHost) callPath(method, host, path, id string, key int) (int, string) {
 	req, err := http.NewRequest(method, "http://"+h.cfg.Listen+path, nil)
 	if err != nil {
@@ -357,8 +374,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// waitServed waits until every tenth of the keys is served by the host, and
-// returns how long that took.
+// waitServed waits until the host serves ten keys that are spread evenly over all
+// keys, and returns how long that took.
 func (f *testFleet) waitServed(h *testHost, within time.Duration) time.Duration {
 	f.t.Helper()
 	start := time.Now()
--- a/internal/entryhost/logsyncer_test.go
+++ b/internal/entryhost/logsyncer_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// inForce is within what time a change must be in force and a leaving upstream
-// be left alone, by the tightest of the users' deployments.
+// maxLag is the time within which a change must be in force and a leaving upstream
+// be avoided, in the strictest of the users' deployments.
 const maxLag = 2 * time.Second
 
-// A host follows a copy of the greatest age allowed, and its planner or relay
-// then goes silent. It must still know in time what the log says.
+// The planner or relay that a host follows stops answering just when its replica
+// has the greatest usable age. The host must still read what the log contains
+// within maxLag.
 func TestReplicaTimeoutsStayWithinMaxLag(t *testing.T) {
 	for name, age := range map[string]time.Duration{
 		"planner":             maxReplicaAge + followTimeout,
@@ -19,7 +20,7 @@
 		"log read by the way": directLongPoll,
 	} {
 		if age >= maxLag {
-			t.Errorf("%s: what a host knows may be %v old", name, age)
+			t.Errorf("%s: a host's replica may be %v old", name, age)
 		}
 	}
 }
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -21,12 +21,13 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// newMixedFleet is a fleet of which three hosts can plan and relay.
-func newMixedFleet(t *testing.T, weak int) *testFleet {
+// newMixedFleet starts three candidates, which can be the planner or a relay, and
+// the given number of hosts that can't.
+func newMixedFleet(t *testing.T, nonCandidates int) *testFleet {
 	t.Helper()
 	f := newFleet(t, 3, 3)
 	f.addServiceUpstream("plain", "plain0")
-	for i := range weak {
+	for i := range nonCandidates {
 		f.startHostWithCPU(fmt.Sprint("weak", i), nonCandidateCPU)
 	}
 	for _, h := range f.hosts {
@@ -36,11 +37,10 @@
 	return f
 }
 
-// The log service is down for 8 s. Every host asked it again several times a
-// second, of each stream: thousands of hosts would ask more than it answers, and
-// drown its return. A few of them ask. What is published on its return is in
-// force on every host in time, and no upstream is taken for gone whose entry
-// lapsed meanwhile.
+// The log service is down for 8 s. If every host retried each stream several times a
+// second, thousands of hosts would make more calls than the service can answer and
+// delay its recovery. Only a few hosts may call it, and the desired state published
+// on its return must be in force on every host in time.
 func TestFewHostsCallFailingLogService(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		const hosts, outage = 40, 8 * time.Second
@@ -49,26 +49,26 @@
 		f.log.SetDown(true)
 		time.Sleep(outage)
 		calls := f.log.WeightedCalls() - before
-		t.Logf("%.0f calls while it was down", calls)
-		// The strong ones ask some ten times a second in all, the weak ones
-		// once each and then a few of them a second.
-		if most := hosts + 30*int(outage.Seconds()); calls > float64(most) {
-			t.Errorf("%.0f calls in %v, want at most %d", calls, outage, most)
+		t.Logf("%.0f calls during the outage", calls)
+		// The candidates make some ten calls a second in all. The other hosts
+		// make one each, and then a few a second in all.
+		if maxCalls := hosts + 30*int(outage.Seconds()); calls > float64(maxCalls) {
+			t.Errorf("%.0f calls in %v, want at most %d", calls, outage, maxCalls)
 		}
 		f.log.SetDown(false)
 		f.log.Put(metastore.StreamDesired, "state", []byte("2"))
 		time.Sleep(settleTime)
 		for _, h := range f.hosts {
 			if v := h.desiredVersion(t); v != 2 {
-				t.Errorf("%s is at version %d, %v after the service's return", h.cfg.Host, v, settleTime)
+				t.Errorf("%s has version %d in force %v after the log service's return", h.cfg.Host, v, settleTime)
 			}
 		}
 	})
 }
 
-// The planner is killed. The others learnt who plans now by reading every stream
-// of the log themselves, five calls a host for each change of planner. Those
-// behind a relay that lives need not.
+// The planner is killed. If every host found the new one by reading all streams of
+// the log itself, each change of planner would cost five calls per host. Hosts that
+// follow a live relay must need none.
 func TestPlannerChangeCostsFewCalls(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		const hosts = 30
@@ -84,8 +84,8 @@
 		time.Sleep(6 * time.Second)
 		calls := f.log.WeightedCalls() - before
 		t.Logf("%.0f calls", calls)
-		if most := 2 * hosts; calls > float64(most) {
-			t.Errorf("%.0f calls for a change of planner, want at most %d", calls, most)
+		if maxCalls := 2 * hosts; calls > float64(maxCalls) {
+			t.Errorf("%.0f calls for a change of planner, want at most %d", calls, maxCalls)
 		}
 		for _, h := range f.hosts {
 			if h != planner {
@@ -95,7 +95,8 @@
 	})
 }
 
-// desiredVersion returns the version of the desired state that is in force on the host.
+// desiredVersion returns the version of the desired state in force on the host, or
+// 0 if there is none.
 func (h *testHost) desiredVersion(t *testing.T) int64 {
 	t.Helper()
 	resp, err := h.http.Get("http://" + h.cfg.MetricsListen + "/metrics")
@@ -115,7 +116,7 @@
 	return 0
 }
 
-// unresponsiveStore never answers reads that set out during a cut.
+// unresponsiveStore does not answer reads that begin while partitioned is set.
 type unresponsiveStore struct {
 	*memstore.Log
 	partitioned atomic.Bool
@@ -131,13 +132,13 @@
 	return s.Log.Read(ctx, st, from, wait)
 }
 
-// callSlack is how much longer than its wait a read may take.
+// readTimeoutSlack is how much longer than its wait a read may take.
 const readTimeoutSlack = 1500 * time.Millisecond
 
-// A host is cut off from the log service, silently. An upstream leaves meanwhile.
-// Callers were sent to it until 3 s after the cut's end and more: a read that had
-// set out in the cut held up the next for 1.5 s, and entries that are missing are
-// spared for 2 s. The host must be through with both within those 3 s.
+// A host is cut off from the log service: its calls hang. An upstream leaves meanwhile.
+// The host went on sending it requests for more than 3 s after the end of the cut: a
+// read begun during the cut delayed the next one by 1.5 s, and upstreams with missing
+// entries stay in use for 2 s. Both must be over within those 3 s.
 func TestLeavingUpstreamIsKnownInTimeAfterACut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 20 {
@@ -148,9 +149,9 @@
 			c.crashes = newCrashLog(zap.NewNop(), log, c.isPlanner.Load)
 			ctx, cancel := context.WithCancel(t.Context())
 			go c.run(ctx)
-			own, rest := c.newStreamReaders(ctx)
-			for _, f := range append(rest, own) {
-				go f.run(ctx)
+			ownershipReader, others := c.newStreamReaders(ctx)
+			for _, reader := range append(others, ownershipReader) {
+				go reader.run(ctx)
 			}
 			time.Sleep(time.Second)
 			log.partitioned.Store(true)
@@ -159,7 +160,7 @@
 			log.partitioned.Store(false)
 			time.Sleep(settleTime)
 			if u := views.Load().Upstreams.ByID["u"]; u != nil && !u.Leaving {
-				t.Errorf("%v after the cut's end the upstream is taken for one that stays", settleTime)
+				t.Errorf("%v after the end of the cut the upstream is not marked as leaving", settleTime)
 			}
 			cancel()
 			synctest.Wait()
--- a/internal/entryhost/partitionedstore_test.go
+++ b/internal/entryhost/partitionedstore_test.go
@@ -9,7 +9,8 @@
 	"github.com/papayatide/papayatide/internal/standin/memstore"
 )
 
-// partitionedStore is one host's way to the log service, which may be lost.
+// partitionedStore is one host's connection to the log service. While partitioned
+// is set, reads, AppendAt and JoinElection fail.
 type partitionedStore struct {
 	*memstore.Log
 	partitioned atomic.Bool
--- a/internal/entryhost/refused_test.go
+++ b/internal/entryhost/refused_test.go
@@ -8,8 +8,8 @@
 	"github.com/papayatide/papayatide/rpc/refusedpb"
 )
 
-// An operator clears a content at one host; it must not stay refused at the others,
-// which read of it from the log service.
+// An operator clears a refused fingerprint on one host. The other hosts must stop
+// refusing it too, once they have read the change from the log.
 func TestClearedFingerprintIsClearedOnAllHosts(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 0)
@@ -33,9 +33,9 @@
 				t.Fatalf("%s refuses %v", h.cfg.Host, got)
 			}
 		}
-		content := list(f.hosts[0])[0].Content
+		fingerprint := list(f.hosts[0])[0].Content
 		reply, err := refusedpb.NewRefusedProtobufClient("http://"+f.hosts[0].cfg.PeerListen, f.http).Clear(t.Context(),
-			&refusedpb.ClearRequest{Content: content})
+			&refusedpb.ClearRequest{Content: fingerprint})
 		if err != nil || !reply.Known {
 			t.Fatalf("clear: %v, %v", reply, err)
 		}
--- a/internal/entryhost/registry_test.go
+++ b/internal/entryhost/registry_test.go
@@ -17,11 +17,12 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
+// registerUpstream registers an upstream of a service as ready.
 func registerUpstream(r *upstreamRegistry, id string) {
 	r.register(&catalogue.Upstream{ID: id, Service: "s"})
 }
 
-// state says what the roster believes of an upstream.
+// state returns the state of an upstream: unknown, leaving or ready.
 func (r *upstreamRegistry) state(id string) string {
 	switch u := r.upstreams[id]; {
 	case u == nil:
@@ -39,8 +40,8 @@
 	}
 }
 
-// An upstream's entry is removed while the log service is well: it gets
-// nothing new from then on, and is forgotten in the end.
+// An upstream's entry is deleted while the log service works. The upstream must
+// count as leaving from then on and be forgotten after unlistedRetention.
 func TestUnlistedUpstreamIsLeaving(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
@@ -51,9 +52,9 @@
 	wantState(t, r, "u1", "unknown")
 }
 
-// Entries lapse while the log service is down. An upstream that is listed
-// again within two seconds of its return kept its callers all the while; one
-// that is not is taken for gone then.
+// Entries expire while the log service is down. An upstream whose entry is written
+// again within relistGracePeriod of its return must stay ready all the time, and
+// one whose entry is not must count as leaving after that.
 func TestEntriesExpiredDuringOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
@@ -70,9 +71,9 @@
 	wantState(t, r, "gone", "leaving")
 }
 
-// An upstream that was taken for gone before an outage is missing from the
-// list read after it as well. It must not be suspected anew: by the time the
-// suspicion was settled it was forgotten, and the host ended.
+// An upstream that was unlisted before an outage is still missing from the list read
+// after it. It must not become a suspect: it was forgotten before the suspicion
+// ended, and the host crashed when it tried to unlist it.
 func TestUnlistedUpstreamIsNotSuspectedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
@@ -86,10 +87,10 @@
 	wantState(t, r, "u1", "unknown")
 }
 
-// A host was cut off; the log service was well all the while. Upstreams that
-// left meanwhile are missing from the list it reads then, and it cannot know
-// by itself whether their entries lapsed in an outage. The planner's word that
-// it had no break settles it: callers go to them no longer.
+// A host was cut off from the log service, which worked all the time. Upstreams
+// that left meanwhile are missing from the list read then, but the host can't tell
+// whether their entries expired in an outage. It must mark them as leaving once the
+// planner reports that it reached the service without failure.
 func TestPartitionedHostUsesPlannersLogStatus(t *testing.T) {
 	log := memstore.New()
 	views := view.NewPublisher()
@@ -99,37 +100,38 @@
 	c.onStreamResult(metastore.StreamUpstreams, nil)
 	c.applyUpstreams(nil, true)
 	if u := views.Load().Upstreams.ByID["left"]; u.Leaving {
-		t.Fatal("right after an outage a missing entry is taken for leaving")
+		t.Fatal("an upstream whose entry is missing right after an outage is marked as leaving")
 	}
 	c.onPlannerFollowed(time.Second)
 	if u := views.Load().Upstreams.ByID["left"]; u.Leaving {
-		t.Fatal("a planner that had a break too cannot tell")
+		t.Fatal("the upstream is marked as leaving though the planner failed to reach the log service too")
 	}
 	c.onPlannerFollowed(time.Minute)
 	if u := views.Load().Upstreams.ByID["left"]; !u.Leaving {
-		t.Fatal("still sent to, though the planner saw no outage")
+		t.Fatal("the upstream is not marked as leaving though the planner saw no outage")
 	}
 }
 
-// A host regains one stream after a cut, and reads the list of upstreams half
-// a second later. The time in which lapsed entries come back runs from the
-// first sign that the log service is back, not from the list.
+// A host regains one stream after it was cut off, and the list of upstreams half a
+// second later. The grace period for expired entries must start with the first
+// stream, because it proves that the log service is back.
 func TestRelistGracePeriodStartsAtFirstRecoveredStream(t *testing.T) {
 	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
 	for _, s := range []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams} {
 		c.onStreamResult(s, metastore.ErrNoAnswer)
 	}
 	c.onStreamResult(metastore.StreamDesired, nil)
-	first := c.logRecoveredAt
-	c.logRecoveredAt = first.Add(-500 * time.Millisecond)
+	recoveredAt := c.logRecoveredAt
+	c.logRecoveredAt = recoveredAt.Add(-500 * time.Millisecond)
 	c.onStreamResult(metastore.StreamUpstreams, nil)
 	now := time.Now()
-	if got := c.missingGraceUntil(now).Sub(now); got > relistGracePeriod-400*time.Millisecond {
-		t.Errorf("spared for %v more", got)
+	if left := c.missingGraceUntil(now).Sub(now); left > relistGracePeriod-400*time.Millisecond {
+		t.Errorf("the grace period lasts %v more", left)
 	}
 }
 
-// While the service fails, one reader tries and the others wait for it.
+// While the log service fails, only the probing reader may retry. The others must
+// wait until it succeeds.
 func TestOnlyProbeReadsDuringOutage(t *testing.T) {
 	log := memstore.New()
 	log.SetDown(true)
@@ -137,9 +139,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go c.run(ctx)
-	own, rest := c.newStreamReaders(ctx)
-	for _, f := range append(rest, own) {
-		go f.run(ctx)
+	ownershipReader, others := c.newStreamReaders(ctx)
+	for _, reader := range append(others, ownershipReader) {
+		go reader.run(ctx)
 	}
 	time.Sleep(1500 * time.Millisecond)
 	if n := log.Calls("newest"); n > 15 {
@@ -147,9 +149,9 @@
 	}
 }
 
-// A host stands still for five seconds, in which the log service was down and
-// entries lapsed. It never saw the outage, but spares what is missing now as
-// if it had: the entries are back within two seconds.
+// A host stalls for five seconds, during which the log service was down and entries
+// expired. It saw no outage, but must give missing upstreams the same grace period
+// as after one: their entries are written again within two seconds.
 func TestStalledHostKeepsMissingUpstreams(t *testing.T) {
 	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
 	clock := bootclock.Time(time.Hour)
@@ -159,7 +161,7 @@
 	clock = clock.Add(followerTickInterval)
 	c.detectStall()
 	if now := time.Now(); c.missingGraceUntil(now).After(now) {
-		t.Fatal("spares entries without a reason")
+		t.Fatal("missing upstreams get a grace period though the host neither stalled nor saw an outage")
 	}
 	clock = clock.Add(5 * time.Second)
 	c.detectStall()
@@ -167,14 +169,14 @@
 	c.registry.markMissing("u", c.missingGraceUntil(now), now)
 	wantState(t, c.registry, "u", "ready")
 	if c.replica.LogReachableFor(now) > time.Second {
-		t.Error("claims to have reached the log service all the while")
+		t.Error("the log service counts as reachable during the stall")
 	}
 }
 
-// A server starts again under its ID while callers and the planner know its
-// earlier life. Only the new life is known from its entry on, and an entry that
-// the old one wrote late does not bring it back. When the server leaves it is
-// the new life that is leaving.
+// A server restarts under its ID while hosts know its earlier incarnation. Its new
+// entry must replace the earlier incarnation, and an entry that the earlier one
+// wrote late must be ignored. When the server's entry is deleted, the new
+// incarnation must be the one that is leaving.
 func TestServerRestartsUnderSameID(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
@@ -192,9 +194,10 @@
 	wantState(t, r, first, "ready")
 }
 
-// Another writer replaces an upstream's entry by one that cannot be read, and
-// writes one under a key of its own. The first upstream gets nothing new until
-// it writes again, the others are left alone, and one line is logged for all.
+// Another writer replaces an upstream's entry with an unreadable one, and writes
+// unreadable entries under other keys. The upstream must get no new requests until
+// it writes its entry again, the other upstreams must be unaffected, and only one
+// line may be logged.
 func TestForeignEntryAddsNoUpstream(t *testing.T) {
 	core, logs := observer.New(zap.ErrorLevel)
 	views := view.NewPublisher()
@@ -202,9 +205,9 @@
 	entry := func(id string) metastore.Record {
 		return metastore.Record{Key: id, Value: fmt.Appendf(nil, `{"ID":%q,"Service":"s"}`, id)}
 	}
-	forged := func(id string) metastore.Record { return metastore.Record{Key: id, Value: []byte("\xff")} }
+	unreadable := func(id string) metastore.Record { return metastore.Record{Key: id, Value: []byte("\xff")} }
 	c.applyUpstreams([]metastore.Record{entry("u1"), entry("u2")}, true)
-	c.applyUpstreams([]metastore.Record{forged("u1"), forged("nobody"), forged("")}, false)
+	c.applyUpstreams([]metastore.Record{unreadable("u1"), unreadable("nobody"), unreadable("")}, false)
 	if ups := views.Load().Upstreams.ByID; !ups["u1"].Leaving || ups["u2"].Leaving || len(ups) != 2 {
 		t.Errorf("upstreams are %+v", ups)
 	}
@@ -213,6 +216,6 @@
 	}
 	c.applyUpstreams([]metastore.Record{entry("u1")}, false)
 	if views.Load().Upstreams.ByID["u1"].Leaving {
-		t.Error("the upstream's own entry does not bring it back")
+		t.Error("the upstream is still leaving after it wrote its entry again")
 	}
 }
--- a/internal/entryhost/slowstart_test.go
+++ b/internal/entryhost/slowstart_test.go
@@ -11,19 +11,22 @@
 	"github.com/papayatide/papayatide/internal/standin/rangeowner"
 )
 
-// slowStartMost is how many requests a cold upstream may get in a second.
+// maxColdRequestsPerSecond bounds the requests to a cold upstream from all hosts
+// together.
 const maxColdRequestsPerSecond = 4*slowStartFactor + slowStartSlack
 
-// addColdUpstream adds an upstream that is in its slow start for lasts.
-func (f *testFleet) addColdUpstream(service, id string, lasts time.Duration) *rangeowner.Upstream {
+// addColdUpstream adds an upstream whose slow start lasts for coldFor.
+func (f *testFleet) addColdUpstream(service, id string, coldFor time.Duration) *rangeowner.Upstream {
 	u := f.startUpstream(service, id)
-	f.putEntry(u, catalogue.Upstream{Service: service, DataCentre: "dc", Slots: 3, SlowUntil: time.Now().Add(lasts)})
+	f.putEntry(u, catalogue.Upstream{Service: service, DataCentre: "dc", Slots: 3, SlowUntil: time.Now().Add(coldFor)})
 	return u
 }
 
-// generateLoad has callers ask on every host at once, as fast as they are answered.
+// generateLoad is generateLoadOn for all hosts.
 func (f *testFleet) generateLoad(route string, d time.Duration) { f.generateLoadOn(f.hosts, route, d) }
 
+// generateLoadOn has four callers per host send requests for d, each 5 ms after the
+// last response.
 func (f *testFleet) generateLoadOn(hosts []*testHost, route string, d time.Duration) {
 	var wg sync.WaitGroup
 	for _, h := range hosts {
@@ -39,13 +42,12 @@
 	wg.Wait()
 }
 
-// Upstreams come back from a restart one after the other, empty and idle, and so
-// look like the best choice to every host: callers' requests came to a cold one
-// at several times the rate that it bears, it ended again, and with it what it
-// was working on. All hosts together must keep to what it bears, for keys and
-// without, also where every upstream of the service is cold.
+// Upstreams restart one after the other, cold and idle, so that every host prefers
+// them. A cold upstream then got several times the rate that it can serve, and crashed
+// with the requests that it was running. All hosts together must stay within its
+// capacity, with and without keys, and also if all upstreams of the service are cold.
 func TestColdUpstreamStaysWithinCapacity(t *testing.T) {
-	const cold = 3 * time.Second
+	const coldFor = 3 * time.Second
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
 		for _, warm := range []int{3, 0} {
 			t.Run(fmt.Sprint(c.service, " beside ", warm), func(t *testing.T) {
@@ -58,15 +60,15 @@
 						f.waitAnswered(c.route, "/x", startupTimeout)
 					}
 					time.Sleep(4 * time.Second)
-					from := time.Now() // what starts now is cold until then and cold more
-					var started []*rangeowner.Upstream
+					from := time.Now() // upstreams started from now on are cold for at least coldFor
+					var coldUpstreams []*rangeowner.Upstream
 					for i := range 2 {
-						started = append(started, f.addColdUpstream(c.service, fmt.Sprint("cold", i), cold))
+						coldUpstreams = append(coldUpstreams, f.addColdUpstream(c.service, fmt.Sprint("cold", i), coldFor))
 					}
-					f.generateLoad(c.route, cold)
-					for _, u := range started {
-						if n := u.PeakInSecond(from, from.Add(cold)); n > int(maxColdRequestsPerSecond) {
-							t.Errorf("%d requests came to a cold upstream within a second, it bears %v", n, maxColdRequestsPerSecond)
+					f.generateLoad(c.route, coldFor)
+					for _, u := range coldUpstreams {
+						if n := u.PeakInSecond(from, from.Add(coldFor)); n > int(maxColdRequestsPerSecond) {
+							t.Errorf("a cold upstream got %d requests within a second, want at most %v", n, maxColdRequestsPerSecond)
 						}
 					}
 					time.Sleep(time.Second)
@@ -77,11 +79,12 @@
 	}
 }
 
-// A data centre that is taken back has become cold meanwhile, and the log service
-// fails before its upstreams have written so: they must not get their usual share.
+// The evacuation of a data centre ends. Its upstreams have become cold meanwhile, and
+// the log service fails before their entries say so. Hosts must not send them their
+// usual share of the requests.
 func TestReturnedDataCentreIsColdDuringLogOutage(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
-		const cold = 3 * time.Second
+		const coldFor = 3 * time.Second
 		f := newFleet(t, 6, 0)
 		far := f.startUpstream("plain", "far")
 		entry := catalogue.Upstream{Service: "plain", DataCentre: "far", Slots: 30}
@@ -90,29 +93,29 @@
 		time.Sleep(4 * time.Second)
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
 		time.Sleep(testEvacuationTimeout + time.Second)
-		back := time.Now()
+		returnedAt := time.Now()
 		f.log.Put(metastore.StreamDesired, "evacuate/far", nil)
 		time.Sleep(500 * time.Millisecond)
 		f.log.SetDown(true)
-		entry.SlowUntil = back.Add(cold)
+		entry.SlowUntil = returnedAt.Add(coldFor)
 		f.putEntry(far, entry)
-		f.generateLoad(unkeyedRoute, cold)
-		if n := far.PeakInSecond(back, back.Add(cold)); n > int(maxColdRequestsPerSecond) {
-			t.Errorf("%d requests came to a cold upstream within a second, it takes %v", n, maxColdRequestsPerSecond)
+		f.generateLoad(unkeyedRoute, coldFor)
+		if n := far.PeakInSecond(returnedAt, returnedAt.Add(coldFor)); n > int(maxColdRequestsPerSecond) {
+			t.Errorf("a cold upstream got %d requests within a second, want at most %v", n, maxColdRequestsPerSecond)
 		}
 		f.log.SetDown(false)
 		time.Sleep(2 * time.Second)
 		before := time.Now()
 		f.generateLoad(unkeyedRoute, 2*time.Second)
 		if n := len(far.Arrivals(before, time.Now())); n == 0 {
-			t.Error("it is not used once it is warm")
+			t.Error("the upstream gets no requests once it is warm")
 		}
 	})
 }
 
-// A server ends while the log service is away and starts again under its ID, cold,
-// which nobody can read. It must not get what the life before it got, also where
-// only some of the hosts have seen it end.
+// A server ends during an outage of the log service and restarts under its ID. It is
+// cold, but its entry can't be read. Hosts must not send it as much as its earlier
+// incarnation got, not even those that did not see it end.
 func TestRestartedServerIsColdDuringLogOutage(t *testing.T) {
 	for _, c := range []struct {
 		service, route string
@@ -128,21 +131,21 @@
 				f.log.SetDown(true)
 				f.killUpstream(old)
 				f.generateLoadOn(f.hosts[:c.busy], c.route, time.Second)
-				back := time.Now()
-				again := f.startUpstream(c.service, "server")
-				const cold = 3 * time.Second
-				f.generateLoad(c.route, cold)
-				if n := again.PeakInSecond(back, back.Add(cold)); n > int(maxColdRequestsPerSecond) {
-					t.Errorf("%d requests came to it within a second, it takes %v", n, maxColdRequestsPerSecond)
+				restartedAt := time.Now()
+				restarted := f.startUpstream(c.service, "server")
+				const coldFor = 3 * time.Second
+				f.generateLoad(c.route, coldFor)
+				if n := restarted.PeakInSecond(restartedAt, restartedAt.Add(coldFor)); n > int(maxColdRequestsPerSecond) {
+					t.Errorf("the restarted upstream got %d requests within a second, want at most %v", n, maxColdRequestsPerSecond)
 				}
 				f.log.SetDown(false)
-				f.registerAs(c.service, again, false)
+				f.registerAs(c.service, restarted, false)
 				f.registerAs(c.service, f.upstreams["other:80"], false)
 				time.Sleep(4 * time.Second)
 				before := time.Now()
 				f.generateLoad(c.route, 2*time.Second)
-				if n := len(again.Arrivals(before, time.Now())); n == 0 {
-					t.Error("it is not used once it is warm")
+				if n := len(restarted.Arrivals(before, time.Now())); n == 0 {
+					t.Error("the upstream gets no requests once it is warm")
 				}
 			})
 		})
