--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -68,9 +68,9 @@
 	// picked is set once Pick has returned the upstream. Keyed services' upstreams are
 	// chosen by key, not by Pick.
 	picked bool
-	// answered and totalLatency are the number of responses since the last
+	// responses and totalLatency are the number of responses since the last
 	// FlushLoadStats and the sum of their latencies.
-	answered     int
+	responses     int
 	totalLatency time.Duration
 	// peerLoad is the other hosts' load on the upstream, received at peerLoadAt.
 	peerLoad   PeerLoad
@@ -141,7 +141,7 @@
 	switch o {
 	case Served:
 		st.consecutiveFailures = 0
-		st.answered++
+		st.responses++
 		st.totalLatency += took
 		if st.recoveredAt.Before(st.crashedAt) {
 			st.recoveredAt = now
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -35,12 +35,12 @@
 	defer p.mu.Unlock()
 	var out []LoadStats
 	for id, st := range p.states {
-		stats := LoadStats{ID: id, InFlight: st.limiter.InFlight(), Answered: st.answered, Latency: st.totalLatency}
+		stats := LoadStats{ID: id, InFlight: st.limiter.InFlight(), Answered: st.responses, Latency: st.totalLatency}
 		if !st.picked || (stats.InFlight == 0 && stats.Answered == 0) {
 			continue
 		}
 		out = append(out, stats)
-		st.answered, st.totalLatency = 0, 0
+		st.responses, st.totalLatency = 0, 0
 	}
 	return out
 }
--- a/internal/crashes/correlation.go
+++ b/internal/crashes/correlation.go
@@ -17,24 +17,24 @@
 	failureRetention = 10 * time.Second
 )
 
-// failureWindow holds recent crashes and broken sends, to recognise correlated failures.
+// recentFailures holds recent crashes and broken sends, to recognise correlated failures.
 // The package comment says why they do not count.
-type failureWindow struct{ failures []Crash }
+type recentFailures struct{ failures []Crash }
 
 // add appends a failure and drops those that are too old or too many.
-func (w *failureWindow) add(failure Crash) {
-	for len(w.failures) > 0 && (len(w.failures) >= maxFailures || failure.At.Sub(w.failures[0].At) > failureRetention) {
-		w.failures = w.failures[1:]
+func (r *recentFailures) add(failure Crash) {
+	for len(r.failures) > 0 && (len(r.failures) >= maxFailures || failure.At.Sub(r.failures[0].At) > failureRetention) {
+		r.failures = r.failures[1:]
 	}
-	w.failures = append(w.failures, failure)
+	r.failures = append(r.failures, failure)
 }
 
 // isCorrelated reports whether the crash is one of many failures with a common cause:
 // failures within correlationWindow affect at least minCorrelatedServers servers, and no
 // more than half of these had a failure with the crash's fingerprint.
-func (w *failureWindow) isCorrelated(crash Crash) bool {
+func (r *recentFailures) isCorrelated(crash Crash) bool {
 	servers := map[string]bool{}
-	for _, failure := range w.failures {
+	for _, failure := range r.failures {
 		if distance := failure.At.Sub(crash.At); distance <= correlationWindow && distance >= -correlationWindow {
 			servers[failure.Server] = servers[failure.Server] || failure.Fingerprint == crash.Fingerprint
 		}
--- a/internal/crashes/tracker.go
+++ b/internal/crashes/tracker.go
@@ -56,11 +56,11 @@
 	pending  map[crashKey]Change
 	pendingC chan struct{}
 	// recent holds recent failures, to recognise crashes with a common cause.
-	recent failureWindow
+	recent recentFailures
 	// trialsAllowed reports whether this host sends trial requests; trials holds their
 	// schedule.
 	trialsAllowed func() bool
-	trials        map[Fingerprint]trial
+	trials        map[Fingerprint]trialSchedule
 }
 
 // NewTracker returns a tracker without crashes. It calls onRefused, unless nil, for each
@@ -70,7 +70,7 @@
 		onRefused = func(Fingerprint) {}
 	}
 	return &Tracker{onRefused: onRefused, crashes: map[Fingerprint]map[string]time.Time{}, pending: map[crashKey]Change{}, pendingC: make(chan struct{}, 1),
-		trials: map[Fingerprint]trial{}}
+		trials: map[Fingerprint]trialSchedule{}}
 }
 
 // RecordCrash records a crash that this host observed. It returns how many servers have
--- a/internal/crashes/trial.go
+++ b/internal/crashes/trial.go
@@ -11,9 +11,9 @@
 	maxTrialInterval = 2 * time.Hour
 )
 
-// trial is the schedule of a refused fingerprint's trials: the time of the next one and
+// trialSchedule is the schedule of a refused fingerprint's trials: the time of the next one and
 // the interval after it.
-type trial struct {
+type trialSchedule struct {
 	next     time.Time
 	interval time.Duration
 }
@@ -40,7 +40,7 @@
 	if now.Before(schedule.next) {
 		return false
 	}
-	t.trials[fp] = trial{now.Add(schedule.interval), min(2*schedule.interval, maxTrialInterval)}
+	t.trials[fp] = trialSchedule{now.Add(schedule.interval), min(2*schedule.interval, maxTrialInterval)}
 	return true
 }
 
