--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,6 +1,6 @@
 // Package balance chooses among upstreams that can all serve a request, by the
-// latency, failures and requests in flight that this host observes, and by the
-// load that the other hosts of its data centre report.
+// latency, failures and requests in flight that this host observes, and by the load
+// statistics of the other hosts of its data centre.
 package balance
 
 import (
@@ -18,15 +18,15 @@
 type Outcome int
 
 const (
-	// Served means that the upstream responded.
+	// Served means that the upstream responded without a server error.
 	Served Outcome = iota
 	// Overloaded means that the upstream refused the request for lack of capacity.
 	Overloaded
 	// ConnRejected means that a new connection was reset or closed right after it was
 	// accepted: the upstream has too many, or a proxy in front of it cannot reach it.
 	ConnRejected
-	// Failed means that the upstream could not be reached, responded with an error, or
-	// did not respond in time.
+	// Failed means that the upstream could not be reached, responded with a server error,
+	// or did not respond in time.
 	Failed
 	// Broken means that the connection broke before a whole response.
 	Broken
@@ -48,7 +48,7 @@
 	baseEjectionTime = 500 * time.Millisecond
 	maxEjectionTime  = 2 * time.Second
 	// maxEntryWriteDelay is the longest time from an upstream's start until it has written
-	// its entry.
+	// its entry to the log service, from which hosts read their catalogue of upstreams.
 	maxEntryWriteDelay = 2 * time.Second
 	// sampleSize is how many upstreams of the local data centre, and how many of the
 	// others, are compared for a request. The best of all would be the same upstream
@@ -65,12 +65,12 @@
 	consecutiveFailures int
 	ejectedUntil        time.Time
 	overloadedUntil     time.Time
-	// picked is set once Pick has returned the upstream. Keyed services' upstreams are
-	// chosen by key, not by Pick.
+	// picked is set once Pick has returned the upstream. FlushLoadStats leaves out the
+	// others, for example the upstreams of keyed services, which are chosen by key.
 	picked bool
-	// responses and totalLatency are the number of responses since the last
-	// FlushLoadStats and the sum of their latencies.
-	responses     int
+	// responses is the number of sends with the outcome Served since the last
+	// FlushLoadStats, totalLatency the sum of their latencies.
+	responses    int
 	totalLatency time.Duration
 	// peerLoad is the other hosts' load on the upstream, received at peerLoadAt.
 	peerLoad   PeerLoad
@@ -82,9 +82,11 @@
 	crashedAt, recoveredAt time.Time
 }
 
-// slowStartUntil returns when the upstream's slow start ends: as stated by its entry or,
-// if it seemed to have crashed, slowStart after its first response since then. The
-// server may have restarted under the same ID, and its new entry is not read yet.
+// slowStartUntil returns when the upstream's slow start ends: normally u.SlowUntil, which
+// its entry states. If the upstream seemed to have crashed, the server may have restarted
+// under the same ID, with a new entry that is not read yet. The slow start then ends
+// slowStart after now until the first response, from then on slowStart after that response
+// or at u.SlowUntil, whichever is later.
 func (st *upstreamState) slowStartUntil(u *catalogue.Upstream, slowStart time.Duration, now time.Time) time.Time {
 	switch {
 	case st.crashedAt.IsZero():
@@ -103,7 +105,8 @@
 	host   string
 	mu     sync.Mutex
 	states map[string]*upstreamState
-	// syncedUntil is the time up to which all entries written by upstreams have been read.
+	// syncedUntil is the time up to which this host has read all entries that upstreams
+	// wrote to the log service; see MarkSynced.
 	syncedUntil time.Time
 	// subsets holds the upstreams that this host uses, by service.
 	subsets map[string]*serviceSubset
@@ -132,8 +135,8 @@
 }
 
 // Done records the outcome and the duration of a send to the upstream. It reports
-// whether the upstream seems to have crashed. A rejected connection does not reset
-// the count of consecutive failures.
+// whether the upstream seems to have crashed. A rejected connection does not reset the
+// count of consecutive failures: it may mean that a proxy cannot reach the upstream.
 func (p *Picker) Done(id string, o Outcome, took time.Duration, now time.Time) (crashed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,9 +177,10 @@
 	}
 }
 
-// MarkSynced records that all entries that upstreams wrote until the given time have been
-// read. It clears crashes that are more than maxEntryWriteDelay older: a server that
-// restarted after one of them has a new entry by then, which states its slow start.
+// MarkSynced records that this host has read all entries that upstreams wrote to the log
+// service until the given time. It clears crashes that are more than maxEntryWriteDelay
+// older: a server that restarted after one of them has a new entry by then, which states
+// its slow start.
 func (p *Picker) MarkSynced(until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,8 +200,8 @@
 	return now.Before(p.state(id).ejectedUntil)
 }
 
-// Prune drops the state of upstreams that keep rejects and that have no requests in
-// flight.
+// Prune drops the state of upstreams for which keep returns false, unless they have
+// requests in flight.
 func (p *Picker) Prune(keep func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -364,10 +368,11 @@
 	}
 }
 
-// cost returns the expected time to a response: the mean of an estimate from this
-// host's own requests, which is more recent in a small fleet, and one from all hosts'
-// load, which is more accurate in a large fleet. It includes the wait for admission:
-// otherwise an idle upstream at its admission limit is picked and refuses the request.
+// cost returns the expected time to a response: the mean of an estimate from this host's
+// own requests and one from the load of all hosts of the data centre. The former is more
+// recent in a small fleet, where each host sends to an upstream often; the latter is more
+// accurate in a large one. The cost includes the wait for this host's limiter: without it
+// Pick returns an upstream with nothing in flight though its limiter admits no request yet.
 func (st *upstreamState) cost(u *catalogue.Upstream, now time.Time) time.Duration {
 	s := st.limiter.State()
 	c := s.Latency + s.Latency*time.Duration(s.InFlight)/time.Duration(u.Slots)
@@ -386,8 +391,9 @@
 	return now.Sub(st.peerLoadAt) <= peerLoadTTL
 }
 
-// ExpectedLatency returns the expected latency of one more request to the upstream, by
-// all hosts' requests in flight; 0 if the other hosts' load is not known.
+// ExpectedLatency returns the expected latency of one more request to the upstream, based
+// on the requests in flight from all hosts of the data centre; 0 if the load of the other
+// hosts is not known.
 func (p *Picker) ExpectedLatency(u *catalogue.Upstream, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -395,6 +401,6 @@
 	if !st.hasPeerLoad(now) {
 		return 0
 	}
-	ahead := st.limiter.InFlight() + st.peerLoad.InFlight - u.Slots + 1
-	return st.peerLoad.WorkTime + st.peerLoad.WorkTime*time.Duration(max(ahead, 0))/time.Duration(u.Slots)
+	queued := st.limiter.InFlight() + st.peerLoad.InFlight - u.Slots + 1
+	return st.peerLoad.WorkTime + st.peerLoad.WorkTime*time.Duration(max(queued, 0))/time.Duration(u.Slots)
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -14,9 +14,9 @@
 	return []*catalogue.Upstream{{ID: "a", Slots: 3, DataCentre: "dc"}, {ID: "b", Slots: 3, DataCentre: "dc"}}
 }
 
-// The admission limit of one of two upstreams has shrunk until the next request must
-// wait, though none is in flight. Pick must return the other upstream; the first looks
-// idle, and would refuse the request.
+// This host's admission limit for one of two upstreams has shrunk until the next request
+// must wait, though none is in flight. Pick must return the other upstream: by its requests
+// in flight the first looks idle, but its limiter would delay or refuse the request.
 func TestPickAvoidsUpstreamAtItsAdmissionLimit(t *testing.T) {
 	p, ups := NewPicker("h"), twoUpstreams()
 	share := admission.ShareOf(3, 0, 100)
@@ -35,7 +35,7 @@
 }
 
 // Traffic between data centres is expensive: Pick prefers the local of two idle upstreams.
-// It returns the remote one while the local one is ejected or leaving, and never an
+// It returns the remote one while the local one is ejected or draining, and never an
 // excluded one.
 func TestPick(t *testing.T) {
 	now := time.Now()
@@ -56,7 +56,7 @@
 	}
 	ups[1].Leaving = true
 	if u := p.Pick(ups, c, now.Add(maxEjectionTime)); u.ID != "a" {
-		t.Errorf("picked the leaving upstream")
+		t.Errorf("picked the draining upstream")
 	}
 	c.Excluded = []string{"a"}
 	if u := p.Pick(ups, c, now); u != nil {
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -3,8 +3,9 @@
 import "time"
 
 // peerLoadTTL is how long the other hosts' load counts. It is updated three times a
-// second; after a second without an update the host that aggregates the reports is
-// gone, and this host's own measurements are more accurate.
+// second; after a second without an update the host that adds up the hosts' load
+// statistics (package inflight) is gone, and this host's own measurements are more
+// accurate.
 const peerLoadTTL = time.Second
 
 // LoadStats is one host's load on an upstream.
@@ -12,8 +13,8 @@
 	ID string
 	// InFlight is the host's number of requests in flight.
 	InFlight int
-	// Answered is the number of responses since the host's last report, Latency the
-	// sum of their latencies.
+	// Answered is the number of responses (outcome Served) since the host's last
+	// FlushLoadStats, Latency the sum of their latencies.
 	Answered int
 	Latency  time.Duration
 }
@@ -45,8 +46,9 @@
 	return out
 }
 
-// SetPeerLoads stores the load of the data centre's other hosts on each upstream. It
-// skips entries without an ID, which stand for upstreams whose load is unknown.
+// SetPeerLoads stores the load of the data centre's other hosts on each upstream. The slice
+// may have an element for each upstream of the Subset; elements without an ID, for
+// upstreams whose load is unknown, are skipped.
 func (p *Picker) SetPeerLoads(loads []PeerLoad, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/balance/subset_test.go
+++ b/internal/balance/subset_test.go
@@ -24,9 +24,9 @@
 	users := map[string]int{}
 	for h := range 79 {
 		host := fmt.Sprint("host", h)
-		all := subset(host, ups, localSubsetSize)
+		before := subset(host, ups, localSubsetSize)
 		in := map[string]bool{}
-		for _, u := range all {
+		for _, u := range before {
 			in[u.ID] = true
 			users[u.ID]++
 		}
@@ -36,8 +36,8 @@
 				changed++
 			}
 		}
-		if len(all) != localSubsetSize || changed > 1 {
-			t.Errorf("%s uses %d upstreams, %d of them new after the removal of one", host, len(all), changed)
+		if len(before) != localSubsetSize || changed > 1 {
+			t.Errorf("%s uses %d upstreams, %d of them new after the removal of one", host, len(before), changed)
 		}
 	}
 	mean := 79 * localSubsetSize / len(ups)
