--- a/internal/crashes/bound_test.go
+++ b/internal/crashes/bound_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Crashes under a flood of different fingerprints must neither grow the tracker without
+// Crashes with a flood of different fingerprints must neither grow the tracker without
 // bound nor evict a refused fingerprint.
 func TestTrackerBoundsItsFingerprints(t *testing.T) {
 	tracker, now := NewTracker(nil), time.Now()
--- a/internal/crashes/correlation.go
+++ b/internal/crashes/correlation.go
@@ -12,8 +12,9 @@
 	// maxFailures bounds the failures that are kept. A network cut of a data centre
 	// breaks some hundreds of sends at one host.
 	maxFailures = 2048
-	// failureRetention is how long failures are kept: until the entries of servers that
-	// crashed at the same moment have expired.
+	// failureRetention is how long failures are kept. Some crashes are detected only when
+	// the server's entry in the log service expires, some seconds later; they must still
+	// be compared with the other failures of their moment.
 	failureRetention = 10 * time.Second
 )
 
--- a/internal/crashes/correlation_test.go
+++ b/internal/crashes/correlation_test.go
@@ -7,8 +7,8 @@
 )
 
 // A network cut of a data centre breaks a host's sends to many servers at one moment, and
-// the servers' entries expire, as they cannot send heartbeats. A third of the sends are
-// for one page. No crash may be counted or written.
+// the servers' entries in the log service expire, as they cannot send heartbeats. The sends
+// have three fingerprints, in equal parts. No crash may be counted or written.
 func TestNetworkCutIsNotCountedAsCrashes(t *testing.T) {
 	tracker := NewTracker(nil)
 	for i := range 30 {
@@ -23,9 +23,9 @@
 	}
 }
 
-// A fatal request crashes its servers one by one while unrelated sends break at a few
-// other servers a second. It must be refused after the third crash, and also if it
-// crashes four servers at once and no other send breaks.
+// A fatal request crashes the servers that run it one by one while unrelated sends break
+// at a few other servers a second. It must be refused after the third crash, and also if
+// it crashes four servers at once and no other send breaks.
 func TestFatalRequestIsRefusedDespiteOtherBrokenSends(t *testing.T) {
 	tracker := NewTracker(nil)
 	for i := range Limit {
@@ -44,13 +44,14 @@
 		tracker.RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 	}
 	if tracker.Pending(); tracker.RefusedFor(testFingerprint(1), testTime) == 0 {
-		t.Error("not refused after crashes at one moment, all under its own fingerprint")
+		t.Error("not refused after crashes at one moment, all while running requests with its fingerprint")
 	}
 }
 
-// A fingerprint is refused though its servers might serve it, as they crashed together for
-// another reason. Only the host that may send trials sends one, some seconds later. While
-// trials crash their servers the interval grows; after a success no host refuses it.
+// A fingerprint may be refused although its requests are harmless, if the servers that ran
+// them crashed for another, common reason. Only the host that may send trial requests sends
+// one, some seconds later. While the trials crash servers the interval between them grows;
+// after a success no host refuses the fingerprint.
 func TestRefusedFingerprintGetsTrialRequests(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.hosts[0].AllowTrialsIf(func() bool { return true })
--- a/internal/crashes/doc.go
+++ b/internal/crashes/doc.go
@@ -5,13 +5,14 @@
 // request's own attempts nor the retry budget stops it. Such requests are
 // recognised by a fingerprint of what they ask, whatever their ID.
 //
-// A fingerprint is refused on all hosts once Limit servers have crashed under
-// it, until a request with it succeeds or the crashes expire.
+// A fingerprint is refused on all hosts once Limit servers have crashed while they
+// ran a request with it. The refusal ends when a request with it succeeds, which may
+// be a trial request (see AllowTrial), or when the crashes expire.
 //
 // Correlated failures do not count. A network cut, the loss of a data centre or
 // a release that restarts everything breaks the requests on many servers at one
-// moment. If these counted as crashes, three of them would refuse a page that
-// all callers read for a day, and the cut of a data centre would cost thousands
-// of log service calls for records without meaning. A request that crashes its
-// servers does so one by one, while servers that do not run it go on.
+// moment. If these counted as crashes, three of them would cause a popular, harmless
+// request to be refused for a day, and the cut of a data centre would cost thousands
+// of log service calls for useless records. A fatal request crashes the servers that
+// run it one by one, while other servers keep working.
 package crashes
--- a/internal/crashes/fingerprint.go
+++ b/internal/crashes/fingerprint.go
@@ -12,15 +12,17 @@
 // among a day's requests negligible.
 const fingerprintBytes = 16
 
-// Fingerprint identifies what a request asks: the truncated hex digest of its method, host,
-// target, key and body. It leaves out what differs between a caller's attempts, such as
-// the request ID and the deadline.
+// Fingerprint identifies what a request asks: the truncated hex digest of the fields of
+// Request. It leaves out what differs between a caller's attempts, such as the request ID
+// and the deadline.
 type Fingerprint string
 
-// Request holds the parts of a request that its fingerprint covers.
+// Request holds the parts of a request that its fingerprint covers. Package router sets
+// Host to the service and URI to the key, as its requests have no Host header or URI.
 type Request struct {
+	// Host is the Host header.
 	Method, Host string
-	// URI is the request target as the caller sent it.
+	// URI is the request URI as the caller sent it.
 	URI string
 	// Key is -1 for services that are not keyed.
 	Key int
--- a/internal/crashes/tracker.go
+++ b/internal/crashes/tracker.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// Limit is the number of servers whose crashes refuse a fingerprint. One or two may
-	// be chance: a crash also breaks the other requests on the server, and a retry of
-	// one may meet a second crash. A higher limit costs all other callers, as the keys
-	// of each crashed server are unserved until its grant expires, some three seconds.
+	// Limit is the number of crashed servers from which a fingerprint is refused. One or
+	// two crashes may be chance: a crash also breaks the other requests on the server,
+	// and a retry of one may meet a second crash. A higher limit costs all other callers,
+	// as the keys of each crashed server are unserved until its grant expires, some three
+	// seconds.
 	Limit = 3
 	// Retention is how long a crash counts. A fingerprint is allowed again a day later:
 	// the servers may run a version by then that survives it; if not, it crashes at most
-	// Limit servers a day.
+	// Limit servers a day, apart from trial requests (see AllowTrial).
 	Retention = 24 * time.Hour
 	// maxFingerprints bounds the fingerprints that are tracked. Beyond it the one with
 	// the fewest crashes is evicted.
 	maxFingerprints = 4096
 )
 
-// Crash is the crash of a server while it ran a request.
+// Crash is the crash of a server while it ran a request. Broken sends, after which the
+// server may have crashed or not, are described by the same fields.
 type Crash struct {
 	Fingerprint Fingerprint
-	// Server is the ID of the incarnation that crashed.
+	// Server identifies the incarnation that crashed, by its ID in the catalogue if it
+	// has one. A restarted server is another incarnation, and its crash counts again.
 	Server string
 	// At is when the crash was observed.
 	At time.Time
@@ -55,10 +58,10 @@
 	// pending holds this host's changes that are not written yet.
 	pending  map[crashKey]Change
 	pendingC chan struct{}
-	// recent holds recent failures, to recognise crashes with a common cause.
+	// recent holds crashes and broken sends, to recognise correlated failures.
 	recent recentFailures
 	// trialsAllowed reports whether this host sends trial requests; trials holds their
-	// schedule.
+	// schedules.
 	trialsAllowed func() bool
 	trials        map[Fingerprint]trialSchedule
 }
@@ -74,7 +77,7 @@
 }
 
 // RecordCrash records a crash that this host observed. It returns how many servers have
-// crashed under the fingerprint.
+// crashed while running a request with the fingerprint.
 func (t *Tracker) RecordCrash(crash Crash) int {
 	t.mu.Lock()
 	t.recent.add(crash)
@@ -87,8 +90,9 @@
 	return count
 }
 
-// RecordBrokenSend records a broken send whose server is not known to have crashed. It
-// does not count as a crash, but shows which crashes are correlated failures.
+// RecordBrokenSend records that the connection broke before a whole response, without a
+// sign that the server crashed. It does not count as a crash, but helps to recognise
+// correlated failures.
 func (t *Tracker) RecordBrokenSend(broken Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,9 +106,9 @@
 }
 
 // RecordSuccess records that a server ran a request with the fingerprint and responded,
-// and deletes the fingerprint's crashes. Without it a page that many callers read is
-// refused because it often runs on the servers that another request crashes. It reports
-// whether there were crashes.
+// and deletes the fingerprint's crashes. Without it a popular, harmless request is refused
+// because some server often runs it at the moment when another request crashes the server.
+// RecordSuccess reports whether there were crashes.
 func (t *Tracker) RecordSuccess(fp Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,8 +129,8 @@
 	return len(t.crashes) > 0
 }
 
-// IsSuspect reports whether a server has crashed under the fingerprint and no request
-// with it has succeeded since.
+// IsSuspect reports whether a server has crashed while running a request with the
+// fingerprint and no request with it has succeeded since.
 func (t *Tracker) IsSuspect(fp Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,7 +179,8 @@
 	return len(t.crashes), refused
 }
 
-// CrashedServers returns the servers that have crashed under the fingerprint, sorted.
+// CrashedServers returns the servers that have crashed while running a request with the
+// fingerprint, sorted.
 func (t *Tracker) CrashedServers(fp Fingerprint) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -237,9 +242,9 @@
 	}
 }
 
-// Pending returns the changes that are not written yet. It first drops crashes that
-// proved to be correlated, so it should be called only once the failures of the same
-// moment are recorded.
+// Pending removes the pending crashes that prove to be correlated failures, also from this
+// host's state, and returns the other changes that are not written yet. It should be called
+// only after the other failures of the same moment have been recorded.
 func (t *Tracker) Pending() []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -270,8 +275,8 @@
 	}
 }
 
-// add returns how many servers have crashed under the fingerprint, and whether this
-// crash is new.
+// add adds a crash. It returns how many servers have crashed while running a request with
+// the fingerprint, and whether this server is a new one of them.
 func (t *Tracker) add(crash Crash) (count int, isNew bool) {
 	if t.crashes[crash.Fingerprint] == nil {
 		if len(t.crashes) >= maxFingerprints {
--- a/internal/crashes/tracker_test.go
+++ b/internal/crashes/tracker_test.go
@@ -71,9 +71,9 @@
 	tracker.Replace(crashes)
 }
 
-// Three servers crash under one request, each observed by another host. Once the crashes
-// are written, every host must refuse the request, also one that has just started, and
-// serve other requests.
+// One request crashes three servers, and each crash is observed by another host. Once the
+// crashes are written, every host must refuse the request, also one that has just started,
+// and serve other requests.
 func TestCrashesSeenByDifferentHostsAddUp(t *testing.T) {
 	f := newTestFleet(t, 4)
 	for i := range Limit {
@@ -130,9 +130,9 @@
 	}
 }
 
-// A page that many callers read runs on the same servers as a request that crashes them,
-// again and again. Another host sees it succeed in between: no host may refuse it, in
-// whatever order the hosts' records arrive.
+// A popular, harmless request is in progress on the servers again and again when another
+// request crashes them. Another host sees it succeed in between: no host may refuse it, in
+// whatever order the records arrive.
 func TestFingerprintThatSucceedsIsNotRefused(t *testing.T) {
 	f := newTestFleet(t, 2)
 	for i := range 3 * Limit {
@@ -146,7 +146,7 @@
 		}
 		for h, tracker := range f.hosts {
 			if tracker.RefusedFor(testFingerprint(1), testTime) > 0 {
-				t.Fatalf("host %d refuses a page that succeeds", h)
+				t.Fatalf("host %d refuses a request that succeeds", h)
 			}
 		}
 	}
@@ -228,17 +228,17 @@
 // are rejected, and so are changes whose key is too long.
 func TestRecordsRoundTripOrAreRejected(t *testing.T) {
 	p := gopter.NewProperties(nil)
-	p.Property("read back", prop.ForAll(func(server string, ms int64, forget bool) bool {
-		in := Change{Crash{testFingerprint(1), "s/" + server, time.UnixMilli(ms)}, forget}
+	p.Property("read back", prop.ForAll(func(server string, ms int64, deleted bool) bool {
+		in := Change{Crash{testFingerprint(1), "s/" + server, time.UnixMilli(ms)}, deleted}
 		key, data, err := in.Encode(testTime)
 		if tooLong := 2*fingerprintBytes+len("/s/")+len(server) > metastore.MaxKey; tooLong || err != nil {
 			return tooLong && err != nil
 		}
 		out, err := Decode(key, data, testTime)
-		if forget {
+		if deleted {
 			in.At = time.Time{}
 		}
-		return err == nil && out.Fingerprint == in.Fingerprint && out.Server == in.Server && out.Deleted == forget && out.At.Equal(in.At)
+		return err == nil && out.Fingerprint == in.Fingerprint && out.Server == in.Server && out.Deleted == deleted && out.At.Equal(in.At)
 	}, gen.AnyString(), gen.Int64Range(1, testTime.UnixMilli()), gen.Bool()))
 	p.TestingRun(t)
 	long := Change{Crash: Crash{testFingerprint(1), strings.Repeat("s", metastore.MaxKey), testTime}}
--- a/internal/crashes/trial.go
+++ b/internal/crashes/trial.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// firstTrialDelay is the time from the last crash under a refused fingerprint to its
-	// first trial: servers lost to a common cause are back by then. The second trial
-	// follows 3*firstTrialDelay later; the interval doubles with each further one, up
-	// to maxTrialInterval.
+	// firstTrialDelay is the time from the last crash of a refused fingerprint to its
+	// first trial request: servers that crashed for a common reason are back by then. The
+	// second trial follows 3*firstTrialDelay later; the interval doubles with each
+	// further one, up to maxTrialInterval.
 	firstTrialDelay  = 10 * time.Second
 	maxTrialInterval = 2 * time.Hour
 )
 
-// trialSchedule is the schedule of a refused fingerprint's trials: the time of the next one and
-// the interval after it.
+// trialSchedule is the time of a refused fingerprint's next trial, and the interval from
+// that one to the one after it.
 type trialSchedule struct {
 	next     time.Time
 	interval time.Duration
 }
 
-// AllowTrial reports whether one request with a refused fingerprint may be sent now; its
-// success lifts the refusal on all hosts. Without trials a mistaken refusal lasts a day.
-// Of the hosts that share crashes only one sends trials: a fingerprint that does crash
-// its servers then crashes about a dozen more a day.
+// AllowTrial reports whether one request with a refused fingerprint may be sent now and, if
+// so, schedules the next trial. The request's success lifts the refusal on all hosts; without
+// trials a mistaken refusal lasts a day. Of the hosts that share crashes only one sends
+// trials: a fatal request then crashes some twenty more servers on the first day and a dozen
+// on each later one.
 func (t *Tracker) AllowTrial(fp Fingerprint, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
