--- a/internal/worktime/worktime.go
+++ b/internal/worktime/worktime.go
@@ -1,5 +1,6 @@
-// Package worktime estimates how long upstreams work on a request, without
-// queueing, from the latencies of their responses.
+// Package worktime estimates the work time of upstreams from the latencies of their
+// responses: how long an upstream processes one request, without queueing (the
+// service time of queueing theory).
 package worktime
 
 import (
@@ -13,13 +14,15 @@
 const (
 	// timeConstant is the time constant of the decaying sums of responses.
 	timeConstant = 8 * time.Second
-	// priorWeight is the weight of the typical work time in an estimate, in responses.
+	// priorWeight is the weight of the service's median work time in an estimate, in
+	// responses. Upstreams with fewer responses do not count for the median.
 	priorWeight = 4.0
-	// minSpeed and maxSpeed bound an upstream's estimated speed, relative to the typical
-	// one.
+	// minSpeed and maxSpeed bound an upstream's estimated speed, relative to that of an
+	// upstream with the service's median work time.
 	minSpeed, maxSpeed = 0.15, 2.0
 	// defaultWorkTimeS is the work time, in seconds, assumed for a service without
-	// measurements. Only the proportions between its upstreams matter then.
+	// measurements. All its upstreams then count as equally fast, and the value cancels
+	// out of their load shares (see package keyload).
 	defaultWorkTimeS = 0.2
 )
 
@@ -51,12 +54,12 @@
 }
 
 // Estimate returns the estimated work time of an upstream, in seconds: the mean of its own
-// observed time and the typical time of its service, weighted by the number of responses,
-// and bounded by minSpeed and maxSpeed.
-func (e *Estimator) Estimate(u *catalogue.Upstream, typical float64, now time.Time) float64 {
+// observed work time and its service's median (see Median), weighted by the number of
+// responses. The result is between median/maxSpeed and median/minSpeed.
+func (e *Estimator) Estimate(u *catalogue.Upstream, median float64, now time.Time) float64 {
 	observed, n := e.observed(u, now)
-	t := (observed*n + typical*priorWeight) / (n + priorWeight)
-	return min(max(t, typical/maxSpeed), typical/minSpeed)
+	t := (observed*n + median*priorWeight) / (n + priorWeight)
+	return min(max(t, median/maxSpeed), median/minSpeed)
 }
 
 // observed returns an upstream's work time by its own responses, in seconds, and their
@@ -93,7 +96,7 @@
 	return all[len(all)/2]
 }
 
-// Prune drops upstreams that keep rejects.
+// Prune drops upstreams for which keep returns false.
 func (e *Estimator) Prune(keep func(id string) bool) {
 	for id := range e.byID {
 		if !keep(id) {
