--- a/internal/crashes/tracker.go
+++ b/internal/crashes/tracker.go
@@ -66,8 +66,8 @@
 	trials        map[Fingerprint]trialSchedule
 }
 
-// NewTracker returns a tracker without crashes. It calls onRefused, unless nil, for each
-// fingerprint that becomes refused, by a crash that this host observed or read.
+// NewTracker returns a tracker without crashes. RecordCrash and Apply call onRefused, unless
+// nil, for each fingerprint that becomes refused by a crash; Replace does not.
 func NewTracker(onRefused func(Fingerprint)) *Tracker {
 	if onRefused == nil {
 		onRefused = func(Fingerprint) {}
