--- a/internal/events/catalogue_test.go
+++ b/internal/events/events_test.go
@@ -52,14 +52,14 @@
 
 // Operators look up logged event numbers in docs/EVENTS.md. It must list every
 // event that is logged and no other.
-func TestEveryEventIsCatalogued(t *testing.T) {
+func TestEveryEventIsDocumented(t *testing.T) {
 	doc, err := os.ReadFile("../../docs/EVENTS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	catalogued := map[string]bool{}
+	documented := map[string]bool{}
 	for _, m := range regexp.MustCompile(`(?m)^\| (\d+) \|`).FindAllStringSubmatch(string(doc), -1) {
-		catalogued[m[1]] = true
+		documented[m[1]] = true
 	}
 	logged := loggedEvents(t)
 	defined := map[string]bool{}
@@ -68,11 +68,11 @@
 		if !logged[name] {
 			t.Errorf("%s (%s) is not logged by any code", name, number)
 		}
-		if !catalogued[number] {
+		if !documented[number] {
 			t.Errorf("%s (%s) is not in docs/EVENTS.md", name, number)
 		}
 	}
-	for number := range catalogued {
+	for number := range documented {
 		if !defined[number] {
 			t.Errorf("docs/EVENTS.md lists %s, which is not an event number", number)
 		}
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -21,12 +21,12 @@
 	Tables map[string]*ownership.Table
 	// UpdatedAt is when the view was published.
 	UpdatedAt time.Time
-	// next is closed when this view is replaced.
-	next chan struct{}
+	// changed is closed when this view is replaced.
+	changed chan struct{}
 }
 
 // Changed returns a channel that is closed when a newer view is published.
-func (v *View) Changed() <-chan struct{} { return v.next }
+func (v *View) Changed() <-chan struct{} { return v.changed }
 
 // Owner returns the upstream that owns the key of a service, and the fencing
 // token of its grant. The upstream is nil if the key has no owner, or the owner
@@ -49,7 +49,7 @@
 // NewPublisher returns a publisher that holds an empty view.
 func NewPublisher() *Publisher {
 	p := &Publisher{}
-	p.current.Store(&View{Upstreams: catalogue.NewSnapshot(nil), Tables: map[string]*ownership.Table{}, next: make(chan struct{})})
+	p.current.Store(&View{Upstreams: catalogue.NewSnapshot(nil), Tables: map[string]*ownership.Table{}, changed: make(chan struct{})})
 	return p
 }
 
@@ -61,9 +61,9 @@
 func (p *Publisher) Publish(change func(*View)) {
 	old := p.current.Load()
 	v := *old
-	v.next = make(chan struct{})
+	v.changed = make(chan struct{})
 	v.UpdatedAt = time.Now()
 	change(&v)
 	p.current.Store(&v)
-	close(old.next)
+	close(old.changed)
 }
