--- a/internal/bootclock/wallclock_test.go
+++ b/internal/bootclock/wallclock_test.go
@@ -18,14 +18,14 @@
 // wallClockAllowed lists the paths whose code may read the wall clock, with the
 // reason.
 var wallClockAllowed = map[string]string{
-	"internal/crashes/record.go": "crash records count for a day, also on hosts that start later; clock jumps of seconds do not matter",
+	"internal/crashes/record.go": "crash records are valid for a day, including on hosts started later; clock jumps of seconds do not matter",
 	"internal/target/client.go":  "deadlines are sent to targets as wall-clock times",
 	"internal/standin":           "test stand-ins, not part of the product",
 	"internal/soak":              "test harness, not part of the product",
 }
 
 // The wall clock may jump by seconds in either direction. A retry budget timed by
-// it was spent twice after a jump, so no code that makes decisions may read it.
+// it can be spent twice after a jump, so no code that makes decisions may read it.
 func TestNoWallClockReads(t *testing.T) {
 	for _, dir := range []string{"internal", "platform", "cmd"} {
 		err := filepath.WalkDir(filepath.Join("../..", dir), func(path string, d fs.DirEntry, err error) error {
--- a/internal/desired/desired.go
+++ b/internal/desired/desired.go
@@ -49,8 +49,9 @@
 	SlowStart SlowStart
 }
 
-// SlowStart describes the time after its start, or after a period without
-// requests, in which an upstream is cold: slower than usual and easily overloaded.
+// SlowStart describes the period after an upstream's start, or after a period
+// without requests, in which the upstream is cold: slower than usual and easily
+// overloaded. Unlike Service.WarmUp, it concerns the upstream, not single keys.
 type SlowStart struct {
 	// Duration is how long the upstream is cold.
 	Duration time.Duration
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,7 +1,8 @@
 package events
 
-// Event numbers. Numbers are never reused; retired ones stay listed in
-// docs/EVENTS.md.
+// Events of the daemon with a manifest (papayatided -config FILE). Its manifest
+// lists the services and upstreams, which it also calls targets; its placement
+// divides the keys among them, as ownership does on the platform.
 const (
 	// 1xx: process lifecycle.
 	Started = 100
@@ -10,12 +11,14 @@
 	// 2xx: manifests.
 	ManifestAdopted  = 200
 	ManifestRejected = 201
-	RecordsGap       = 202
+	// RecordsGap: records of a stream expired before this host read them.
+	RecordsGap = 202
 
 	// 3xx: placement and grants.
 	PlacementAdopted  = 300
 	PlacementProposed = 301
 	PlacementConflict = 302
+	// PlacementUnknown: the outcome of appending a proposed placement is unknown.
 	PlacementUnknown  = 303
 	GrantFailed       = 304
 	UpstreamDown      = 305
@@ -25,7 +28,8 @@
 	HostListFailed    = 309
 
 	// 4xx: traffic.
-	ForwardFailed             = 400
+	ForwardFailed = 400
+	// MismatchedResponse: a response does not carry its request's ID.
 	MismatchedResponse        = 401
 	FingerprintCrashesTargets = 402
 	TargetReported            = 403
@@ -35,23 +39,27 @@
 	LogRecovered   = 501
 )
 
-// Events of an entry host on the platform.
+// Events of an entry host on the platform (papayatided entry).
 const (
 	// 6xx: the host's state and its view of the fleet.
-	EntryHostStarted        = 600
-	EntryHostStopping       = 601
-	EntryHostStopped        = 602
-	SettingsReloaded        = 603
-	SettingsRejected        = 604
-	StreamLost              = 610
-	StreamRecovered         = 611
-	PlannerFollowed         = 612
-	PlannerUnfollowed       = 613
-	HostStalled             = 614
-	DesiredAdopted          = 620
-	DesiredRejected         = 621
-	EvacuationBegun         = 622
-	EvacuationEnded         = 623
+	EntryHostStarted  = 600
+	EntryHostStopping = 601
+	EntryHostStopped  = 602
+	SettingsReloaded  = 603
+	SettingsRejected  = 604
+	StreamLost        = 610
+	StreamRecovered   = 611
+	// PlannerFollowed and PlannerUnfollowed: the host starts or stops reading
+	// the planner's replica of the log instead of the log service.
+	PlannerFollowed   = 612
+	PlannerUnfollowed = 613
+	HostStalled       = 614
+	DesiredAdopted    = 620
+	DesiredRejected   = 621
+	EvacuationBegun   = 622
+	EvacuationEnded   = 623
+	// UpstreamListed and UpstreamUnlisted: the upstream's record has appeared in
+	// the upstreams' stream or is gone from it.
 	UpstreamListed          = 630
 	UpstreamLeaving         = 631
 	UpstreamUnlisted        = 632
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -50,8 +50,8 @@
 	return out
 }
 
-// Operators look up logged event numbers in docs/EVENTS.md. It must list every
-// event that is logged and no other.
+// Operators look up logged event numbers in the tables of docs/EVENTS.md. Their
+// rows must list every event that is logged and no other.
 func TestEveryEventIsDocumented(t *testing.T) {
 	doc, err := os.ReadFile("../../docs/EVENTS.md")
 	if err != nil {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
 // Package explain reconstructs the timeline of a request from the hosts' logs:
-// the request's own lines, and its context, which are the changes of state near
-// it on its hosts and on the planner.
+// the request's own lines, and its context, which consists of other events of
+// the same hosts and planner events (7xx) of any host at about the same time.
 package explain
 
 import (
@@ -43,7 +43,8 @@
 	// maxLineBytes is the longest log line that is read.
 	maxLineBytes = 1 << 20
 	// A request's context starts contextBeforeSeconds before and ends
-	// contextAfterSeconds after its log line, which is written at its end.
+	// contextAfterSeconds after each of its log lines. The time before is the
+	// longer one, because the line of the outcome is written when the request ends.
 	contextBeforeSeconds = 3.0
 	contextAfterSeconds  = 1.0
 	// Range of the event numbers of requests; see package events.
@@ -114,8 +115,9 @@
 // Timeline holds the log lines that explain one request.
 type Timeline struct {
 	// RequestLines are the request's own lines on all hosts. ContextLines are
-	// the lines about its service or upstream near them in time, on the same
-	// hosts and on the planner.
+	// lines near them in time that are not about another service or upstream:
+	// all events of the same hosts except those of requests, and the planner
+	// events (7xx) of any host.
 	RequestLines, ContextLines []*Line
 }
 
@@ -138,8 +140,9 @@
 
 func isRequestEvent(l *Line) bool { return l.Event >= firstRequestEvent && l.Event <= lastRequestEvent }
 
-// isContext reports whether l is near one of the request's lines in time, from
-// the same host or from the planner, and not about another service or upstream.
+// isContext reports whether l is near one of the request's lines in time, is
+// from the same host or a planner event (7xx), and is not about another service
+// or upstream.
 func (t *Timeline) isContext(l *Line) bool {
 	for _, request := range t.RequestLines {
 		if l.At < request.At-contextBeforeSeconds || l.At > request.At+contextAfterSeconds {
@@ -178,8 +181,8 @@
 	return nil
 }
 
-// details returns the fields that Write does not print by themselves, sorted by
-// name.
+// details returns the line's fields, sorted by name, without those that have a
+// column in Write's output and without level and errorVerbose.
 func (l *Line) details() string {
 	var names []string
 	for name := range l.fields {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -15,9 +15,10 @@
   9.9 host-a {"level":"info","ts":140.0,"msg":"ownership adopted","event":640,"service":"s","fence":9}
 `
 
-// The timeline of a request must hold, in order of time, its own line, changes
-// of its service on its host, and the planner's changes. It must leave out lines
-// of other requests, services and times.
+// The timeline of a request must hold, in order of time, its own line, an event
+// of its service on its host, and a planner event (7xx) of another host. It must
+// leave out lines of other requests, services and times, and other lines of
+// other hosts.
 func TestTimelineHoldsRequestAndContext(t *testing.T) {
 	lines, err := Read(strings.NewReader(testLogs))
 	if err != nil {
--- a/internal/metastore/metastore.go
+++ b/internal/metastore/metastore.go
@@ -10,7 +10,8 @@
 type Stream string
 
 const (
-	// StreamDesired is written by operators.
+	// StreamDesired is the operators' stream. It holds the desired state and the
+	// evacuations of data centres.
 	StreamDesired Stream = "desired"
 	// StreamUpstreams is written by upstreams.
 	StreamUpstreams Stream = "upstreams"
@@ -28,9 +29,9 @@
 	// ErrRejected means that the service responded and did nothing: it is
 	// overloaded, over its rate limit or failing for this host.
 	ErrRejected = errors.New("log service rejected the call")
-	// ErrNoAnswer means that a call got no valid response. A write may still
-	// take effect, even seconds later.
-	ErrNoAnswer = errors.New("no response from the log service")
+	// ErrNoAnswer means that a call got no complete, valid response. A write may
+	// still take effect, even seconds later.
+	ErrNoAnswer = errors.New("no valid response from the log service")
 	// ErrTrimmed means that the requested records are no longer retained. Read
 	// the newest record of each key instead.
 	ErrTrimmed = errors.New("requested records are no longer retained")
@@ -58,9 +59,11 @@
 	End int64
 }
 
-// Lease is the result of JoinElection.
+// Lease is the result of JoinElection, also for a member that does not hold the
+// planner lease.
 type Lease struct {
-	// Generation is passed to the next call of JoinElection.
+	// Generation is the consumer group's generation. Pass it to the member's
+	// next call of JoinElection, and 0 to the first.
 	Generation int64
 	// Held reports whether this member holds the planner lease.
 	Held bool
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -28,7 +28,7 @@
 
 	// [log]
 	LogAddr     string        // addr: host:port of the log service
-	MinLeaseTTL time.Duration // seat_min: shortest TTL that the service accepts for a group member
+	MinLeaseTTL time.Duration // seat_min: shortest TTL of the planner lease that the log service accepts
 
 	// [bounds], all set by the platform
 	MaxGrantTTL       time.Duration // hold_max: longest grant TTL that an upstream accepts
@@ -39,13 +39,13 @@
 	// slow_start_factor and slow_start_slack: in any one-second window, a cold
 	// upstream may be sent its rate limit times the factor, plus the slack.
 	SlowStartFactor, SlowStartSlack float64
-	EvacuationTimeout               time.Duration // evacuate: time from a data centre's evacuation order to the last request sent there
+	EvacuationTimeout               time.Duration // evacuate: longest time from a data centre's evacuation order to the last request sent there
 
-	DrainTimeout time.Duration // drain: time from an upstream's report that it is leaving to the last request sent to it
+	DrainTimeout time.Duration // drain: longest time from an upstream's report that it is leaving to the last request sent to it
 
 	// [ownership]
 	GrantTTL   time.Duration // hold: TTL of a grant
-	MaxViewAge time.Duration // view_age: how long grants are renewed without contact to the log service
+	MaxViewAge time.Duration // view_age: how long the planner renews grants after the last renewal of its lease
 }
 
 // entryHostSchema lists every allowed section and key with its default ("" means
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,8 +10,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// Daemon holds the settings of the entry-host daemon. Each field's comment
-// starts with its key in the file.
+// Daemon holds the settings of an entry host that reads a manifest; EntryHost
+// holds those of an entry host on the platform. Each field's comment starts with
+// its key in the file.
 type Daemon struct {
 	// [host]
 	Host        string // name: name of this entry host
@@ -25,11 +26,14 @@
 	PollInterval time.Duration // poll_interval: interval of reads from the log service
 
 	// [routing]
-	RequestTimeout time.Duration // request_timeout: longest deadline of a request
-	AttemptTimeout time.Duration // attempt_timeout: time allowed for an idempotent request's first attempt before a retry on a new connection
+	RequestTimeout time.Duration // request_timeout: default and longest timeout of a request
+	// attempt_timeout: time allowed for an idempotent request's first attempt
+	// before a retry on a new connection; 0 disables the retry. The key is
+	// accepted in the file but not read, so that the loaded value is 0.
+	AttemptTimeout time.Duration
 	MaxViewAge     time.Duration // view_lease: maximum age of the routing view for non-idempotent requests
 	RetryAfter     time.Duration // retry_after: sent to callers whose request is refused for a temporary cause
-	GrantTTL       time.Duration // grant_lease: TTL of a grant at a target
+	GrantTTL       time.Duration // grant_lease: TTL of a grant
 	ProbeInterval  time.Duration // probe_interval: interval of health probes
 	ProbeFailures  int           // probe_failures: consecutive failed probes after which an upstream is marked down
 	SnapshotEvery  int           // snapshot_every: placement records between snapshots
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -21,7 +21,7 @@
 	Tables map[string]*ownership.Table
 	// UpdatedAt is when the view was published.
 	UpdatedAt time.Time
-	// changed is closed when this view is replaced.
+	// changed is closed when this view is replaced by a newer one.
 	changed chan struct{}
 }
 
