--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -29,10 +29,10 @@
 	// time adds its part of it. Hosts of a larger fleet, whose minimum is
 	// lower, add proportionally less.
 	limitIncrease = 0.5
-	// lateDecrease and fullDecrease are the factors by which a Late and a
+	// lateFactor and fullDecrease are the factors by which a Late and a
 	// Full signal decrease the limit.
-	lateDecrease = 0.85
-	fullDecrease = 0.7
+	lateFactor = 0.85
+	fullFactor = 0.7
 	// minDecreaseInterval is the minimum time between two decreases: requests
 	// already in flight at a decrease don't reflect the new limit.
 	minDecreaseInterval = 150 * time.Millisecond
@@ -64,9 +64,9 @@
 // Limiter limits this host's concurrent requests to one upstream. It is safe
 // for concurrent use.
 type Limiter struct {
-	mu    sync.Mutex
-	limit float64
-	share Share
+	mu         sync.Mutex
+	limit      float64
+	limitRange Share
 	// firstStart is when the first request started; recentStarts counts the
 	// starts since then, decaying with startRateTau.
 	firstStart   time.Time
@@ -86,7 +86,7 @@
 
 // NewLimiter returns a limiter for an upstream of which nothing is known.
 func NewLimiter() *Limiter {
-	return &Limiter{limit: initialLimit, share: Share{MaxLimit: maxLimit, MinLimit: minLimit}, latency: initialLatency}
+	return &Limiter{limit: initialLimit, limitRange: Share{MaxLimit: maxLimit, MinLimit: minLimit}, latency: initialLatency}
 }
 
 // Share is the range of a host's limit for an upstream that all hosts of a
@@ -106,7 +106,7 @@
 // when all hosts are at their minimum limit. Lower values shed load sooner but
 // recover too slowly: a host of a large fleet gets a response of an upstream
 // only once in several seconds.
-const minLimitRequestsPerSlot = 8
+const maxMinLimitSumPerSlot = 8
 
 // ShareOf returns a host's share of an upstream with the given number of
 // slots, which accepts connections from all hosts together; 0 connections
@@ -122,7 +122,7 @@
 // The sum of all hosts' minimum limits is at most minLimitRequestsPerSlot times
 // the slots, whatever the size of the fleet.
 func ShareOf(slots, connections, hosts int) Share {
-	s := Share{MaxLimit: maxLimit, MinLimit: min(minLimit, minLimitRequestsPerSlot*float64(slots)/float64(hosts))}
+	s := Share{MaxLimit: maxLimit, MinLimit: min(minLimit, maxMinLimitSumPerSlot*float64(slots)/float64(hosts))}
 	if connections > 0 {
 		s.MaxLimit = min(s.MaxLimit, max(float64(connectionSkew*connections/hosts), 1))
 	}
@@ -142,7 +142,7 @@
 func (l *Limiter) Acquire(ctx context.Context, maxWait time.Duration, share Share) *Ticket {
 	now := time.Now()
 	l.mu.Lock()
-	l.setShare(share)
+	l.setLimitRange(share)
 	if len(l.waiters) == 0 && l.hasRoom(now) {
 		defer l.mu.Unlock()
 		return l.start(now)
@@ -184,13 +184,13 @@
 	return nil
 }
 
-// setShare adopts the share. Before the first request it also scales the initial
+// setLimitRange adopts the share. Before the first request it also scales the initial
 // limit, so that each host of a large fleet starts with less.
-func (l *Limiter) setShare(s Share) {
+func (l *Limiter) setLimitRange(s Share) {
 	if l.firstStart.IsZero() {
 		l.limit = max(initialLimit*s.scale(), 1)
 	}
-	l.share = s
+	l.limitRange = s
 }
 
 // scale is the ratio of the share's minimum limit to that of a dozen hosts.
@@ -232,7 +232,7 @@
 }
 
 // effectiveLimit is the limit, bounded by the host's share.
-func (l *Limiter) effectiveLimit() float64 { return min(l.limit, l.share.MaxLimit) }
+func (l *Limiter) effectiveLimit() float64 { return min(l.limit, l.limitRange.MaxLimit) }
 
 // start admits a request at now.
 func (l *Limiter) start(now time.Time) *Ticket {
@@ -300,12 +300,12 @@
 	switch signal {
 	case InTime:
 		l.observeLatency(elapsed)
-		l.limit = min(l.limit+limitIncrease*l.share.scale()/max(l.limit, 1), maxLimit)
+		l.limit = min(l.limit+limitIncrease*l.limitRange.scale()/max(l.limit, 1), maxLimit)
 	case Late:
 		l.observeLatency(elapsed)
-		l.decrease(lateDecrease, t.limitInUse, now)
+		l.decrease(lateFactor, t.limitInUse, now)
 	case Full:
-		l.decrease(fullDecrease, t.limitInUse, now)
+		l.decrease(fullFactor, t.limitInUse, now)
 	case NoSignal:
 	}
 	if l.limit < 1 {
@@ -327,5 +327,5 @@
 		return
 	}
 	l.decreasedAt = now
-	l.limit = max(min(l.limit, inUse)*factor, l.share.MinLimit)
+	l.limit = max(min(l.limit, inUse)*factor, l.limitRange.MinLimit)
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -114,7 +114,7 @@
 		l.fallbackUntil = now.Add(permitRetryInterval)
 		return l.takeFallback(l.state(id), perSecond, now)
 	}
-	return l.state(id).applyPermit(p, now)
+	return l.state(id).applyReply(p, now)
 }
 
 // takeLocal decides without a call where it can: by permits that the host holds, by
@@ -137,9 +137,9 @@
 	return false, 0, max(int(math.Ceil(perSecond*permitBatchSpan.Seconds()/float64(max(l.hosts, 1)))), 1)
 }
 
-// applyPermit applies the allocator's answer. The current request uses the first
+// applyReply applies the allocator's answer. The current request uses the first
 // permit.
-func (u *upstreamState) applyPermit(p Permit, now time.Time) (ok bool, wait time.Duration) {
+func (u *upstreamState) applyReply(p Permit, now time.Time) (ok bool, wait time.Duration) {
 	if p.Requests == 0 {
 		return false, u.deny(p.Wait, now)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -47,7 +47,7 @@
 	// recent are the last records, up to nextOffset.
 	recent []metastore.Record
 	// tables are the decoded records of the ownership stream.
-	tables tablesByKey
+	tables versionsByService
 	// needsFullTables is set after a change didn't apply to this host's tables.
 	needsFullTables bool
 	// currentAt is when the log service last confirmed that nextOffset is its end.
@@ -58,15 +58,15 @@
 type Replica struct {
 	mu      sync.Mutex
 	streams map[metastore.Stream]*stream
-	// changed is closed, and replaced, when a stream changes.
-	changed chan struct{}
+	// updated is closed, and replaced, when a stream changes.
+	updated chan struct{}
 	// logFailedAt is when a call of this host to the log service last failed.
 	logFailedAt time.Time
 }
 
 // NewReplica returns an empty replica. LogReachableFor counts from now on.
 func NewReplica() *Replica {
-	r := &Replica{streams: map[metastore.Stream]*stream{}, changed: make(chan struct{}), logFailedAt: time.Now()}
+	r := &Replica{streams: map[metastore.Stream]*stream{}, updated: make(chan struct{}), logFailedAt: time.Now()}
 	for _, s := range Streams {
 		r.streams[s] = &stream{nextOffset: -1, newest: map[string]metastore.Record{}}
 	}
@@ -151,8 +151,8 @@
 
 // notify wakes the calls of Fetch that wait for a change.
 func (r *Replica) notify() {
-	close(r.changed)
-	r.changed = make(chan struct{})
+	close(r.updated)
+	r.updated = make(chan struct{})
 }
 
 // MarkCurrent records that the replica of s was up to date with the log at the given
@@ -234,7 +234,7 @@
 			out = append(out, st.since(s, offset))
 		}
 	}
-	return out, r.changed
+	return out, r.updated
 }
 
 // since returns the records from offset on, or the newest of each key if not all of them
@@ -244,7 +244,7 @@
 func (st *stream) since(s metastore.Stream, offset int64) Batch {
 	b := Batch{Stream: s, NextOffset: st.nextOffset}
 	if s == metastore.StreamOwnership {
-		if b.Changes = st.changesSince(offset); b.Changes != nil {
+		if b.Changes = st.deltasSince(offset); b.Changes != nil {
 			return b
 		}
 		st.encodeNewest()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -110,7 +110,7 @@
 
 // A host that is further behind than the records kept gets the newest record of each
 // key.
-func TestFetchBeyondRecentRecordsResets(t *testing.T) {
+func TestFetchBeforeRecentRecordsResets(t *testing.T) {
 	replica := NewReplica()
 	replica.Apply(Batch{Stream: upstreams, Reset: true, NextOffset: 0})
 	for i := range int64(maxRecentRecords + 10) {
--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -20,16 +20,16 @@
 // tables a second.
 const maxTableVersions = 16
 
-// tablesByKey are the decoded records of the ownership stream, by service.
-type tablesByKey map[string]*tableVersions
+// versionsByService are the decoded records of the ownership stream, by service.
+type versionsByService map[string]*tableVersions
 
 // tableVersions are the last tables of one service.
 type tableVersions struct {
-	// byOffset is ordered by offset, the newest table last.
-	byOffset []tableVersion
-	// encodedChanges caches the changes to the newest table by the offset of the table
+	// versions is ordered by offset, the newest table last.
+	versions []tableVersion
+	// encodedDeltas caches the changes to the newest table by the offset of the table
 	// that they apply to: most followers need the same few.
-	encodedChanges map[int64][]byte
+	encodedDeltas map[int64][]byte
 }
 
 // tableVersion is the table of the ownership record at offset.
@@ -48,19 +48,19 @@
 
 func (st *stream) keepTable(offset int64, t *ownership.Table) {
 	if st.tables == nil {
-		st.tables = tablesByKey{}
+		st.tables = versionsByService{}
 	}
 	v := st.tables[t.Service]
 	if v == nil {
 		v = &tableVersions{}
 		st.tables[t.Service] = v
 	}
-	if n := len(v.byOffset); n > 0 && v.byOffset[n-1].offset >= offset {
+	if n := len(v.versions); n > 0 && v.versions[n-1].offset >= offset {
 		return
 	}
-	v.byOffset = append(v.byOffset, tableVersion{offset, t})
-	v.byOffset = v.byOffset[max(len(v.byOffset)-maxTableVersions, 0):]
-	v.encodedChanges = map[int64][]byte{}
+	v.versions = append(v.versions, tableVersion{offset, t})
+	v.versions = v.versions[max(len(v.versions)-maxTableVersions, 0):]
+	v.encodedDeltas = map[int64][]byte{}
 }
 
 // ApplyTables stores tables that result from changes, by the offsets of their records,
@@ -92,15 +92,15 @@
 	r.streams[metastore.StreamOwnership].needsFullTables = true
 }
 
-// changesSince returns the changes from the tables of a host whose next record is at
+// deltasSince returns the changes from the tables of a host whose next record is at
 // offset to the newest tables, or nil if that host's tables are not known.
-func (st *stream) changesSince(offset int64) []Change {
+func (st *stream) deltasSince(offset int64) []Change {
 	var out []Change
 	for key, r := range st.newest {
 		if r.Offset < offset {
 			continue
 		}
-		data := st.tables[key].changeSince(offset, r.Offset)
+		data := st.tables[key].deltaSince(offset, r.Offset)
 		if data == nil {
 			return nil
 		}
@@ -109,30 +109,30 @@
 	return out
 }
 
-// changeSince returns the encoded change from the last table before nextOffset to the
+// deltaSince returns the encoded change from the last table before nextOffset to the
 // newest table, or nil if the former is not kept or the latter is not at newestOffset.
-func (v *tableVersions) changeSince(nextOffset, newestOffset int64) []byte {
-	if v == nil || len(v.byOffset) == 0 {
+func (v *tableVersions) deltaSince(nextOffset, newestOffset int64) []byte {
+	if v == nil || len(v.versions) == 0 {
 		return nil
 	}
-	newest := v.byOffset[len(v.byOffset)-1]
+	newest := v.versions[len(v.versions)-1]
 	var base *tableVersion
-	for i := range v.byOffset {
-		if v.byOffset[i].offset < nextOffset {
-			base = &v.byOffset[i]
+	for i := range v.versions {
+		if v.versions[i].offset < nextOffset {
+			base = &v.versions[i]
 		}
 	}
 	if base == nil || newest.offset != newestOffset {
 		return nil
 	}
-	if data, ok := v.encodedChanges[base.offset]; ok {
+	if data, ok := v.encodedDeltas[base.offset]; ok {
 		return data
 	}
 	data, err := ownership.Diff(base.table, newest.table).Encode()
 	if err != nil {
 		return nil // the whole table is sent instead
 	}
-	v.encodedChanges[base.offset] = data
+	v.encodedDeltas[base.offset] = data
 	return data
 }
 
@@ -140,10 +140,10 @@
 func (st *stream) encodeNewest() {
 	for key, r := range st.newest {
 		v := st.tables[key]
-		if r.Value != nil || v == nil || len(v.byOffset) == 0 || v.byOffset[len(v.byOffset)-1].offset != r.Offset {
+		if r.Value != nil || v == nil || len(v.versions) == 0 || v.versions[len(v.versions)-1].offset != r.Offset {
 			continue
 		}
-		data, err := v.byOffset[len(v.byOffset)-1].table.Encode()
+		data, err := v.versions[len(v.versions)-1].table.Encode()
 		if err != nil {
 			continue // followers have to get the table from the log service
 		}
--- a/internal/relay/tables_test.go
+++ b/internal/relay/tables_test.go
@@ -18,14 +18,14 @@
 	table   *ownership.Table
 	// fullBytes counts the bytes received as whole tables, changeBytes those received as
 	// changes.
-	fullBytes, changeBytes int
+	fullBytes, deltaBytes int
 }
 
 // apply applies a batch as a host does.
 func (h *tableHost) apply(t *testing.T, b Batch) {
 	t.Helper()
 	if len(b.Changes) > 0 {
-		h.applyChanges(t, b)
+		h.applyDeltas(t, b)
 		return
 	}
 	added := h.replica.Apply(b)
@@ -45,10 +45,10 @@
 	}
 }
 
-func (h *tableHost) applyChanges(t *testing.T, b Batch) {
+func (h *tableHost) applyDeltas(t *testing.T, b Batch) {
 	t.Helper()
 	for _, c := range b.Changes {
-		h.changeBytes += len(c.Data)
+		h.deltaBytes += len(c.Data)
 		parsed, err := ownership.DecodeDelta(c.Data)
 		if err != nil {
 			t.Fatal(err)
@@ -75,7 +75,7 @@
 // from the log service in between. Once all have fetched without loss they must have the
 // planner's table: a wrong one would send requests to upstreams that don't own their
 // keys, permanently.
-func TestTablesConvergeThroughChanges(t *testing.T) {
+func TestTablesConvergeThroughDeltas(t *testing.T) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		planner, relay, host := &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}
@@ -137,7 +137,7 @@
 // A fleet of 300 hosts has a table of 900 ranges that changes seven times a second. Sent
 // as whole tables of 10 KB, that would exceed the 26 KB a second that a host may use for
 // control traffic; a change takes a few hundred bytes.
-func TestFollowersAreSentOnlyChanges(t *testing.T) {
+func TestFollowersAreSentOnlyDeltas(t *testing.T) {
 	planner, host := &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}
 	table := ownership.NewTable("s")
 	var moves []ownership.Move
@@ -166,7 +166,7 @@
 	if host.fullBytes != first {
 		t.Errorf("%d bytes received as whole tables after the first, want 0", host.fullBytes-first)
 	}
-	if per := host.changeBytes / (records - 1); per > 700 {
+	if per := host.deltaBytes / (records - 1); per > 700 {
 		t.Errorf("a change of one range takes %d bytes, want at most 700", per)
 	}
 	if host.table.Digest() != table.Digest() {
