--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -20,17 +20,17 @@
 	// initialLimit lets a dozen hosts send a burst at once; an upstream has
 	// 3 to 6 slots.
 	initialLimit = 4.0
-	// minLimit is the minimum in a fleet of a dozen hosts; see ShareOf for
-	// larger ones. Below 1, requests are spaced out in time; a dozen hosts
-	// with a limit of 1 each would keep 12 requests at an upstream of 3 slots.
+	// minLimit is the highest value of MinLimit, which is lower in large fleets.
+	// Below 1, requests are spaced out in time; a dozen hosts with a limit of 1
+	// each would keep 12 requests at an upstream of 3 slots.
 	minLimit = 0.25
 	maxLimit = 32.0
-	// limitIncrease is the limit's increase per round trip; each response in
-	// time adds its part of it. Hosts of a larger fleet, whose minimum is
-	// lower, add proportionally less.
+	// limitIncrease is the limit's increase per round trip: each InTime signal
+	// adds limitIncrease/limit, or limitIncrease while the limit is below 1.
+	// Hosts of a large fleet, whose MinLimit is lower, add proportionally less.
 	limitIncrease = 0.5
-	// lateFactor and fullDecrease are the factors by which a Late and a
-	// Full signal decrease the limit.
+	// lateFactor and fullFactor multiply the limit on a Late and on a Full
+	// signal.
 	lateFactor = 0.85
 	fullFactor = 0.7
 	// minDecreaseInterval is the minimum time between two decreases: requests
@@ -46,7 +46,7 @@
 	latencySmoothing = 0.2
 )
 
-// Signal is what the outcome of a request shows of the upstream's load.
+// Signal is what the outcome of a request indicates about the upstream's load.
 type Signal int
 
 const (
@@ -55,9 +55,10 @@
 	// Late means that the response arrived too close to its latency objective
 	// or after it.
 	Late
-	// Full means that the upstream had no room for the request.
+	// Full means that the upstream had no room for the request or rejected the
+	// connection.
 	Full
-	// NoSignal means that the outcome shows nothing of the upstream's load.
+	// NoSignal means that the outcome indicates nothing about the upstream's load.
 	NoSignal
 )
 
@@ -92,41 +93,43 @@
 // Share is the range of a host's limit for an upstream that all hosts of a
 // fleet send to.
 type Share struct {
-	// MaxLimit and MinLimit bound the host's requests in flight.
+	// MaxLimit is the host's maximum number of requests in flight; MinLimit is
+	// the value below which the adaptive limit does not decrease.
 	MaxLimit, MinLimit float64
 }
 
 // connectionSkew is the factor by which a host may exceed an equal share of an
-// upstream's connections, since callers and busy keys are spread unevenly over
-// the hosts. With a factor of 1 too many requests are refused; with 4 the hosts
-// exceed the upstream's connections, so that it resets some.
+// upstream's connections. Callers and busy keys are spread unevenly over the
+// hosts: a lower factor refuses requests while connections are free, a higher
+// one lets the hosts exceed the upstream's connections, so that it resets some.
 const connectionSkew = 2
 
-// minLimitRequestsPerSlot is the number of requests in flight per upstream slot
-// when all hosts are at their minimum limit. Lower values shed load sooner but
-// recover too slowly: a host of a large fleet gets a response of an upstream
-// only once in several seconds.
+// maxMinLimitSumPerSlot bounds the sum of all hosts' minimum limits, in requests
+// per upstream slot. A lower bound sheds load sooner, but the limits recover too
+// slowly: a host of a large fleet gets a response from an upstream only once in
+// several seconds.
 const maxMinLimitSumPerSlot = 8
 
-// ShareOf returns a host's share of an upstream with the given number of
-// slots, which accepts connections from all hosts together; 0 connections
-// means no limit.
+// ShareOf returns the range of a host's limit for an upstream with the given
+// number of slots that accepts at most maxConnections connections from all hosts
+// together; 0 means that their number is unlimited.
 //
 // An upstream resets connections above that number, and the requests on them
 // may have been executed: callers would get a 502. A host opens a connection
 // only while all its others are in use, so limiting the requests in flight
-// limits the connections. The hosts' MaxLimits add up to more than the
-// connections, but the adaptive limits keep half of all hosts from reaching
-// theirs at once.
+// limits the connections. The hosts' MaxLimits add up to connectionSkew times
+// maxConnections at most, or to one per host in a fleet larger than that. The
+// adaptive limits make it unlikely that half of the hosts reach theirs at the
+// same time.
 //
-// The sum of all hosts' minimum limits is at most minLimitRequestsPerSlot times
+// The sum of all hosts' minimum limits is at most maxMinLimitSumPerSlot times
 // the slots, whatever the size of the fleet.
-func ShareOf(slots, connections, hosts int) Share {
-	s := Share{MaxLimit: maxLimit, MinLimit: min(minLimit, maxMinLimitSumPerSlot*float64(slots)/float64(hosts))}
-	if connections > 0 {
-		s.MaxLimit = min(s.MaxLimit, max(float64(connectionSkew*connections/hosts), 1))
+func ShareOf(slots, maxConnections, hosts int) Share {
+	r := Share{MaxLimit: maxLimit, MinLimit: min(minLimit, maxMinLimitSumPerSlot*float64(slots)/float64(hosts))}
+	if maxConnections > 0 {
+		r.MaxLimit = min(r.MaxLimit, max(float64(connectionSkew*maxConnections/hosts), 1))
 	}
-	return s
+	return r
 }
 
 // Ticket admits one request. Its Done must be called when the request ends.
@@ -139,10 +142,10 @@
 // Acquire returns a ticket, or nil if the request would wait longer than
 // maxWait or ctx ends. It returns nil without waiting if the expected wait is
 // longer than maxWait.
-func (l *Limiter) Acquire(ctx context.Context, maxWait time.Duration, share Share) *Ticket {
+func (l *Limiter) Acquire(ctx context.Context, maxWait time.Duration, limitRange Share) *Ticket {
 	now := time.Now()
 	l.mu.Lock()
-	l.setLimitRange(share)
+	l.setLimitRange(limitRange)
 	if len(l.waiters) == 0 && l.hasRoom(now) {
 		defer l.mu.Unlock()
 		return l.start(now)
@@ -178,23 +181,23 @@
 			return nil
 		}
 	}
-	// wakeWaiters admitted it at the same moment: the slot is given back unused.
+	// wakeWaiters has admitted the request in the meantime: undo the admission.
 	l.inFlight--
 	l.wakeWaiters(time.Now())
 	return nil
 }
 
-// setLimitRange adopts the share. Before the first request it also scales the initial
-// limit, so that each host of a large fleet starts with less.
-func (l *Limiter) setLimitRange(s Share) {
+// setLimitRange sets the range of the limit. Before the first request it also
+// scales the initial limit, so that each host of a large fleet starts with less.
+func (l *Limiter) setLimitRange(r Share) {
 	if l.firstStart.IsZero() {
-		l.limit = max(initialLimit*s.scale(), 1)
+		l.limit = max(initialLimit*r.scale(), 1)
 	}
-	l.limitRange = s
+	l.limitRange = r
 }
 
-// scale is the ratio of the share's minimum limit to that of a dozen hosts.
-func (s Share) scale() float64 { return s.MinLimit / minLimit }
+// scale is the ratio of MinLimit to its highest value, minLimit.
+func (r Share) scale() float64 { return r.MinLimit / minLimit }
 
 // InFlight returns the number of requests in flight.
 func (l *Limiter) InFlight() int {
@@ -231,7 +234,7 @@
 	return float64(l.inFlight+1) <= l.effectiveLimit()
 }
 
-// effectiveLimit is the limit, bounded by the host's share.
+// effectiveLimit is the limit, at most MaxLimit.
 func (l *Limiter) effectiveLimit() float64 { return min(l.limit, l.limitRange.MaxLimit) }
 
 // start admits a request at now.
@@ -320,8 +323,8 @@
 }
 
 // decrease multiplies the part of the limit that was in use by factor: a limit
-// that wasn't used up shows nothing of the upstream's capacity. It does nothing
-// within minDecreaseInterval of the previous decrease.
+// that wasn't used up indicates nothing about the upstream's capacity. It does
+// nothing within minDecreaseInterval of the previous decrease.
 func (l *Limiter) decrease(factor, inUse float64, now time.Time) {
 	if now.Sub(l.decreasedAt) < minDecreaseInterval {
 		return
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -47,7 +47,9 @@
 	return true
 }
 
-// simResult counts the outcomes that callers got.
+// simResult counts the outcomes that callers got. Failed requests were refused by
+// their host, or rejected by the upstream because its slots and queue were full;
+// refusedAfter holds how long after its arrival each refused request was refused.
 type simResult struct {
 	mu                   sync.Mutex
 	inTime, late, failed int
@@ -76,11 +78,11 @@
 }
 
 // simulateRequest sends one request through l and records its outcome.
-func simulateRequest(l *Limiter, s *simUpstream, admit bool, share Share, res *simResult) {
+func simulateRequest(l *Limiter, s *simUpstream, admit bool, limitRange Share, res *simResult) {
 	start := time.Now()
 	var t *Ticket
 	if admit {
-		t = l.Acquire(context.Background(), latencyObjective/2, share)
+		t = l.Acquire(context.Background(), latencyObjective/2, limitRange)
 		if t == nil {
 			res.mu.Lock()
 			defer res.mu.Unlock()
@@ -122,8 +124,8 @@
 		// 3 slots at 150 ms serve 20 a second.
 		plain := simulate(12, 27, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, false)
 		limited := simulate(12, 27, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, true)
-		t.Logf("without limits: %d in time, %d late, %d refused", plain.inTime, plain.late, plain.failed)
-		t.Logf("with limits: %d in time, %d late, %d refused", limited.inTime, limited.late, limited.failed)
+		t.Logf("without limits: %d in time, %d late, %d failed", plain.inTime, plain.late, plain.failed)
+		t.Logf("with limits: %d in time, %d late, %d failed", limited.inTime, limited.late, limited.failed)
 		if limited.inTime < 900 || limited.inTime < 2*plain.inTime {
 			t.Errorf("%d of at most 1200 requests answered in time; %d without limits", limited.inTime, plain.inTime)
 		}
@@ -142,20 +144,21 @@
 func TestOverloadedUpstreamOfALargeFleetAnswersInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := simulate(1000, 27, 4*time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
-		t.Logf("%d in time, %d late, %d refused", r.inTime, r.late, r.failed)
+		t.Logf("%d in time, %d late, %d failed", r.inTime, r.late, r.failed)
 		if r.inTime < 1000 {
 			t.Errorf("%d of at most 4800 requests answered in time, %d late", r.inTime, r.late)
 		}
 	})
 }
 
-// In a large fleet, too, a load within the upstream's capacity is admitted: the
-// lower limits of its hosts must not refuse requests.
+// A load within the upstream's capacity is admitted in a fleet of 91 hosts, too.
+// Each host gets a response only once in about eight seconds, so a limit that a
+// random burst has decreased recovers slowly; it must not refuse requests.
 func TestNormalLoadOfALargeFleetIsAdmitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := simulate(91, 12, time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
 		if total := r.inTime + r.late + r.failed; r.failed > total/100 {
-			t.Errorf("%d of %d requests refused, want at most 1%%", r.failed, total)
+			t.Errorf("%d of %d requests failed, want at most 1%%", r.failed, total)
 		}
 	})
 }
@@ -166,7 +169,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := simulate(12, 12, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, true)
 		if total := r.inTime + r.late + r.failed; r.failed > total/100 {
-			t.Errorf("%d of %d requests refused, want at most 1%%", r.failed, total)
+			t.Errorf("%d of %d requests failed, want at most 1%%", r.failed, total)
 		}
 	})
 }
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Permit is the allocator's answer to a host that requests permits.
+// Permit is the allocator's reply to a host's request for permits.
 type Permit struct {
-	// Requests is the number of requests that may be sent within permitTTL; 0 if
-	// none.
+	// Requests is the number of permits issued, each for one request within
+	// permitTTL; 0 if none is due.
 	Requests int
-	// Wait is the time until the next permit is due if Requests is 0.
+	// Wait is the time until the next permit is due if none is due now.
 	Wait time.Duration
 }
 
 const (
-	// minBurst is the minimum number of requests that may be sent at once after an
-	// idle period.
+	// minBurst is the minimum capacity of a bucket, the number of requests that may
+	// be sent at once after an idle period.
 	minBurst = 1.0
-	// burstWindow is the time whose requests, at the limit, may be sent at once after
-	// an idle period.
+	// burstWindow is the capacity of a bucket, as the time in which it fills at the
+	// limit.
 	burstWindow = 250 * time.Millisecond
-	// bucketIdleTimeout is how long an unused bucket is kept. By then it is full
-	// again, so deleting it loses nothing.
+	// bucketIdleTimeout is how long an unused bucket is kept. Deleting a bucket
+	// resets it to a single token. By then it holds at least that again, so hosts
+	// get no extra permits, unless the limit is below one request in 30 s.
 	bucketIdleTimeout = 30 * time.Second
 	// maxBuckets bounds the memory that buckets take.
 	maxBuckets = 4096
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// BenchmarkLimiterClosed measures a host's cost per request while the planner denies
-// permits for its upstream.
+// BenchmarkLimiterClosed measures a host's cost per request while its requests are
+// denied: the planner issues no permit for their upstream.
 func BenchmarkLimiterClosed(b *testing.B) {
 	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (Permit, error) { return Permit{Wait: time.Hour}, nil })
 	for b.Loop() {
--- a/internal/ratelimit/bounds.go
+++ b/internal/ratelimit/bounds.go
@@ -14,7 +14,7 @@
 }
 
 // maxExcessProbability is the highest probability, for any one window, that hosts
-// which each keep to their own share exceed the bounds together.
+// which each keep to their own share of the limit together exceed the bounds.
 const maxExcessProbability = 1e-5
 
 // UncoordinatedRate returns the highest rate, in requests a second, at which
@@ -39,16 +39,16 @@
 // bisectionSteps reduces the uncertainty of the rate to a thousandth.
 const bisectionSteps = 10
 
-// poissonTail returns the probability of more than maxRequests requests where the
-// mean is expected.
-func poissonTail(expected float64, maxRequests int) float64 {
-	if expected > normalApproximationMean {
-		return normalTail(expected, maxRequests)
+// poissonTail returns the probability that a Poisson variable with the given mean
+// exceeds maxRequests.
+func poissonTail(mean float64, maxRequests int) float64 {
+	if mean > normalApproximationMean {
+		return normalTail(mean, maxRequests)
 	}
-	term, sum := math.Exp(-expected), 0.0
+	term, sum := math.Exp(-mean), 0.0
 	for n := 0; n <= maxRequests; n++ {
 		sum += term
-		term *= expected / float64(n+1)
+		term *= mean / float64(n+1)
 	}
 	return 1 - sum
 }
@@ -58,6 +58,6 @@
 const normalApproximationMean = 500.0
 
 // normalTail is poissonTail's approximation for large means.
-func normalTail(expected float64, maxRequests int) float64 {
-	return math.Erfc((float64(maxRequests)+0.5-expected)/math.Sqrt(2*expected)) / 2
+func normalTail(mean float64, maxRequests int) float64 {
+	return math.Erfc((float64(maxRequests)+0.5-mean)/math.Sqrt(2*mean)) / 2
 }
--- a/internal/ratelimit/interval_test.go
+++ b/internal/ratelimit/interval_test.go
@@ -47,7 +47,7 @@
 			}
 			capacity := perSecond * coldFor.Seconds() * upstreams
 			if got := float64(sentTotal); got < capacity/2 || got > capacity*1.1 {
-				t.Errorf("%v requests sent in all, the upstreams take %v", got, capacity)
+				t.Errorf("%v requests sent in total, want between half and 110%% of the capacity %v", got, capacity)
 			}
 		})
 	}
@@ -57,15 +57,15 @@
 // or with an unbounded share, no request may be held back.
 func TestIntervalLimiter(t *testing.T) {
 	now := time.Now()
-	cold := now.Add(time.Second)
+	coldUntil := now.Add(time.Second)
 	for _, c := range []struct {
 		rate       HostRate
 		limitUntil time.Time
 		want       bool
-	}{{0, cold, false}, {0, now, true}, {HostRate(math.Inf(1)), cold, true}} {
+	}{{0, coldUntil, false}, {0, now, true}, {HostRate(math.Inf(1)), coldUntil, true}} {
 		var l IntervalLimiter
 		if got := l.Take(c.rate, c.limitUntil, now); got != c.want {
-			t.Errorf("rate %v, limit for another %v: allowed %v", c.rate, c.limitUntil.Sub(now), got)
+			t.Errorf("rate %v, limit ends in %v: allowed = %v, want %v", c.rate, c.limitUntil.Sub(now), got, c.want)
 		}
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -15,8 +15,8 @@
 	permitRetryInterval = 500 * time.Millisecond
 	// permitTTL is how long permits may be used after they were received.
 	permitTTL = 500 * time.Millisecond
-	// permitBatchSpan is the time for which a host requests permits in one call, at
-	// an equal share of the limit.
+	// permitBatchSpan sets the size of a request for permits: as many as the host's
+	// equal share of the limit allows in this time, but at least one.
 	permitBatchSpan = 200 * time.Millisecond
 	// fallbackShare is the part of its equal share of the limit that a host uses when
 	// it can't reach the allocator; the others may still get permits.
@@ -137,7 +137,7 @@
 	return false, 0, max(int(math.Ceil(perSecond*permitBatchSpan.Seconds()/float64(max(l.hosts, 1)))), 1)
 }
 
-// applyReply applies the allocator's answer. The current request uses the first
+// applyReply applies the allocator's reply. The current request uses the first
 // permit.
 func (u *upstreamState) applyReply(p Permit, now time.Time) (ok bool, wait time.Duration) {
 	if p.Requests == 0 {
@@ -147,8 +147,8 @@
 	return true, 0
 }
 
-// deny denies further requests for wait, between minDenyTime and maxDenyTime, and
-// returns the time that results.
+// deny denies further requests for wait, clamped to [minDenyTime, maxDenyTime], and
+// returns the clamped wait.
 func (u *upstreamState) deny(wait time.Duration, now time.Time) time.Duration {
 	wait = min(max(wait, minDenyTime), maxDenyTime)
 	u.deniedUntil = now.Add(wait)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -2,8 +2,9 @@
 //
 // Calls to the log service cost money and are limited, and every host reads the
 // same records. The planner therefore reads them for all hosts: the others fetch
-// from its replica, so that the number of calls to the log service doesn't grow
-// with the number of hosts. A replica reports its age; a host for which it is too
+// from its replica, or from that of a relay, so that the number of calls to the
+// log service doesn't grow with the number of hosts. A host that fetches from
+// another is its follower. A replica reports its age; a host for which it is too
 // old reads the log service itself.
 package relay
 
@@ -22,15 +23,15 @@
 	// read before.
 	Reset   bool
 	Records []metastore.Record
-	// Changes replace Records in the ownership stream for a host that has the tables
-	// to which they apply.
+	// Changes replace Records in the ownership stream for a follower that has the
+	// tables to which they apply.
 	Changes []Change
 	// NextOffset is the offset of the record after the batch.
 	NextOffset int64
 }
 
-// maxRecentRecords is the number of records kept per stream for hosts that are
-// behind; a host that is further behind gets the newest record of each key.
+// maxRecentRecords is the number of records kept per stream for followers that are
+// behind; a follower that is further behind gets the newest record of each key.
 const maxRecentRecords = 512
 
 // Streams are the streams that a replica keeps.
@@ -46,11 +47,11 @@
 	newest map[string]metastore.Record
 	// recent are the last records, up to nextOffset.
 	recent []metastore.Record
-	// tables are the decoded records of the ownership stream.
+	// tables are the last tables of the ownership stream.
 	tables versionsByService
-	// needsFullTables is set after a change didn't apply to this host's tables.
+	// needsFullTables is set after a delta didn't apply to this host's tables.
 	needsFullTables bool
-	// currentAt is when the log service last confirmed that nextOffset is its end.
+	// currentAt is when the replica of the stream was last known to be up to date.
 	currentAt time.Time
 }
 
@@ -60,11 +61,12 @@
 	streams map[metastore.Stream]*stream
 	// updated is closed, and replaced, when a stream changes.
 	updated chan struct{}
-	// logFailedAt is when a call of this host to the log service last failed.
+	// logFailedAt is when RecordLogFailure was last called for, or else when the
+	// replica was created.
 	logFailedAt time.Time
 }
 
-// NewReplica returns an empty replica. LogReachableFor counts from now on.
+// NewReplica returns an empty replica. LogReachableFor starts at zero.
 func NewReplica() *Replica {
 	r := &Replica{streams: map[metastore.Stream]*stream{}, updated: make(chan struct{}), logFailedAt: time.Now()}
 	for _, s := range Streams {
@@ -82,7 +84,7 @@
 }
 
 // FetchOffset returns the offset from which to fetch s from another replica: NextOffset,
-// or -1 if this host needs full tables.
+// or -1 for the full tables of the ownership stream if this host needs them.
 func (r *Replica) FetchOffset(s metastore.Stream) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -149,7 +151,7 @@
 	}
 }
 
-// notify wakes the calls of Fetch that wait for a change.
+// notify wakes the calls of Fetch that wait for an update.
 func (r *Replica) notify() {
 	close(r.updated)
 	r.updated = make(chan struct{})
@@ -186,33 +188,35 @@
 }
 
 // RecordLogFailure records that a call of this host to the log service failed at the
-// given time.
+// given time, or that the host was stalled until then and doesn't know whether a call
+// would have failed.
 func (r *Replica) RecordLogFailure(at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.logFailedAt = at
 }
 
-// LogReachableFor returns the time since a call of this host to the log service last
-// failed.
+// LogReachableFor returns the time since the last failure that RecordLogFailure has
+// recorded, or since the replica was created if there was none. Only on a host that
+// calls the log service all the time does it mean that the service is reachable.
 func (r *Replica) LogReachableFor(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Sub(r.logFailedAt)
 }
 
-// Fetch returns the batches that a host lacks. The positions are its FetchOffset for
-// each stream. If nothing is missing, Fetch waits up to wait for the next change.
-func (r *Replica) Fetch(ctx context.Context, positions map[metastore.Stream]int64, wait time.Duration) []Batch {
+// Fetch returns the batches that a follower lacks. The offsets are its FetchOffset for
+// each stream. If nothing is missing, Fetch waits up to wait for the next update.
+func (r *Replica) Fetch(ctx context.Context, offsets map[metastore.Stream]int64, wait time.Duration) []Batch {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for {
-		out, changed := r.missing(positions)
+		out, updated := r.missing(offsets)
 		if len(out) > 0 {
 			return out
 		}
 		select {
-		case <-changed:
+		case <-updated:
 		case <-t.C:
 			return nil
 		case <-ctx.Done():
@@ -221,15 +225,15 @@
 	}
 }
 
-// missing returns the batches that a host at the given positions lacks, and the channel
-// that is closed at the next change.
-func (r *Replica) missing(positions map[metastore.Stream]int64) ([]Batch, <-chan struct{}) {
+// missing returns the batches that a follower with the given offsets lacks, and the
+// channel that is closed at the next update.
+func (r *Replica) missing(offsets map[metastore.Stream]int64) ([]Batch, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Batch
 	for _, s := range Streams {
 		st := r.streams[s]
-		offset, requested := positions[s]
+		offset, requested := offsets[s]
 		if requested && st.initialized && offset < st.nextOffset {
 			out = append(out, st.since(s, offset))
 		}
@@ -238,9 +242,9 @@
 }
 
 // since returns the records from offset on, or the newest of each key if not all of them
-// are kept any more. An ownership record holds a whole table and only the newest of a key
-// is needed, so that stream gets the changes since the host's tables, if those are known,
-// or else the newest records.
+// are kept any more. An ownership record holds a full table and only the newest of a key
+// is needed, so for that stream it returns the deltas from the follower's tables, if those
+// are known, or else the newest records.
 func (st *stream) since(s metastore.Stream, offset int64) Batch {
 	b := Batch{Stream: s, NextOffset: st.nextOffset}
 	if s == metastore.StreamOwnership {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-// A host fetches from the planner's replica while the log grows, while the planner
+// A follower fetches from the planner's replica while the log grows, while the planner
 // resets its replica, and while batches of two sources overlap, repeat and arrive out
 // of order. Once it has caught up its replica must equal the log.
 func TestFollowerConvergesToTheLog(t *testing.T) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// A host that is further behind than the records kept gets the newest record of each
-// key.
+// A follower whose next record is older than all records kept gets the newest record of
+// each key.
 func TestFetchBeforeRecentRecordsResets(t *testing.T) {
 	replica := NewReplica()
 	replica.Apply(Batch{Stream: upstreams, Reset: true, NextOffset: 0})
@@ -122,17 +122,17 @@
 	}
 }
 
-// A replica that was never confirmed, even in one stream only, must count as very old,
-// or hosts would rely on it.
+// A replica of which a stream was never marked current must count as very old, or hosts
+// would rely on it.
 func TestAge(t *testing.T) {
 	replica := NewReplica()
 	now := time.Now()
 	if replica.Age(now) < time.Hour {
-		t.Error("an unconfirmed replica counts as recent")
+		t.Error("a replica that was never marked current counts as current")
 	}
 	replica.MarkCurrent(metastore.StreamDesired, now)
 	if replica.Age(now) < time.Hour {
-		t.Error("a replica with an unconfirmed stream counts as recent")
+		t.Error("a replica with a stream that was never marked current counts as current")
 	}
 	replica.MarkCurrent(upstreams, now.Add(-time.Second))
 	if got := replica.Age(now); got != time.Second {
@@ -140,8 +140,8 @@
 	}
 }
 
-// A host that is several ownership records behind gets only the newest one: each holds
-// a whole table.
+// A follower that is several ownership records behind gets only the newest one: each
+// holds a full table.
 func TestFetchSendsOnlyTheNewestOwnershipRecord(t *testing.T) {
 	replica, follower := NewReplica(), NewReplica()
 	own := metastore.StreamOwnership
--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -5,29 +5,30 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// Change is the difference between a host's table and a newer record of the ownership
-// stream.
+// Change is an encoded ownership.Delta, which turns a follower's table into that of a newer
+// record of the ownership stream.
 type Change struct {
-	// Key and Offset are those of the record.
+	// Key and Offset are those of the record. The key is the name of a service.
 	Key    string
 	Offset int64
-	// Data is an encoded ownership.Change.
+	// Data is an encoded ownership.Delta.
 	Data []byte
 }
 
-// maxTableVersions is the number of tables kept per service to compute changes from.
-// A host fetches three times a second; for load the planner records at most seven
-// tables a second.
+// maxTableVersions is the number of tables kept per service to compute deltas from. The
+// planner records at most seven tables a second to move load between owners, and a
+// follower fetches three times a second: one that has missed a few fetches still gets
+// deltas.
 const maxTableVersions = 16
 
-// versionsByService are the decoded records of the ownership stream, by service.
+// versionsByService are the last tables of the ownership stream, by service.
 type versionsByService map[string]*tableVersions
 
 // tableVersions are the last tables of one service.
 type tableVersions struct {
-	// versions is ordered by offset, the newest table last.
+	// versions are ordered by offset, the newest table last.
 	versions []tableVersion
-	// encodedDeltas caches the changes to the newest table by the offset of the table
+	// encodedDeltas caches the deltas to the newest table by the offset of the table
 	// that they apply to: most followers need the same few.
 	encodedDeltas map[int64][]byte
 }
@@ -38,8 +39,8 @@
 	table  *ownership.Table
 }
 
-// KeepTable stores the table of the ownership record at offset. Hosts that fetch from
-// this one then get changes instead of whole tables.
+// KeepTable stores the table of the ownership record at offset. Followers that have an
+// earlier one then get deltas instead of full tables.
 func (r *Replica) KeepTable(offset int64, t *ownership.Table) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +64,7 @@
 	v.encodedDeltas = map[int64][]byte{}
 }
 
-// ApplyTables stores tables that result from changes, by the offsets of their records,
+// ApplyTables stores tables that result from deltas, by the offsets of their records,
 // and advances the ownership stream to nextOffset. It reports false, and stores nothing,
 // if the stream was never read or has reached nextOffset already.
 func (r *Replica) ApplyTables(nextOffset int64, tables map[int64]*ownership.Table) bool {
@@ -83,17 +84,17 @@
 	return true
 }
 
-// RequestFullTables records that a change did not apply to this host's tables: an
-// earlier change was lost, or the host read the log service in between. FetchOffset
-// then requests whole tables until they arrive.
+// RequestFullTables records that a delta did not apply to this host's tables: an earlier
+// delta was lost, or the host read the log service in between. Until full tables arrive,
+// FetchOffset returns -1, to which Fetch of another replica responds with full tables.
 func (r *Replica) RequestFullTables() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.streams[metastore.StreamOwnership].needsFullTables = true
 }
 
-// deltasSince returns the changes from the tables of a host whose next record is at
-// offset to the newest tables, or nil if that host's tables are not known.
+// deltasSince returns the deltas from the tables of a follower whose next record is at
+// offset to the newest tables, or nil if those of the follower are not kept.
 func (st *stream) deltasSince(offset int64) []Change {
 	var out []Change
 	for key, r := range st.newest {
@@ -109,7 +110,7 @@
 	return out
 }
 
-// deltaSince returns the encoded change from the last table before nextOffset to the
+// deltaSince returns the encoded delta from the last table before nextOffset to the
 // newest table, or nil if the former is not kept or the latter is not at newestOffset.
 func (v *tableVersions) deltaSince(nextOffset, newestOffset int64) []byte {
 	if v == nil || len(v.versions) == 0 {
@@ -130,13 +131,13 @@
 	}
 	data, err := ownership.Diff(base.table, newest.table).Encode()
 	if err != nil {
-		return nil // the whole table is sent instead
+		return nil // the full table is sent instead
 	}
 	v.encodedDeltas[base.offset] = data
 	return data
 }
 
-// encodeNewest sets the value of the newest records that were received as changes.
+// encodeNewest sets the value of the newest records that were received as deltas.
 func (st *stream) encodeNewest() {
 	for key, r := range st.newest {
 		v := st.tables[key]
--- a/internal/relay/tables_test.go
+++ b/internal/relay/tables_test.go
@@ -16,8 +16,8 @@
 type tableHost struct {
 	replica *Replica
 	table   *ownership.Table
-	// fullBytes counts the bytes received as whole tables, changeBytes those received as
-	// changes.
+	// fullBytes counts the bytes received as full tables, deltaBytes those received as
+	// deltas.
 	fullBytes, deltaBytes int
 }
 
@@ -66,12 +66,12 @@
 
 // fetch makes one call of h to the host that it fetches from.
 func (h *tableHost) fetch(from *tableHost) []Batch {
-	positions := map[metastore.Stream]int64{metastore.StreamOwnership: h.replica.FetchOffset(metastore.StreamOwnership)}
-	return from.replica.Fetch(context.Background(), positions, time.Nanosecond)
+	offsets := map[metastore.Stream]int64{metastore.StreamOwnership: h.replica.FetchOffset(metastore.StreamOwnership)}
+	return from.replica.Fetch(context.Background(), offsets, time.Nanosecond)
 }
 
 // A planner records a table several times a second; a relay fetches from it and a host
-// from the relay. Answers get lost, repeat or arrive late, and hosts read single records
+// from the relay. Replies get lost, repeat or arrive late, and hosts read single records
 // from the log service in between. Once all have fetched without loss they must have the
 // planner's table: a wrong one would send requests to upstreams that don't own their
 // keys, permanently.
@@ -85,7 +85,7 @@
 		follow := func(h, from *tableHost, loss bool) {
 			for _, b := range h.fetch(from) {
 				switch n := rng.IntN(10); {
-				case loss && n == 0: // the answer is lost
+				case loss && n == 0: // the reply is lost
 				case loss && n == 1:
 					late = append(late, b)
 				case loss && n == 2:
@@ -103,11 +103,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			record := Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1,
+			batch := Batch{Stream: metastore.StreamOwnership, NextOffset: offset + 1,
 				Records: []metastore.Record{{Key: "s", Value: data, Offset: offset}}}
 			planner.table = table
 			planner.replica.KeepTable(offset, table)
-			planner.replica.Apply(record)
+			planner.replica.Apply(batch)
 			if rng.IntN(3) > 0 {
 				follow(relay, planner, true)
 			}
@@ -115,7 +115,7 @@
 				follow(host, relay, true)
 			}
 			if rng.IntN(20) == 0 {
-				host.apply(t, record)
+				host.apply(t, batch)
 			}
 			if len(late) > 0 && rng.IntN(4) == 0 {
 				host.apply(t, late[0])
@@ -135,8 +135,8 @@
 }
 
 // A fleet of 300 hosts has a table of 900 ranges that changes seven times a second. Sent
-// as whole tables of 10 KB, that would exceed the 26 KB a second that a host may use for
-// control traffic; a change takes a few hundred bytes.
+// as full tables of 10 KB, that would exceed the 26 KB a second that a host may use for
+// control traffic; a delta takes a few hundred bytes.
 func TestFollowersAreSentOnlyDeltas(t *testing.T) {
 	planner, host := &tableHost{replica: NewReplica()}, &tableHost{replica: NewReplica()}
 	table := ownership.NewTable("s")
@@ -164,10 +164,10 @@
 		}
 	}
 	if host.fullBytes != first {
-		t.Errorf("%d bytes received as whole tables after the first, want 0", host.fullBytes-first)
+		t.Errorf("%d bytes received as full tables after the first, want 0", host.fullBytes-first)
 	}
 	if per := host.deltaBytes / (records - 1); per > 700 {
-		t.Errorf("a change of one range takes %d bytes, want at most 700", per)
+		t.Errorf("the delta for a change of one range takes %d bytes, want at most 700", per)
 	}
 	if host.table.Digest() != table.Digest() {
 		t.Error("the host does not have the planner's table")
