--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -17,8 +17,8 @@
 
 // maxTableVersions is the number of tables kept per service to compute deltas from. The
 // planner records at most seven tables a second to move load between owners, and a
-// follower fetches three times a second: one that has missed a few fetches still gets
-// deltas.
+// follower fetches at least three times a second: one that has missed a few fetches
+// still gets deltas.
 const maxTableVersions = 16
 
 // versionsByService are the last tables of the ownership stream, by service.
