--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -109,21 +109,21 @@
 	var calls []upstreamCall
 	for i := range l.manifest.Services {
 		svc := &l.manifest.Services[i]
-		st := l.states[svc.Name+"/"+l.opts.DataCentre]
+		p := l.placements[svc.Name+"/"+l.opts.DataCentre]
 		for _, u := range l.localUpstreams(svc) {
-			if !l.isRenewer(u.Name) {
+			if !l.isResponsibleFor(u.Name) {
 				continue
 			}
-			if st == nil || st.assignment == nil || !slices.ContainsFunc(st.assignment.Members, func(m manifest.Upstream) bool { return m.Name == u.Name }) {
+			if p == nil || p.assignment == nil || !slices.ContainsFunc(p.assignment.Members, func(m manifest.Upstream) bool { return m.Name == u.Name }) {
 				calls = append(calls, upstreamCall{upstream: u})
 				continue
 			}
-			g := &target.Grant{Service: svc.Name, Epoch: st.state.Epoch, Since: st.sinceEpoch[u.Name],
+			g := &target.Grant{Service: svc.Name, Epoch: p.state.Epoch, Since: p.sinceEpoch[u.Name],
 				TTLMs: l.opts.GrantTTL.Milliseconds()}
 			if l.grantedEpoch[u.Name] == g.Epoch {
 				g.Renew = true
 			} else {
-				g.Shards = st.assignment.ShardsOf(u.Name)
+				g.Shards = p.assignment.ShardsOf(u.Name)
 			}
 			calls = append(calls, upstreamCall{upstream: u, grant: g})
 		}
--- a/internal/control/members.go
+++ b/internal/control/hosts.go
@@ -46,11 +46,11 @@
 	return err
 }
 
-// isRenewer reports whether this host grants and probes the named upstream: whether
+// isResponsibleFor reports whether this host grants and probes the named upstream: whether
 // it is among the RenewersPerUpstream live hosts of its data centre with the highest
 // rendezvous score. Sharing this work limits the growth of each host's control
 // traffic. While fewer live hosts are known, e.g. at start, this host renews all.
-func (l *Loop) isRenewer(upstream string) bool {
+func (l *Loop) isResponsibleFor(upstream string) bool {
 	if l.opts.RenewersPerUpstream <= 0 {
 		return true
 	}
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -52,8 +52,8 @@
 	HostListInterval time.Duration
 }
 
-// dcState is the placement in force for one (service, data centre).
-type dcState struct {
+// servicePlacement is the placement in force for one (service, data centre).
+type servicePlacement struct {
 	state      placement.State
 	assignment *placement.Assignment
 	// sinceEpoch maps a member to the oldest epoch whose placement gives it the
@@ -89,16 +89,16 @@
 	nextPlacementOffset  int64
 	recordsSinceSnapshot int
 	lastSnapshot         time.Time
-	// states and lastProposal are keyed by placement.State.Key.
-	states map[string]*dcState
+	// placements and lastProposal are keyed by placement.State.Key.
+	placements map[string]*servicePlacement
 	// homes holds the result of placement.Homes by service.
 	homes map[string][]uint8
 	// health is keyed by upstream name.
-	health       map[string]*health
-	viewAt       time.Time
-	logDown      bool
-	lastProbe    time.Time
-	lastProposal map[string]time.Time
+	health         map[string]*health
+	viewAt         time.Time
+	logDown        bool
+	lastGrantRound time.Time
+	lastProposal   map[string]time.Time
 	// grantedEpoch maps an upstream to the epoch of the last full grant that it
 	// accepted; later rounds at that epoch send only renewals.
 	grantedEpoch map[string]int64
@@ -115,7 +115,7 @@
 // New returns a control loop.
 func New(opts Options, logClient *logservice.Client, targets *target.Client, logger *zap.Logger) *Loop {
 	return &Loop{opts: opts, logClient: logClient, targets: targets, logger: logger, wake: make(chan struct{}, 1),
-		manifestOffset: -1, states: map[string]*dcState{}, homes: map[string][]uint8{},
+		manifestOffset: -1, placements: map[string]*servicePlacement{}, homes: map[string][]uint8{},
 		health: map[string]*health{}, lastProposal: map[string]time.Time{}, grantedEpoch: map[string]int64{},
 		liveHosts: membership.NewView(opts.HeartbeatTimeout.Milliseconds())}
 }
@@ -157,8 +157,8 @@
 	// grant before requests carry that token. Renew them during a log outage too:
 	// no host can change the placement then, and a data centre cut off from the log
 	// must keep serving (docs/DESIGN.md, "Grants during a log outage").
-	if changed || now.Sub(l.lastProbe) >= l.opts.ProbeInterval {
-		l.lastProbe = now
+	if changed || now.Sub(l.lastGrantRound) >= l.opts.ProbeInterval {
+		l.lastGrantRound = now
 		l.sendGrants(ctx)
 	}
 	// A successful read renews the view's age even if nothing changed.
@@ -261,8 +261,8 @@
 	for i := range m.Services {
 		l.homes[m.Services[i].Name] = placement.Homes(&m.Services[i], m.DataCentres)
 	}
-	for _, st := range l.states {
-		l.reassign(st, st.state)
+	for _, p := range l.placements {
+		l.reassign(p, p.state)
 	}
 	l.logger.Info("manifest adopted", zap.Int("event", events.ManifestAdopted), zap.Int64("offset", offset), zap.Stringer("manifest", m))
 }
--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -37,71 +37,71 @@
 		l.recordsSinceSnapshot++
 		s := *r.State
 		s.Epoch = offset
-		l.setState(s)
+		l.adoptState(s)
 	case placement.KindSnapshot:
 		l.recordsSinceSnapshot, l.lastSnapshot = 0, time.Now()
 		for _, s := range r.States {
-			if cur := l.states[s.Key()]; cur == nil || cur.state.Epoch < s.Epoch {
-				l.setState(s)
+			if cur := l.placements[s.Key()]; cur == nil || cur.state.Epoch < s.Epoch {
+				l.adoptState(s)
 			}
 		}
 	}
 }
 
-// setState puts state s into force.
-func (l *Loop) setState(s placement.State) {
-	st := l.states[s.Key()]
-	if st == nil {
-		st = &dcState{sinceEpoch: map[string]int64{}, handoverUntil: map[int]time.Time{}}
-		l.states[s.Key()] = st
-	}
-	l.reassign(st, s)
+// adoptState puts state s into force.
+func (l *Loop) adoptState(s placement.State) {
+	p := l.placements[s.Key()]
+	if p == nil {
+		p = &servicePlacement{sinceEpoch: map[string]int64{}, handoverUntil: map[int]time.Time{}}
+		l.placements[s.Key()] = p
+	}
+	l.reassign(p, s)
 	l.logger.Info("placement adopted", zap.Int("event", events.PlacementAdopted), zap.String("service", s.Service),
 		zap.String("data_centre", s.DataCentre), zap.Int64("epoch", s.Epoch), zap.Strings("members", s.Members))
 }
 
-// reassign recomputes st's assignment for state s under the manifest in force.
+// reassign recomputes p's assignment for state s under the manifest in force.
 // Shards that change owner are in handover for one grant TTL, because the
 // previous owner may hold a valid grant for them until then.
-func (l *Loop) reassign(st *dcState, s placement.State) {
-	old := st.assignment
-	st.state = s
+func (l *Loop) reassign(p *servicePlacement, s placement.State) {
+	old := p.assignment
+	p.state = s
 	if l.manifest == nil {
 		return
 	}
 	svc := l.manifest.Service(s.Service)
 	dc := slices.Index(l.manifest.DataCentres, s.DataCentre)
 	if svc == nil || dc < 0 {
-		st.assignment = nil
+		p.assignment = nil
 		return
 	}
-	st.assignment = placement.Update(old, svc, s.Members, s.Epoch, l.homes[svc.Name], uint8(dc))
+	p.assignment = placement.Update(old, svc, s.Members, s.Epoch, l.homes[svc.Name], uint8(dc))
 	now := time.Now()
-	for shard, until := range st.handoverUntil {
+	for shard, until := range p.handoverUntil {
 		if now.After(until) {
-			delete(st.handoverUntil, shard)
+			delete(p.handoverUntil, shard)
 		}
 	}
-	if old == nil || old.Shards() != st.assignment.Shards() {
-		for _, m := range st.assignment.Members {
-			st.sinceEpoch[m.Name] = s.Epoch
+	if old == nil || old.Shards() != p.assignment.Shards() {
+		for _, m := range p.assignment.Members {
+			p.sinceEpoch[m.Name] = s.Epoch
 		}
 		return
 	}
 	until := now.Add(l.opts.GrantTTL)
 	changed := map[string]bool{}
-	for _, shard := range placement.Moved(old, st.assignment) {
+	for _, shard := range placement.Moved(old, p.assignment) {
 		if o := old.Owner(shard); o != nil {
 			changed[o.Name] = true
-			st.handoverUntil[shard] = until
+			p.handoverUntil[shard] = until
 		}
-		if n := st.assignment.Owner(shard); n != nil {
+		if n := p.assignment.Owner(shard); n != nil {
 			changed[n.Name] = true
 		}
 	}
-	for _, m := range st.assignment.Members {
-		if _, ok := st.sinceEpoch[m.Name]; !ok || changed[m.Name] {
-			st.sinceEpoch[m.Name] = s.Epoch
+	for _, m := range p.assignment.Members {
+		if _, ok := p.sinceEpoch[m.Name]; !ok || changed[m.Name] {
+			p.sinceEpoch[m.Name] = s.Epoch
 		}
 	}
 }
@@ -117,12 +117,12 @@
 		service := &routing.Service{Spec: svc, Homes: l.homes[svc.Name], ByDC: make([]*placement.Assignment, len(l.manifest.DataCentres)),
 			HandoverUntil: map[int]time.Time{}}
 		for d, dc := range l.manifest.DataCentres {
-			st := l.states[svc.Name+"/"+dc]
-			if st == nil || st.assignment == nil {
+			p := l.placements[svc.Name+"/"+dc]
+			if p == nil || p.assignment == nil {
 				continue
 			}
-			service.ByDC[d] = st.assignment
-			for shard, until := range st.handoverUntil {
+			service.ByDC[d] = p.assignment
+			for shard, until := range p.handoverUntil {
 				service.HandoverUntil[shard] = until
 			}
 		}
@@ -143,7 +143,7 @@
 			continue
 		}
 		key := svc.Name + "/" + l.opts.DataCentre
-		cur := l.states[key]
+		cur := l.placements[key]
 		want, ready := l.wantedMembers(local, cur)
 		if !ready || (cur != nil && slices.Equal(want, cur.state.Members)) {
 			continue
@@ -164,7 +164,7 @@
 // data centre: the local upstreams that are up, not drained and not leaving. An
 // upstream that other hosts renew keeps its membership; without a placement it is
 // a member. The result is false until each upstream this host renews was probed.
-func (l *Loop) wantedMembers(local []manifest.Upstream, cur *dcState) ([]string, bool) {
+func (l *Loop) wantedMembers(local []manifest.Upstream, cur *servicePlacement) ([]string, bool) {
 	var drained, members []string
 	if cur != nil {
 		drained, members = cur.state.Drained, cur.state.Members
@@ -174,7 +174,7 @@
 		if l.leaving[u.Addr] {
 			continue
 		}
-		if !l.isRenewer(u.Name) {
+		if !l.isResponsibleFor(u.Name) {
 			if (cur == nil || slices.Contains(members, u.Name)) && !slices.Contains(drained, u.Name) {
 				want = append(want, u.Name)
 			}
@@ -218,7 +218,7 @@
 // only record of a (service, data centre) never expires. Of concurrent snapshots
 // only one is appended, the others conflict.
 func (l *Loop) appendSnapshotIfDue(ctx context.Context, now time.Time) {
-	if len(l.states) == 0 {
+	if len(l.placements) == 0 {
 		return
 	}
 	if l.lastSnapshot.IsZero() {
@@ -228,8 +228,8 @@
 		return
 	}
 	rec := &placement.Record{Kind: placement.KindSnapshot}
-	for _, st := range l.states {
-		rec.States = append(rec.States, st.state)
+	for _, p := range l.placements {
+		rec.States = append(rec.States, p.state)
 	}
 	slices.SortFunc(rec.States, func(a, b placement.State) int { return strings.Compare(a.Key(), b.Key()) })
 	l.appendRecord(ctx, rec)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -33,15 +33,15 @@
 }
 
 // Assign assigns all shards of svc to the named members. Names that are not in
-// the service are ignored. Without members no shard has an owner. Use AssignHomed
+// the service are ignored. Without members no shard has an owner. Use AssignDataCentre
 // for one data centre.
 func Assign(svc *manifest.Service, members []string, epoch int64) *Assignment {
-	return AssignHomed(svc, members, epoch, nil, 0)
+	return AssignDataCentre(svc, members, epoch, nil, 0)
 }
 
-// AssignHomed assigns only the shards whose entry in homes is home; other shards
+// AssignDataCentre assigns only the shards whose home is dc; other shards
 // have no owner. With nil homes it assigns all shards.
-func AssignHomed(svc *manifest.Service, members []string, epoch int64, homes []uint8, home uint8) *Assignment {
+func AssignDataCentre(svc *manifest.Service, members []string, epoch int64, homes []uint8, dc uint8) *Assignment {
 	a := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
 	a.ownerIndex = make([]uint16, svc.ShardCount())
 	if len(a.Members) == 0 {
@@ -52,7 +52,7 @@
 	}
 	seeds, weights := seedsAndWeights(a.Members)
 	for shard := range a.ownerIndex {
-		if homes != nil && homes[shard] != home {
+		if homes != nil && homes[shard] != dc {
 			a.ownerIndex[shard] = unowned
 			continue
 		}
@@ -200,21 +200,21 @@
 	return homes
 }
 
-// Update returns the same assignment as AssignHomed, so that hosts with different
+// Update returns the same assignment as AssignDataCentre, so that hosts with different
 // histories agree, but computes it from the previous one: a shard whose owner stays
 // can only move to a joining member, and only shards of leaving members are scored
-// against all members. If weights or the number of shards changed, it calls AssignHomed.
-func Update(old *Assignment, svc *manifest.Service, members []string, epoch int64, homes []uint8, home uint8) *Assignment {
+// against all members. If weights or the number of shards changed, it calls AssignDataCentre.
+func Update(old *Assignment, svc *manifest.Service, members []string, epoch int64, homes []uint8, dc uint8) *Assignment {
 	next := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
 	remap, joiners, ok := diffMembers(old, next.Members, svc.ShardCount())
 	if !ok || len(next.Members) == 0 {
-		return AssignHomed(svc, members, epoch, homes, home)
+		return AssignDataCentre(svc, members, epoch, homes, dc)
 	}
 	seeds, weights := seedsAndWeights(next.Members)
 	next.ownerIndex = make([]uint16, len(old.ownerIndex))
 	for shard, o := range old.ownerIndex {
 		switch {
-		case homes != nil && homes[shard] != home:
+		case homes != nil && homes[shard] != dc:
 			next.ownerIndex[shard] = unowned
 		case o == unowned || remap[o] < 0:
 			next.ownerIndex[shard] = uint16(highestScore(uint64(shard), seeds, weights))
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -157,9 +157,9 @@
 	props.TestingRun(t)
 }
 
-// TestHomesStayInDataCentre checks that every shard's home is a data centre that has
+// TestHomesAreDataCentresWithUpstreams checks that every shard's home is a data centre that has
 // upstreams of the service, and that each of these is home to some shards.
-func TestHomesStayInDataCentre(t *testing.T) {
+func TestHomesAreDataCentresWithUpstreams(t *testing.T) {
 	m := manifest.Generate("t", []string{"a", "b", "c"}, []manifest.ServiceSize{{Name: "svc", Upstreams: 2}}, 3, 10, 1)
 	homes := Homes(&m.Services[0], m.DataCentres)
 	counts := map[uint8]int{}
--- a/internal/routing/table_bench_test.go
+++ b/internal/routing/table_bench_test.go
@@ -18,7 +18,7 @@
 	homes := placement.Homes(svc, dcs)
 	service := &routing.Service{Spec: svc, Homes: homes, ByDC: make([]*placement.Assignment, 3), HandoverUntil: map[int]time.Time{}}
 	for i := range dcs {
-		service.ByDC[i] = placement.AssignHomed(svc, svc.UpstreamNames(), 1, homes, uint8(i))
+		service.ByDC[i] = placement.AssignDataCentre(svc, svc.UpstreamNames(), 1, homes, uint8(i))
 	}
 	t := &routing.Table{Manifest: m, Services: map[string]*routing.Service{"svc": service}}
 	now := time.Now()
