--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,8 +1,8 @@
 // Package control implements an entry host's control loop. One goroutine,
 // Loop.Run, owns all control state: it reads the manifest and placement
 // streams of the log service, probes the upstreams of its own data centre,
-// proposes placement changes by conditional append, renews fenced grants, and
-// publishes an immutable routing table that request goroutines read.
+// proposes placement changes by conditional append, sends and renews fenced
+// grants, and publishes an immutable routing table that request goroutines read.
 //
 // Entry hosts agree on placement only through the log. A proposal names the
 // offset it must be written at, so exactly one of two concurrent proposals is
--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -62,11 +62,11 @@
 	err      error
 }
 
-// sendGrants concurrently sends each local member its grant at the epoch in
-// force and probes local upstreams that are not members. A member gets the full
-// shard list once per epoch and renewals after that; its reply counts as its
-// health probe. A target rejects a grant with an older epoch than the one it
-// holds, so a host with a stale view cannot revert it.
+// sendGrants runs one grant round: concurrent calls to the local upstreams that this
+// host is responsible for. A member gets a grant at the current epoch, any other
+// upstream a probe. The grant has the full shard list once per epoch and is a renewal
+// after that; the reply to it counts as a health probe. A target rejects a grant with
+// an older epoch than the one it holds, so a host with a stale view cannot revert it.
 func (l *Loop) sendGrants(ctx context.Context) {
 	if l.manifest == nil {
 		return
@@ -104,7 +104,7 @@
 }
 
 // upstreamCalls returns the calls of one grant round: one for each local
-// upstream that this host renews.
+// upstream that this host is responsible for.
 func (l *Loop) upstreamCalls() []upstreamCall {
 	var calls []upstreamCall
 	for i := range l.manifest.Services {
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -14,8 +14,8 @@
 )
 
 // readHostList refreshes the set of leaving addresses. If the list cannot be
-// read, the last set stays in force: it only makes this host stop using an
-// upstream earlier.
+// read, the last set is kept: it only makes this host stop using an upstream
+// earlier.
 func (l *Loop) readHostList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, l.opts.ProbeInterval)
 	defer cancel()
@@ -46,10 +46,11 @@
 	return err
 }
 
-// isResponsibleFor reports whether this host grants and probes the named upstream: whether
-// it is among the RenewersPerUpstream live hosts of its data centre with the highest
-// rendezvous score. Sharing this work limits the growth of each host's control
-// traffic. While fewer live hosts are known, e.g. at start, this host renews all.
+// isResponsibleFor reports whether this host sends grants and probes to the named
+// upstream: whether it is among the RenewersPerUpstream live hosts of its data centre
+// with the highest rendezvous score. Sharing this work limits the growth of each
+// host's control traffic. While fewer live hosts are known, e.g. at start, this host
+// is responsible for all upstreams.
 func (l *Loop) isResponsibleFor(upstream string) bool {
 	if l.opts.RenewersPerUpstream <= 0 {
 		return true
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -26,7 +26,9 @@
 	DataCentre string
 	// PollInterval is how often the log is read.
 	PollInterval time.Duration
-	// ProbeInterval is how often local upstreams are probed.
+	// ProbeInterval is how often this host sends grants and probes to local
+	// upstreams, besides after each change of manifest or placement; a grant counts
+	// as a probe. It is also the timeout of these calls and of reading the host list.
 	ProbeInterval time.Duration
 	// ProbeFailures is how many consecutive failed probes mark an upstream down.
 	ProbeFailures int
@@ -43,8 +45,8 @@
 	HeartbeatInterval time.Duration
 	// HeartbeatTimeout is how long a host counts as alive after its last heartbeat.
 	HeartbeatTimeout time.Duration
-	// RenewersPerUpstream is how many of a data centre's live entry hosts grant and
-	// probe each upstream; 0 means all of them.
+	// RenewersPerUpstream is how many of a data centre's live entry hosts send
+	// grants and probes to each upstream; 0 means all of them.
 	RenewersPerUpstream int
 	// HostList, if set, is read every HostListInterval. An upstream that it
 	// lists as leaving is removed from placement like one that is down.
@@ -52,7 +54,7 @@
 	HostListInterval time.Duration
 }
 
-// servicePlacement is the placement in force for one (service, data centre).
+// servicePlacement is the current placement of one service in one data centre.
 type servicePlacement struct {
 	state      placement.State
 	assignment *placement.Assignment
@@ -120,7 +122,7 @@
 		liveHosts: membership.NewView(opts.HeartbeatTimeout.Milliseconds())}
 }
 
-// Table returns the routing table in force, or nil before the first manifest
+// Table returns the current routing table, or nil before the first manifest
 // is read. It is safe for concurrent use.
 func (l *Loop) Table() *routing.Table { return l.table.Load() }
 
@@ -161,7 +163,8 @@
 		l.lastGrantRound = now
 		l.sendGrants(ctx)
 	}
-	// A successful read renews the view's age even if nothing changed.
+	// Publish after each successful read, even if nothing changed: the table carries
+	// the time of that read, from which routers compute the view's age.
 	if changed || err == nil {
 		l.publish()
 	}
@@ -204,8 +207,8 @@
 	}
 }
 
-// readLog reads all streams to their ends and reports whether the manifest or
-// the placement changed, also with an error.
+// readLog reads all streams to their ends and reports whether the manifest or the
+// placement changed. The report is valid even if it returns an error.
 func (l *Loop) readLog(ctx context.Context) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.opts.PollInterval*5)
 	defer cancel()
@@ -222,8 +225,8 @@
 
 // tail reads stream from *next to its end, passes each record to apply and
 // advances *next past it. It reports whether apply returned true for any record.
-// Records that expired before they were read are logged, because this host may
-// have missed state.
+// If records expired before they were read, it logs a warning, because this host
+// may have missed changes.
 func (l *Loop) tail(ctx context.Context, stream string, next *int64, apply func(*logsvcpb.Record) bool) (bool, error) {
 	changed := false
 	logReads.Inc()
@@ -251,7 +254,7 @@
 	})
 }
 
-// adoptManifest puts m into force and recomputes all assignments.
+// adoptManifest makes m the current manifest and recomputes all assignments.
 func (l *Loop) adoptManifest(m *manifest.Manifest, offset int64) {
 	l.manifest, l.manifestOffset = m, offset
 	// New weights in a manifest change shard lists without a new epoch, so every
--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// adoptState puts state s into force.
+// adoptState makes s the current placement of its service in its data centre.
 func (l *Loop) adoptState(s placement.State) {
 	p := l.placements[s.Key()]
 	if p == nil {
@@ -60,7 +60,7 @@
 		zap.String("data_centre", s.DataCentre), zap.Int64("epoch", s.Epoch), zap.Strings("members", s.Members))
 }
 
-// reassign recomputes p's assignment for state s under the manifest in force.
+// reassign recomputes p's assignment for state s under the current manifest.
 // Shards that change owner are in handover for one grant TTL, because the
 // previous owner may hold a valid grant for them until then.
 func (l *Loop) reassign(p *servicePlacement, s placement.State) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// publish stores a new routing table built from the state in force.
+// publish stores a new routing table built from the current manifest and placement.
 func (l *Loop) publish() {
 	if l.manifest == nil {
 		return
@@ -132,7 +132,7 @@
 }
 
 // propose appends a members record for each service whose wanted members in
-// this data centre differ from those in force. It makes at most one proposal per
+// this data centre differ from the current ones. It makes at most one proposal per
 // service and poll interval, so that a host that loses to concurrent proposals
 // backs off.
 func (l *Loop) propose(ctx context.Context, now time.Time) {
@@ -162,8 +162,9 @@
 
 // wantedMembers returns the sorted members that a service should have in this
 // data centre: the local upstreams that are up, not drained and not leaving. An
-// upstream that other hosts renew keeps its membership; without a placement it is
-// a member. The result is false until each upstream this host renews was probed.
+// upstream that other hosts are responsible for remains a member if it is one;
+// without a placement it becomes one. The result is false until each upstream that
+// this host is responsible for has been probed.
 func (l *Loop) wantedMembers(local []manifest.Upstream, cur *servicePlacement) ([]string, bool) {
 	var drained, members []string
 	if cur != nil {
@@ -205,18 +206,18 @@
 	offset, err := l.logClient.AppendAt(ctx, logservice.StreamPlacement, data, l.nextPlacementOffset)
 	switch {
 	case err == nil:
-		l.logger.Info("placement proposed", zap.Int("event", events.PlacementProposed), zap.String("kind", rec.Kind), zap.Int64("offset", offset))
+		l.logger.Info("placement record appended", zap.Int("event", events.PlacementProposed), zap.String("kind", rec.Kind), zap.Int64("offset", offset))
 	case isConflict(err):
-		l.logger.Info("placement proposal lost to a concurrent append", zap.Int("event", events.PlacementConflict), zap.Error(err))
+		l.logger.Info("placement record not appended: lost to a concurrent append", zap.Int("event", events.PlacementConflict), zap.Error(err))
 	default:
-		l.logger.Warn("placement proposal outcome unknown", zap.Int("event", events.PlacementUnknown), zap.Error(err))
+		l.logger.Warn("placement record append outcome unknown", zap.Int("event", events.PlacementUnknown), zap.Error(err))
 	}
 }
 
 // appendSnapshotIfDue appends a snapshot of the whole placement if SnapshotEvery
-// records have followed the last one or SnapshotInterval has passed, so that the
-// only record of a (service, data centre) never expires. Of concurrent snapshots
-// only one is appended, the others conflict.
+// records have followed the last one or SnapshotInterval has passed. Records expire,
+// so without snapshots the stream would lose a placement that does not change. Of
+// concurrent snapshots only one is appended, the others conflict.
 func (l *Loop) appendSnapshotIfDue(ctx context.Context, now time.Time) {
 	if len(l.placements) == 0 {
 		return
--- a/internal/hostlist/client.go
+++ b/internal/hostlist/client.go
@@ -18,8 +18,9 @@
 	Leaving State = "leaving"
 )
 
-// Host is one entry of the list. Addr is the address that a target listens on.
+// Host is one entry of the list.
 type Host struct {
+	// Addr is the address that the target on this host listens on.
 	Addr  string `json:"addr"`
 	State State  `json:"state"`
 }
@@ -43,7 +44,7 @@
 	return &Client{baseURL: baseURL, httpClient: httpClient}
 }
 
-// Leaving returns the set of addresses whose state is leaving.
+// Leaving returns the addresses of the hosts whose state is Leaving.
 func (c *Client) Leaving(ctx context.Context) (map[string]bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+"/hosts", nil)
 	if err != nil {
--- a/internal/logservice/client.go
+++ b/internal/logservice/client.go
@@ -92,7 +92,9 @@
 	First int64
 }
 
-// Read returns up to max records of stream, starting at offset from.
+// Read returns up to max records of stream, starting at offset from or at the oldest
+// retained record, whichever is later; a max of 0 means the log service's own limit.
+// If from is past the end, the batch has no records, but Next and First are set.
 func (c *Client) Read(ctx context.Context, stream string, from int64, max int) (*Batch, error) {
 	resp, err := c.rpc.Read(ctx, &logsvcpb.ReadRequest{Stream: stream, From: from, Max: int32(max)})
 	if err != nil {
@@ -103,7 +105,8 @@
 
 // Scan reads stream from offset from to its end, page by page, and calls visit for
 // each record. If the record at from has expired, it calls onGap with the oldest
-// retained offset. It returns the offset at which to continue, also with an error.
+// retained offset. It returns the offset at which to continue, even if it returns an
+// error.
 func (c *Client) Scan(ctx context.Context, stream string, from int64, onGap func(first int64), visit func(*logsvcpb.Record)) (int64, error) {
 	for {
 		b, err := c.Read(ctx, stream, from, 0)
@@ -123,17 +126,17 @@
 	}
 }
 
-// Last returns the newest record of stream, nil if it has none, and the stream's
-// next offset.
+// Last returns the newest retained record of stream, nil if there is none, and the
+// stream's next offset.
 func (c *Client) Last(ctx context.Context, stream string) (*logsvcpb.Record, int64, error) {
-	head, err := c.Read(ctx, stream, 1<<62, 1)
+	end, err := c.Read(ctx, stream, 1<<62, 1) // past the end, to get only the next offset
 	if err != nil {
 		return nil, 0, err
 	}
-	if head.Next == 0 {
+	if end.Next == 0 {
 		return nil, 0, nil
 	}
-	b, err := c.Read(ctx, stream, head.Next-1, 1)
+	b, err := c.Read(ctx, stream, end.Next-1, 1)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -7,6 +7,7 @@
 // upstreams' slots, so load is proportional to capacity.
 //
 // Assignments are computed, never stored. Every entry host derives the same one
-// from the same placement record, so hosts need to agree only on the record's
-// offset in the log (the epoch), not on 2.4 billion key owners.
+// from the same manifest and placement record, so hosts need to agree only on these
+// two records of the log, not on the owner of each of billions of keys. The
+// placement record's offset is the epoch.
 package placement
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -23,12 +23,14 @@
 type Assignment struct {
 	// Service is the service's name.
 	Service string
-	// Epoch is the log offset of the placement record that the assignment is
-	// computed from. It is the fencing token of grants and requests.
+	// Epoch is the log offset of the placement record from which, together with the
+	// manifest, the assignment is computed. It is the fencing token of grants and
+	// requests.
 	Epoch int64
 	// Members are the upstreams that may own shards, sorted by name.
 	Members []manifest.Upstream
-	// ownerIndex maps a shard to an index into Members, or unowned.
+	// ownerIndex maps a shard to an index into Members, or unowned. Without Members
+	// its entries mean nothing.
 	ownerIndex []uint16
 }
 
@@ -39,8 +41,9 @@
 	return AssignDataCentre(svc, members, epoch, nil, 0)
 }
 
-// AssignDataCentre assigns only the shards whose home is dc; other shards
-// have no owner. With nil homes it assigns all shards.
+// AssignDataCentre assigns only the shards whose home data centre is dc; other
+// shards have no owner. homes is the result of Homes, and dc an index into the same
+// list of data centres. With nil homes it assigns all shards.
 func AssignDataCentre(svc *manifest.Service, members []string, epoch int64, homes []uint8, dc uint8) *Assignment {
 	a := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
 	a.ownerIndex = make([]uint16, svc.ShardCount())
@@ -200,10 +203,11 @@
 	return homes
 }
 
-// Update returns the same assignment as AssignDataCentre, so that hosts with different
-// histories agree, but computes it from the previous one: a shard whose owner stays
-// can only move to a joining member, and only shards of leaving members are scored
-// against all members. If weights or the number of shards changed, it calls AssignDataCentre.
+// Update returns the same assignment as AssignDataCentre, so that hosts with
+// different histories agree, but computes it from the previous one, old: a shard
+// whose owner stays can only move to a joining member, and only shards without an
+// owner or of leaving members are scored against all members. If weights or the
+// number of shards changed, it calls AssignDataCentre.
 func Update(old *Assignment, svc *manifest.Service, members []string, epoch int64, homes []uint8, dc uint8) *Assignment {
 	next := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
 	remap, joiners, ok := diffMembers(old, next.Members, svc.ShardCount())
@@ -276,7 +280,7 @@
 
 // Pick returns the n candidates with the highest rendezvous score for key, highest
 // first, or all if there are no more than n. Entry hosts use it to divide work such
-// as renewing grants: hosts with the same list of candidates pick the same ones.
+// as sending grants: hosts with the same list of candidates pick the same ones.
 func Pick(key string, candidates []string, n int) []string {
 	type scored struct {
 		name  string
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -24,7 +24,7 @@
 	return &m.Services[0]
 }
 
-// placementSystem is the system under test: the assignment in force, which each
+// placementSystem is the system under test: the current assignment, which each
 // membership change replaces as the control loop does.
 type placementSystem struct {
 	svc    *manifest.Service
@@ -157,8 +157,9 @@
 	props.TestingRun(t)
 }
 
-// TestHomesAreDataCentresWithUpstreams checks that every shard's home is a data centre that has
-// upstreams of the service, and that each of these is home to some shards.
+// TestHomesAreDataCentresWithUpstreams checks that every shard's home is a data
+// centre that has upstreams of the service, and that each of these is home to some
+// shards. In any other data centre a shard would never have an owner.
 func TestHomesAreDataCentresWithUpstreams(t *testing.T) {
 	m := manifest.Generate("t", []string{"a", "b", "c"}, []manifest.ServiceSize{{Name: "svc", Upstreams: 2}}, 3, 10, 1)
 	homes := Homes(&m.Services[0], m.DataCentres)
--- a/internal/placement/record.go
+++ b/internal/placement/record.go
@@ -36,8 +36,9 @@
 	DataCentre string `json:"data_centre"`
 	// Members are the upstreams that may own shards, sorted by name.
 	Members []string `json:"members"`
-	// Drained are the upstreams that an operator has drained; they stay out of
-	// Members until the manifest no longer lists them.
+	// Drained are the upstreams that an operator has excluded from Members. Only the
+	// operator ends the exclusion (drain --undo); removing an upstream from the
+	// manifest and listing it again does not.
 	Drained []string `json:"drained,omitempty"`
 	// Epoch is the offset of the record that set this state. The reader fills it in
 	// for KindMembers; a snapshot carries it.
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -14,16 +14,18 @@
 	"github.com/papayatide/papayatide/internal/target"
 )
 
-// requestFingerprint returns the fingerprint of req: requests that ask for the
-// same have the same one, whatever their ID.
+// requestFingerprint returns the fingerprint of req. Requests with the same method,
+// service, key and body have the same fingerprint, whatever their ID.
 func requestFingerprint(req *target.Request) crashes.Fingerprint {
+	// The key is a string, so it is passed as URI. crashes.Request.Key holds numeric
+	// keys; -1 means that there is none.
 	return crashes.Request{Method: req.Method, Host: req.Service, URI: req.Key, Key: -1, Body: req.Body}.Fingerprint()
 }
 
-// refusedFor returns how much longer requests with req's fingerprint are refused;
-// zero if they are not. Without refusals, a request that had crashed three targets
-// went on to crash the next owner of its shard or the next incarnation of the same
-// target: 18 crashes in 10 s with one caller.
+// refusedFor returns how much longer requests with req's fingerprint are refused; zero
+// if they are not, or if req is allowed as a trial. Without refusals, a request that
+// has crashed three targets goes on to crash the next owner of its shard or the next
+// incarnation of the same target: a single caller can cause 18 crashes in 10 s.
 func (rt *Router) refusedFor(req *target.Request, now time.Time) time.Duration {
 	if !rt.crashes.HasCrashes() {
 		return 0
@@ -35,17 +37,19 @@
 	return 0
 }
 
-// crashWindow is the time within which broken sends to a target count as one
-// crash: several requests with one fingerprint may be in flight when it crashes.
+// crashWindow is the length of the windows into which the time since the router's
+// start is divided. Requests with one fingerprint that fail within one window because
+// their target crashed count as one crash: several may be in flight when it crashes.
 const crashWindow = 100 * time.Millisecond
 
-// recordOutcome records whether a target crashed or succeeded under a request. The
-// manifest names servers, not incarnations, so time distinguishes crashes.
+// recordOutcome records whether the target crashed while it ran req, or completed it.
+// The manifest does not tell a target's incarnations apart, so the number of the crash
+// window stands in for the incarnation.
 func (rt *Router) recordOutcome(resp *target.Response, err error, req *target.Request, route routing.Route, now time.Time) {
 	switch {
 	case errors.Is(err, target.ErrCrashed):
-		incarnation := fmt.Sprint(route.Upstream.Name, "@", int64(now.Sub(rt.started)/crashWindow))
-		rt.crashes.RecordCrash(crashes.Crash{Fingerprint: requestFingerprint(req), Server: incarnation, At: now})
+		crashID := fmt.Sprint(route.Upstream.Name, "@", int64(now.Sub(rt.started)/crashWindow))
+		rt.crashes.RecordCrash(crashes.Crash{Fingerprint: requestFingerprint(req), Server: crashID, At: now})
 	case err == nil && completed(resp) && rt.crashes.HasCrashes():
 		rt.crashes.RecordSuccess(requestFingerprint(req))
 	default:
--- a/internal/router/report.go
+++ b/internal/router/report.go
@@ -13,7 +13,8 @@
 )
 
 // reportHeaders are the response headers in which targets report about
-// themselves. Targets report no rate limit.
+// themselves. The names of the rate-limit and leaving headers are empty, because
+// targets do not send them.
 var reportHeaders = protocol.Headers{NotRun: target.HeaderNotRun}
 
 // recordReport records what a target's response states about the target itself.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -48,7 +48,7 @@
 	// RetryAfter is the retry delay in refusals with a temporary cause.
 	RetryAfter time.Duration
 	// LatencyObjective is the latency above which a request counts as slow in the
-	// burn report.
+	// error-budget burn report.
 	LatencyObjective time.Duration
 }
 
@@ -61,7 +61,7 @@
 	// OnFenced is called when a target rejects a fencing token, so that the
 	// control loop reads the log; it must not block.
 	OnFenced func(upstream string)
-	// Burns counts requests for the service-level burn report.
+	// Burns counts requests for the error-budget burn report.
 	Burns *burn.Recorder
 	// crashes tracks the targets that crashed while they ran this host's requests.
 	crashes *crashes.Tracker
@@ -70,7 +70,7 @@
 	started time.Time
 }
 
-// New returns a router that reads the routing table in force from table.
+// New returns a router that gets the current routing table by calling table.
 func New(opts Options, table func() *routing.Table, targets *target.Client, log *zap.Logger) *Router {
 	rt := &Router{started: time.Now(), opts: opts, table: table, targets: targets, log: log, OnFenced: func(string) {},
 		reports: feedback.NewTracker(), Burns: burn.NewRecorder(opts.LatencyObjective)}
@@ -84,7 +84,7 @@
 func (rt *Router) Crashes() *crashes.Tracker { return rt.crashes }
 
 // unknownLabel replaces service names that are not in the manifest in metrics
-// and burn counts.
+// and error-budget counts.
 const unknownLabel = "_unknown"
 
 // ServeHTTP implements http.Handler for paths /{service}/{key...}.
@@ -100,8 +100,8 @@
 		writeResponse(w, resp)
 	}
 	// Callers choose the path, so a name that is not in the manifest must not become
-	// a label: random names would grow the metrics and burn counts until the host
-	// ran out of memory.
+	// a label: random names would grow the metrics and error-budget counts until the
+	// host ran out of memory.
 	if t := rt.table(); t == nil || t.Services[service] == nil {
 		service = unknownLabel
 	}
@@ -188,36 +188,37 @@
 // forwardRefusal returns the refusal for a forwarding error. The outcome is "not
 // run" if the request was not sent, and unknown if it was sent without a response.
 func (rt *Router) forwardRefusal(err error, req *target.Request, route routing.Route) *refusal.Refusal {
-	peer := route.Upstream.Name
-	rt.log.Info("forward failed", zap.Int("event", events.ForwardFailed), zap.String("peer", peer), zap.Error(err))
+	upstream := route.Upstream.Name
+	rt.log.Info("forward failed", zap.Int("event", events.ForwardFailed), zap.String("peer", upstream), zap.Error(err))
 	if errors.Is(err, target.ErrNotSent) {
-		return refusal.New(refusal.OwnerUnreachable, StepForward, peer, refusal.NotRun, rt.opts.RetryAfter, err.Error())
+		return refusal.New(refusal.OwnerUnreachable, StepForward, upstream, refusal.NotRun, rt.opts.RetryAfter, err.Error())
 	}
 	if idempotent(req.Method) {
-		return refusal.New(refusal.OwnerUnreachable, StepForward, peer, refusal.Unknown, rt.opts.RetryAfter, err.Error())
+		return refusal.New(refusal.OwnerUnreachable, StepForward, upstream, refusal.Unknown, rt.opts.RetryAfter, err.Error())
 	}
-	return refusal.New(refusal.OutcomeUnknown, StepForward, peer, refusal.Unknown, rt.opts.RetryAfter, err.Error())
+	return refusal.New(refusal.OutcomeUnknown, StepForward, upstream, refusal.Unknown, rt.opts.RetryAfter, err.Error())
 }
 
 // checkResponse returns a target's response, or a refusal if the target marked the
-// request as not run, or if the response carries another request's ID and so must
-// not reach this caller.
+// request as not run. It also refuses if a response with a status below 300 does not
+// carry this request's ID: it may belong to another request, and must not reach this
+// caller.
 func (rt *Router) checkResponse(resp *target.Response, req *target.Request, route routing.Route) (*target.Response, *refusal.Refusal) {
-	peer := route.Upstream.Name
+	upstream := route.Upstream.Name
 	if resp.Header.Get(target.HeaderNotRun) == "1" {
 		switch resp.Status {
 		case http.StatusConflict:
-			rt.OnFenced(peer)
-			return nil, refusal.New(refusal.Fenced, StepForward, peer, refusal.NotRun, rt.opts.RetryAfter, string(resp.Body))
+			rt.OnFenced(upstream)
+			return nil, refusal.New(refusal.Fenced, StepForward, upstream, refusal.NotRun, rt.opts.RetryAfter, string(resp.Body))
 		default:
-			backoff := max(rt.opts.RetryAfter, rt.reports.Backoff(peer, time.Now()))
-			return nil, refusal.New(refusal.Shed, StepForward, peer, refusal.NotRun, backoff, string(resp.Body))
+			backoff := max(rt.opts.RetryAfter, rt.reports.Backoff(upstream, time.Now()))
+			return nil, refusal.New(refusal.Shed, StepForward, upstream, refusal.NotRun, backoff, string(resp.Body))
 		}
 	}
 	if resp.Status < 300 && resp.Header.Get(target.HeaderRequestID) != req.RequestID {
-		rt.log.Warn("response belongs to another request", zap.Int("event", events.MismatchedResponse), zap.String("peer", peer),
+		rt.log.Warn("response has a different request ID or none", zap.Int("event", events.MismatchedResponse), zap.String("peer", upstream),
 			zap.String("want", req.RequestID), zap.String("got", resp.Header.Get(target.HeaderRequestID)))
-		return nil, refusal.New(refusal.MismatchedResponse, StepResponse, peer, refusal.Unknown, rt.opts.RetryAfter, "answer belongs to another request")
+		return nil, refusal.New(refusal.MismatchedResponse, StepResponse, upstream, refusal.Unknown, rt.opts.RetryAfter, "answer belongs to another request")
 	}
 	return resp, nil
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -16,7 +16,7 @@
 	Spec *manifest.Service
 	// Homes maps a shard to its home data centre's index in the manifest.
 	Homes []uint8
-	// ByDC holds the assignment in force by data centre index; nil until that
+	// ByDC holds the current assignment by data centre index; nil until that
 	// data centre's first placement record is read.
 	ByDC []*placement.Assignment
 	// HandoverUntil maps a shard that changed owner to the time until which the
