--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -62,11 +62,11 @@
 	err      error
 }
 
-// sendGrants concurrently sends each local member its grant at the epoch in
-// force and probes local upstreams that are not members. A member gets the full
-// shard list once per epoch and renewals after that; its reply counts as its
-// health probe. A target rejects a grant with an older epoch than the one it
-// holds, so a host with a stale view cannot revert it.
+// sendGrants runs one grant round: concurrent calls to the local upstreams that this
+// host is responsible for. A member gets a grant at the current epoch, any other
+// upstream a probe. The grant has the full shard list once per epoch and is a renewal
+// after that; the reply to it counts as a health probe. A target rejects a grant with
+// an older epoch than the one it holds, so a host with a stale view cannot revert it.
 func (l *Loop) sendGrants(ctx context.Context) {
 	if l.manifest == nil {
 		return
@@ -104,26 +104,26 @@
 }
 
 // upstreamCalls returns the calls of one grant round: one for each local
-// upstream that this host renews.
+// upstream that this host is responsible for.
 func (l *Loop) upstreamCalls() []upstreamCall {
 	var calls []upstreamCall
 	for i := range l.manifest.Services {
 		svc := &l.manifest.Services[i]
-		st := l.states[svc.Name+"/"+l.opts.DataCentre]
+		p := l.placements[svc.Name+"/"+l.opts.DataCentre]
 		for _, u := range l.localUpstreams(svc) {
-			if !l.isRenewer(u.Name) {
+			if !l.isResponsibleFor(u.Name) {
 				continue
 			}
-			if st == nil || st.assignment == nil || !slices.ContainsFunc(st.assignment.Members, func(m manifest.Upstream) bool { return m.Name == u.Name }) {
+			if p == nil || p.assignment == nil || !slices.ContainsFunc(p.assignment.Members, func(m manifest.Upstream) bool { return m.Name == u.Name }) {
 				calls = append(calls, upstreamCall{upstream: u})
 				continue
 			}
-			g := &target.Grant{Service: svc.Name, Epoch: st.state.Epoch, Since: st.sinceEpoch[u.Name],
+			g := &target.Grant{Service: svc.Name, Epoch: p.state.Epoch, Since: p.sinceEpoch[u.Name],
 				TTLMs: l.opts.GrantTTL.Milliseconds()}
 			if l.grantedEpoch[u.Name] == g.Epoch {
 				g.Renew = true
 			} else {
-				g.Shards = st.assignment.ShardsOf(u.Name)
+				g.Shards = p.assignment.ShardsOf(u.Name)
 			}
 			calls = append(calls, upstreamCall{upstream: u, grant: g})
 		}
