--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -104,8 +104,8 @@
 	return h.now.Sub(start)
 }
 
-// upstreamADown fails the grants to upstream a and all releases.
-func upstreamADown(a Action) error {
+// upstreamAUnresponsive fails the grants to upstream a and all releases.
+func upstreamAUnresponsive(a Action) error {
 	switch a := a.(type) {
 	case *Grant:
 		if a.Addr == "a" {
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -33,11 +33,11 @@
 	}
 }
 
-// previousGrants bounds the grants of previous planners.
-type previousGrants struct {
+// previousPlanners bounds the grants of previous planners.
+type previousPlanners struct {
 	planners []*previousPlanner
-	// lostBounds holds earlier bounds for owners that the last planner had marked as lost.
-	lostBounds map[string]bootclock.Time
+	// lostOwnerDeadlines holds earlier bounds for owners that the last planner had marked as lost.
+	lostOwnerDeadlines map[string]bootclock.Time
 }
 
 // termSeenAt returns when the term of base was first seen, or now if it is new
@@ -49,11 +49,11 @@
 	return now
 }
 
-// lostBounds returns the bounds for owners that base marks as lost. Its planner
+// lostOwnerDeadlines returns the bounds for owners that base marks as lost. Its planner
 // had stopped sending to them when the mark was seen. The planners before it
 // had lost the lease before its first record, and send nothing later than
 // MaxViewAge after that.
-func (h *history) lostBounds(base *ownership.Table, opts *Options) map[string]bootclock.Time {
+func (h *history) lostOwnerDeadlines(base *ownership.Table, opts *Options) map[string]bootclock.Time {
 	out := map[string]bootclock.Time{}
 	if h == nil || base == nil || base.Term != h.newestTerm {
 		return out
@@ -66,16 +66,16 @@
 
 // grantsUntil returns the latest time at which a previous planner may send a
 // grant to any owner.
-func (g *previousGrants) grantsUntil() bootclock.Time {
+func (g *previousPlanners) grantsUntil() bootclock.Time {
 	return g.latest(func(p *previousPlanner) bootclock.Time { return p.grantsUntil })
 }
 
 // dialsUntil returns the latest time at which one may open a connection for a grant.
-func (g *previousGrants) dialsUntil() bootclock.Time {
+func (g *previousPlanners) dialsUntil() bootclock.Time {
 	return g.latest(func(p *previousPlanner) bootclock.Time { return p.dialsUntil })
 }
 
-func (g *previousGrants) latest(bound func(*previousPlanner) bootclock.Time) bootclock.Time {
+func (g *previousPlanners) latest(bound func(*previousPlanner) bootclock.Time) bootclock.Time {
 	last := bootclock.Time(0)
 	for _, p := range g.planners {
 		last = max(last, bound(p))
@@ -85,8 +85,8 @@
 
 // grantsUntilFor returns the latest time at which a previous planner may send a
 // grant to the owner.
-func (g *previousGrants) grantsUntilFor(owner string) bootclock.Time {
-	if at, ok := g.lostBounds[owner]; ok {
+func (g *previousPlanners) grantsUntilFor(owner string) bootclock.Time {
+	if at, ok := g.lostOwnerDeadlines[owner]; ok {
 		return min(at, g.grantsUntil())
 	}
 	return g.grantsUntil()
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -13,7 +13,7 @@
 
 // A planner whose host is being shut down must go on renewing its grants until the next
 // planner does. It must not release keys, because it could not assign them to another owner.
-func TestResignedPlannerRenewsGrants(t *testing.T) {
+func TestPlannerRenewsGrantsDuringShutdown(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	h.p.Resign()
@@ -90,7 +90,7 @@
 			t.Errorf("result %v: a completed grant still counts as in flight", result)
 		}
 		h.simulate(2*time.Second, succeedAll)
-		h.simulateUntilMoved(upstreamADown)
+		h.simulateUntilMoved(upstreamAUnresponsive)
 	}
 }
 
--- a/internal/planner/limiter.go
+++ b/internal/planner/limiter.go
@@ -12,25 +12,25 @@
 // keys reassigned without a handover may reach within one warm-up time.
 // Requests for such keys take about five times as long, so this fraction
 // occupies half of the owners' time.
-const coldKeyLoadFraction = 0.1
+const noHandoverLoadFraction = 0.1
 
-// placementLimiter delays the reassignment of lost owners' keys when many
+// reassignmentLimiter delays the reassignment of lost owners' keys when many
 // owners are lost at once; see the package comment.
-type placementLimiter struct {
+type reassignmentLimiter struct {
 	// warmUp is how long requests for keys are slow after a reassignment without a
 	// handover; 0 if they are not.
 	warmUp time.Duration
 	// loadByKey is the load on each key, capacity the total capacity of the owners.
 	loadByKey []float64
 	capacity  float64
-	// placedLoad is the load on recently reassigned keys at updatedAt. It
+	// reassignedLoad is the load on recently reassigned keys at updatedAt. It
 	// decays with time constant warmUp.
-	placedLoad float64
-	updatedAt  bootclock.Time
+	reassignedLoad float64
+	updatedAt      bootclock.Time
 }
 
 // setLoad sets the warm-up time and the current load.
-func (l *placementLimiter) setLoad(warmUp time.Duration, load ownership.Load) {
+func (l *reassignmentLimiter) setLoad(warmUp time.Duration, load ownership.Load) {
 	l.warmUp, l.loadByKey, l.capacity = warmUp, load.ByKey, 0
 	for _, c := range load.Capacity {
 		l.capacity += c
@@ -38,18 +38,18 @@
 }
 
 // allow reports whether the keys of s may be reassigned now, and if so counts their load.
-func (l *placementLimiter) allow(s span, now bootclock.Time) bool {
+func (l *reassignmentLimiter) allow(s span, now bootclock.Time) bool {
 	if l.warmUp == 0 || len(l.loadByKey) == 0 {
 		return true
 	}
-	l.placedLoad *= math.Exp(-now.Sub(l.updatedAt).Seconds() / l.warmUp.Seconds())
+	l.reassignedLoad *= math.Exp(-now.Sub(l.updatedAt).Seconds() / l.warmUp.Seconds())
 	l.updatedAt = now
-	budget := l.capacity * coldKeyLoadFraction
-	if l.placedLoad >= budget {
+	budget := l.capacity * noHandoverLoadFraction
+	if l.reassignedLoad >= budget {
 		return false
 	}
 	for k := s.from; k <= s.to; k++ {
-		l.placedLoad += min(l.loadByKey[k], budget)
+		l.reassignedLoad += min(l.loadByKey[k], budget)
 	}
 	return true
 }
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -110,12 +110,12 @@
 	}
 	for !answerLost {
 		// Postpone the load check until a grant's answer has been lost.
-		h.p.services[simService].nextRebalance = h.now.Add(rebalanceInterval)
+		h.p.terms[simService].nextRebalance = h.now.Add(rebalanceInterval)
 		h.simulate(simStep, answer)
 	}
 	before := h.table
 	h.simulate(2*time.Second, answer)
-	if n := len(h.p.services[simService].moves); n > 0 {
+	if n := len(h.p.terms[simService].moves); n > 0 {
 		t.Errorf("%d moves started while the owner's grant was unanswered", n)
 	}
 	h.simulate(2*time.Second, answer)
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -21,7 +21,7 @@
 	// once one was answered.
 	releaseInFlight *Release
 	released        bool
-	handover        string
+	handoverToken   string
 	nextRelease     bootclock.Time
 	// releaseFailed is set once a release failed. Until relistUntil an owner
 	// that answers again is given time to be listed again.
@@ -45,16 +45,16 @@
 // lacksHandover reports whether the move's keys come without a handover because
 // their owner was lost or is gone.
 func (m *move) lacksHandover() bool {
-	return m.handover == "" && (m.cause == causeLost || m.cause == causeGone)
+	return m.handoverToken == "" && (m.cause == causeLost || m.cause == causeGone)
 }
 
 const (
 	// rebalanceInterval is the interval between load checks.
 	rebalanceInterval = 250 * time.Millisecond
-	// ownerlessCheckInterval is that interval while keys need an owner. A check takes
+	// newOwnerCheckInterval is that interval while keys need an owner. A check takes
 	// some milliseconds: with one per tick, a planner whose upstreams restarted one
 	// after another was too busy to renew its lease and lost it three times.
-	ownerlessCheckInterval = 100 * time.Millisecond
+	newOwnerCheckInterval = 100 * time.Millisecond
 )
 
 // minSamples is how many requests a load estimate must rest on before keys are
@@ -64,20 +64,20 @@
 // maxLeaseAge is how recently the lease must have been renewed for the planner
 // to move keys for load, to open connections for grants and to rely on being
 // the only writer of the ownership stream.
-const maxLeaseAge = 900 * time.Millisecond
+const recentRenewalAge = 900 * time.Millisecond
 
 // planMoves starts the moves that the current owners and load require.
 func (t *term) planMoves(now bootclock.Time) {
 	if t.awaitingRegistrations(now) {
 		return
 	}
-	if now.Before(t.nextOwnerlessCheck) || (now.Before(t.nextRebalance) && !t.hasOwnerlessKeys(now)) {
+	if now.Before(t.nextNewOwnerCheck) || (now.Before(t.nextRebalance) && !t.hasKeysNeedingNewOwner(now)) {
 		return
 	}
-	t.nextRebalance, t.nextOwnerlessCheck = now.Add(rebalanceInterval), now.Add(ownerlessCheckInterval)
+	t.nextRebalance, t.nextNewOwnerCheck = now.Add(rebalanceInterval), now.Add(newOwnerCheckInterval)
 	t.cancelMovesOfReturnedOwners(now)
 	t.startExclusions(now)
-	owners := t.eligibleOwners(now)
+	owners := t.eligibleUpstreams(now)
 	if len(owners) == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 func (t *term) loadAndLimits(owners []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
 	load, samples := t.p.Load(t.name, owners)
 	load.SlowToMove = t.ownersWithUnansweredGrants(owners, now)
-	if t.neverAssigned() {
+	if t.noKeyAssigned() {
 		// Requests that were refused because no key has an owner say little
 		// about load: after ten of them, those ten keys would be spread out and
 		// all others left in one range.
@@ -108,7 +108,7 @@
 	lim := t.p.Limits
 	moveBudget := max(lim.MaxMoves, min(len(owners)/ownersPerMove, maxLoadMoves))
 	lim.MaxMoves = max(moveBudget-t.loadMoveCount(), 0)
-	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > maxLeaseAge {
+	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > recentRenewalAge {
 		// Keys released while the log is not writable would have no owner until it is.
 		lim.MaxMoves = 0
 	}
@@ -123,7 +123,7 @@
 	out := map[string]bool{}
 	for _, u := range owners {
 		srv := t.server(u.ID)
-		if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= t.p.opts.maxGrantTTL() {
+		if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= t.p.opts.maxGrantValidity() {
 			out[u.ID] = true
 		}
 	}
@@ -150,7 +150,7 @@
 func (t *term) moveToNewIncarnations(now bootclock.Time) bool {
 	found := false
 	for _, r := range t.table.Ranges {
-		if u := t.newerIncarnation(r.Owner); u != nil && !t.ineligible(u) && !t.excluded(u.ID, now) {
+		if u := t.newerIncarnation(r.Owner); u != nil && !t.drainingOrCold(u) && !t.unavailable(u.ID, now) {
 			t.startMove(ownership.Move{From: r.From, To: r.To, NewOwner: u.ID}, now)
 			found = true
 		}
@@ -162,7 +162,7 @@
 // registering before the first assignment. Without the wait the first ones
 // would get all keys.
 func (t *term) awaitingRegistrations(now bootclock.Time) bool {
-	if !t.neverAssigned() {
+	if !t.noKeyAssigned() {
 		return false
 	}
 	reg := t.p.registrations[t.name]
@@ -173,17 +173,17 @@
 	return elapsed < minRegistrationWait || (now.Sub(reg.lastAt) < registrationQuiet && elapsed < maxRegistrationWait)
 }
 
-// neverAssigned reports whether no key has had an owner yet.
-func (t *term) neverAssigned() bool {
+// noKeyAssigned reports whether no key has had an owner yet.
+func (t *term) noKeyAssigned() bool {
 	return !slices.ContainsFunc(t.table.Ranges, func(r ownership.Range) bool { return r.Owner != "" })
 }
 
-// hasOwnerlessKeys reports whether a range that is not being moved has no
+// hasKeysNeedingNewOwner reports whether a range that is not being moved has no
 // owner, or one that cannot keep it.
-func (t *term) hasOwnerlessKeys(now bootclock.Time) bool {
+func (t *term) hasKeysNeedingNewOwner(now bootclock.Time) bool {
 	for _, r := range t.table.Ranges {
 		u := t.upstreams[r.Owner]
-		if u != nil && !t.ineligible(u) && !t.excluded(r.Owner, now) {
+		if u != nil && !t.drainingOrCold(u) && !t.unavailable(r.Owner, now) {
 			continue
 		}
 		if len(t.subtractMoves(span{r.From, r.To})) > 0 {
@@ -230,14 +230,14 @@
 // owner acknowledged this term's token had no owner until those grants expired,
 // 9.2 s later. The owner acknowledges the token with its first grant, or is lost.
 func (t *term) mayStartMove(old ownership.Range, now bootclock.Time) bool {
-	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantTTL() {
+	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previous.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantValidity() {
 		return true
 	}
 	srv := t.server(old.Owner)
-	if t.upstreams[old.Owner] == nil || srv.lost {
+	if t.upstreams[old.Owner] == nil || srv.unresponsive {
 		return true
 	}
-	return srv.incarnation == old.Owner && srv.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
+	return srv.incarnation == old.Owner && srv.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previous.dialsUntil()) > maxGrantDelay
 }
 
 // insertMove inserts m in the order of the keys.
@@ -268,9 +268,9 @@
 		return causeLeaving
 	case u.HandingOver():
 		return causeEvacuated
-	case t.excluded(owner, now):
+	case t.unavailable(owner, now):
 		return causeLost
-	case t.ineligible(u):
+	case t.drainingOrCold(u):
 		return causeCold
 	}
 	return causeLoad
@@ -314,7 +314,7 @@
 	if t.restoreOwner(r.Range.Owner, now) {
 		return
 	}
-	m.released, m.handover = true, handover
+	m.released, m.handoverToken = true, handover
 	if m.releaseFailed {
 		m.relistUntil = now.Add(relistGrace)
 	}
@@ -331,11 +331,11 @@
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool {
 		u := t.upstreams[m.old.Owner]
 		wasUnlisted := m.cause == causeLeaving || m.cause == causeGone
-		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.ineligible(u) || (!m.released && !wasUnlisted) {
+		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.drainingOrCold(u) || (!m.released && !wasUnlisted) {
 			return false
 		}
 		srv := t.server(u.ID)
-		srv.lost, srv.answeredAt = false, now
+		srv.unresponsive, srv.answeredAt = false, now
 		return true
 	})
 	t.syncGrants(now)
@@ -346,10 +346,10 @@
 // only the answers to its grants were lost. Moves with a release in flight go on.
 func (t *term) restoreOwner(id string, now bootclock.Time) bool {
 	srv, u := t.server(id), t.upstreams[id]
-	if !srv.lost || u == nil || t.ineligible(u) || t.pendingAppend != nil {
+	if !srv.unresponsive || u == nil || t.drainingOrCold(u) || t.pendingAppend != nil {
 		return false
 	}
-	srv.lost = false
+	srv.unresponsive = false
 	srv.answeredAt = now
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return m.old.Owner == id && m.releaseInFlight == nil })
 	t.syncGrants(now)
@@ -365,12 +365,12 @@
 		owns[catalogue.ServerID(r.Owner)] = true
 	}
 	for server, srv := range t.servers {
-		if !srv.lost || owns[server] || srv.grantsInFlight > 0 {
+		if !srv.unresponsive || owns[server] || srv.grantsInFlight > 0 {
 			continue
 		}
-		srv.lost = false
-		srv.excludedUntil = now.Add(min(minExclusion<<min(srv.losses, 4), maxExclusion))
-		srv.losses++
+		srv.unresponsive = false
+		srv.excludedUntil = now.Add(min(minExclusion<<min(srv.timesUnresponsive, 4), maxExclusion))
+		srv.timesUnresponsive++
 		srv.grantSent = false
 	}
 }
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -13,13 +13,13 @@
 // A host loses the planner lease and regains it while an upstream is down. Its past
 // term knows when the last grant was sent, so the upstream's keys must not wait for
 // grants that another planner may have sent: they would have no owner for 10 s.
-func TestOwnPastTermGivesExactGrantBounds(t *testing.T) {
+func TestRegainedLeaseDoesNotDelayMoves(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
-	h.simulate(2*time.Second, upstreamADown)
+	h.simulate(2*time.Second, upstreamAUnresponsive)
 	// The lease is lost and regained without another planner in between.
 	h.p.dropTerms()
-	if took := h.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
+	if took := h.simulateUntilMoved(upstreamAUnresponsive); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("keys moved %v after the start of the second term, want at most 1.5 grant TTLs", took)
 	}
 }
@@ -39,13 +39,13 @@
 		}
 	}
 	run(12*time.Second, succeedAll)
-	run(1900*time.Millisecond, upstreamADown)
+	run(1900*time.Millisecond, upstreamAUnresponsive)
 	if !h.table.IsLost("a") || !owns(h.table, "a") {
 		t.Fatal("setup: upstream a should be marked as lost and still own keys")
 	}
 	h.p = next
 	next.AdvanceStreamEnd(h.streamEnd)
-	if took := h.simulateUntilMoved(upstreamADown); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
+	if took := h.simulateUntilMoved(upstreamAUnresponsive); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("keys moved %v after the change of planner, want at most 1.5 grant TTLs", took)
 	}
 }
@@ -53,7 +53,7 @@
 // The keys of an owner that stops answering must move once its grants are certain to
 // have expired, and no later: at least one grant TTL after the last grant that may have
 // arrived, and at most 1.5 grant TTLs after the owner's last answer.
-func TestSilentOwnersKeysMoveOnceGrantsExpire(t *testing.T) {
+func TestUnresponsiveOwnersKeysMoveOnceGrantsExpire(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	silentSince := h.now
@@ -235,7 +235,7 @@
 // it sends no more grants, the upstream's keys must wait for one grant TTL only. A
 // confirmation by a host of another name at its address must not count; the keys then
 // wait for all grants that the previous planner may send, 9.2 s.
-func TestDeadOwnersKeysDoNotWaitForRetiredPlanner(t *testing.T) {
+func TestLostOwnersKeysDoNotWaitForRetiredPlanner(t *testing.T) {
 	timeUntilMoved := func(answeringHost string) time.Duration {
 		h := newHarness(t, "a", "b")
 		h.simulate(12*time.Second, succeedAll)
@@ -249,7 +249,7 @@
 			if r, ok := a.(*Retire); ok {
 				h.p.RetireDone(r, answeringHost, true, h.now)
 			}
-			return upstreamADown(a)
+			return upstreamAUnresponsive(a)
 		})
 	}
 	if took := timeUntilMoved("other"); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
@@ -346,7 +346,7 @@
 	if !owns(h.table, "a") {
 		t.Error("upstream a lost its keys")
 	}
-	if remaining := h.p.services[simService].moves; len(remaining) != 0 {
+	if remaining := h.p.terms[simService].moves; len(remaining) != 0 {
 		t.Errorf("%d moves are still in progress", len(remaining))
 	}
 }
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -32,9 +32,9 @@
 	renewalsPerTTL = 3
 	// grantRetryDelay is the delay before a failed grant is retried.
 	grantRetryDelay = 100 * time.Millisecond
-	// lostAfterFraction is the fraction of the grant TTL without an answer to
+	// unresponsiveAfterFraction is the fraction of the grant TTL without an answer to
 	// any grant after which an upstream is considered lost.
-	lostAfterFraction = 0.5
+	unresponsiveAfterFraction = 0.5
 	// releaseRetryDelay is the delay before a failed release is retried.
 	releaseRetryDelay = 800 * time.Millisecond
 	// minExclusion is how long an upstream that was lost gets no keys, even if
@@ -63,7 +63,7 @@
 	// rebalancing. An owner's load estimate rests on about fifty requests, so
 	// chance alone sometimes makes it a third too high.
 	highWatermark, lowWatermark = 1.35, 1.05
-	maxMoves                    = 24
+	baseLoadMoves               = 24
 	// ownersPerMove raises the number of concurrent load moves in a large
 	// service to one for this many owners. A move takes about a second, mostly
 	// to wait for requests in flight, and a hot region of 200 keys needs 150
@@ -93,8 +93,8 @@
 	minAcquireInterval = 200 * time.Millisecond
 )
 
-// maxGrantTTL returns the longest time for which an upstream may keep keys
+// maxGrantValidity returns the longest time for which an upstream may keep keys
 // after a grant was sent to it.
-func (o *Options) maxGrantTTL() time.Duration {
+func (o *Options) maxGrantValidity() time.Duration {
 	return time.Duration(float64(o.GrantTTL)*(1+maxClockDrift)) + maxGrantDelay
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -26,9 +26,9 @@
 	// therefore limited.
 	Cold func(*catalogue.Upstream) bool
 
-	lease    plannerLease
-	resigned bool
-	services map[string]*term
+	lease        plannerLease
+	shuttingDown bool
+	terms        map[string]*term
 	// pastTerms holds each service's last ended term of this process.
 	pastTerms map[string]*term
 	histories map[string]*history
@@ -88,15 +88,15 @@
 	member          bool
 	renewedAt       bootclock.Time
 	requestInFlight bool
-	// lastAnswerAt is when the last lease request completed, nextRequestAt when
+	// lastCompletedAt is when the last lease request completed, nextRequestAt when
 	// the next one is due.
-	lastAnswerAt, nextRequestAt bootclock.Time
+	lastCompletedAt, nextRequestAt bootclock.Time
 }
 
 // New returns a planner that does not hold the lease.
 func New(opts Options) *Planner {
-	return &Planner{opts: opts, services: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
-		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: maxMoves},
+	return &Planner{opts: opts, terms: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
+		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: baseLoadMoves},
 		Load: func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 			return ownership.Load{Capacity: slotsByID(owners)}, 0
 		},
@@ -128,7 +128,7 @@
 // resigned, every append was answered and no grant was fenced. Otherwise only a
 // read shows where the stream ends; without it every later append would conflict.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
-	return p.HoldsLease(now) && !p.resigned && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= maxLeaseAge
+	return p.HoldsLease(now) && !p.shuttingDown && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= recentRenewalAge
 }
 
 // Tick returns the calls to make now.
@@ -138,7 +138,7 @@
 	if a := p.dueAcquireLease(now, v); a != nil {
 		out = append(out, a)
 	}
-	if p.shouldReleaseLease(now) {
+	if p.shouldLeaveElection(now) {
 		p.lease.member = false
 		out = append(out, &ReleaseLease{})
 	}
@@ -189,7 +189,7 @@
 
 // dueAcquireLease returns the next lease request if it is due, or nil.
 func (p *Planner) dueAcquireLease(now bootclock.Time, v *view.View) Action {
-	if p.resigned || p.lease.requestInFlight || now.Before(p.lease.nextRequestAt) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
+	if p.shuttingDown || p.lease.requestInFlight || now.Before(p.lease.nextRequestAt) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
 		return nil
 	}
 	if p.plannerSeenAt == 0 || !p.plannerExpected(now, v) {
@@ -206,15 +206,15 @@
 	return &AcquireLease{TTL: ttl, SentAt: now}
 }
 
-// shouldReleaseLease reports whether this host should leave the election: it
+// shouldLeaveElection reports whether this host should leave the election: it
 // has resigned, or it is not a candidate and another host plans. A member that
 // merely stops its requests can still be assigned the lease until its
 // membership lapses; that left the fleet without a planner for 2.6 s.
-func (p *Planner) shouldReleaseLease(now bootclock.Time) bool {
+func (p *Planner) shouldLeaveElection(now bootclock.Time) bool {
 	if !p.lease.member || p.lease.requestInFlight {
 		return false
 	}
-	return p.resigned || (!p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout)
+	return p.shuttingDown || (!p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout)
 }
 
 // plannerExpected reports whether a planner, if there is one, would have
@@ -256,7 +256,7 @@
 // host holds the lease.
 func (p *Planner) AcquireLeaseDone(a *AcquireLease, held bool, err error, now bootclock.Time) {
 	p.lease.requestInFlight = false
-	p.lease.lastAnswerAt = now
+	p.lease.lastCompletedAt = now
 	fraction := acquireFraction
 	if p.lease.held {
 		fraction = renewFraction
@@ -283,7 +283,7 @@
 // endTerms ends all terms once the last lease renewal is too old. A later term
 // starts with a record of its own.
 func (p *Planner) endTerms(now bootclock.Time) {
-	for name := range p.services {
+	for name := range p.terms {
 		p.OnEvent(Event{Kind: TermEnded, Service: name, Age: now.Sub(p.lease.renewedAt)})
 	}
 	p.dropTerms()
@@ -292,23 +292,23 @@
 // dropTerms ends the terms of all services. Started ones are kept as past
 // terms, because they know which grants this host has sent.
 func (p *Planner) dropTerms() {
-	for name, t := range p.services {
+	for name, t := range p.terms {
 		if t.started {
 			p.pastTerms[name] = t
 		}
 	}
-	p.services = map[string]*term{}
+	p.terms = map[string]*term{}
 }
 
 // tickService returns the calls to make for one service.
 func (p *Planner) tickService(now bootclock.Time, name string, v *view.View) []Action {
-	t := p.services[name]
+	t := p.terms[name]
 	if t == nil {
 		t = newTerm(p, name)
-		p.services[name] = t
+		p.terms[name] = t
 	}
 	t.adoptTable(v.Tables[name], now)
-	if !t.started && p.resigned || t.isSuperseded() {
+	if !t.started && p.shuttingDown || t.isSuperseded() {
 		return nil
 	}
 	if !t.started {
@@ -316,7 +316,7 @@
 	}
 	t.updateUpstreams(v, now)
 	out := t.dueRetires(now)
-	if !p.resigned {
+	if !p.shuttingDown {
 		t.planMoves(now)
 		out = append(out, t.dueReleases(now)...)
 	}
@@ -330,7 +330,7 @@
 // AppendDone handles the result of an Append. It returns the table if this host
 // may use it already, or nil.
 func (p *Planner) AppendDone(a *Append, end int64, err error, now bootclock.Time) *ownership.Table {
-	t := p.services[a.Table.Service]
+	t := p.terms[a.Table.Service]
 	if t == nil || t.pendingAppend != a {
 		return nil
 	}
@@ -358,14 +358,14 @@
 // GrantDone handles the result of a Grant.
 func (p *Planner) GrantDone(g *Grant, err error, now bootclock.Time) {
 	g.server.recordResult(g, err, now)
-	if t := p.services[g.Service]; t != nil {
+	if t := p.terms[g.Service]; t != nil {
 		t.grantDone(g, err, now)
 	}
 }
 
 // ReleaseDone handles the result of a Release. handover is the old owner's handover token.
 func (p *Planner) ReleaseDone(r *Release, handover string, err error, now bootclock.Time) {
-	if t := p.services[r.Service]; t != nil {
+	if t := p.terms[r.Service]; t != nil {
 		t.releaseDone(r, handover, err, now)
 	}
 }
@@ -391,7 +391,7 @@
 // whenever a member joins or leaves; this host may hold it already and learns
 // that only from its next request.
 func (p *Planner) PlannerLost() {
-	if earliest := p.lease.lastAnswerAt.Add(minAcquireInterval); !p.lease.held && earliest.Before(p.lease.nextRequestAt) {
+	if earliest := p.lease.lastCompletedAt.Add(minAcquireInterval); !p.lease.held && earliest.Before(p.lease.nextRequestAt) {
 		p.lease.nextRequestAt = earliest
 	}
 }
@@ -400,4 +400,4 @@
 // on renewing its grants until its last lease renewal is too old or it sees a
 // newer planner's token, so that no grant expires before the next planner
 // renews it. It moves no more keys.
-func (p *Planner) Resign() { p.resigned = true }
+func (p *Planner) Resign() { p.shuttingDown = true }
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -18,7 +18,7 @@
 	if m.releaseInFlight == nil && catalogue.IsLaterIncarnation(m.dest, m.old.Owner) {
 		return true
 	}
-	maxTTL := t.p.opts.maxGrantTTL()
+	maxTTL := t.p.opts.maxGrantValidity()
 	srv := t.server(m.old.Owner)
 	if srv.grantsInFlight > 0 || m.releaseInFlight != nil || now.Before(m.relistUntil) {
 		return false
@@ -35,22 +35,22 @@
 // previousGrantsExpired reports whether no grant of a previous planner can keep
 // the move's keys at their old owner.
 func (t *term) previousGrantsExpired(m *move, now bootclock.Time) bool {
-	maxTTL := t.p.opts.maxGrantTTL()
-	if now.Sub(t.previousGrants.grantsUntilFor(m.old.Owner)) > maxTTL {
+	maxTTL := t.p.opts.maxGrantValidity()
+	if now.Sub(t.previous.grantsUntilFor(m.old.Owner)) > maxTTL {
 		return true
 	}
 	srv := t.server(m.old.Owner)
 	if srv.incarnation != m.old.Owner || !srv.acknowledgedTerm(m.span) {
 		return false
 	}
-	return m.released || now.Sub(t.previousGrants.dialsUntil()) > maxTTL
+	return m.released || now.Sub(t.previous.dialsUntil()) > maxTTL
 }
 
 // mayRelease reports whether a release sent now would also end the grants of
 // previous planners. It would not if one of them could still reach a later
 // incarnation of the owner's server.
 func (t *term) mayRelease(m *move, now bootclock.Time) bool {
-	return m.old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
+	return m.old.FencingToken > t.firstFencingToken || now.Sub(t.previous.dialsUntil()) > maxGrantDelay
 }
 
 // dueAppend returns the append to make now, or nil: a retry of the pending one,
@@ -71,10 +71,10 @@
 		if !t.safeToReassign(m, now) || (m.lacksHandover() && !t.limiter.allow(m.span, now)) {
 			continue
 		}
-		if u := t.upstreams[m.dest]; u == nil || t.ineligible(u) || t.excluded(m.dest, now) {
+		if u := t.upstreams[m.dest]; u == nil || t.drainingOrCold(u) || t.unavailable(m.dest, now) {
 			t.redirect(m, now)
 		}
-		ready = append(ready, ownership.Move{From: m.from, To: m.to, NewOwner: m.dest, HandoverToken: m.handover})
+		ready = append(ready, ownership.Move{From: m.from, To: m.to, NewOwner: m.dest, HandoverToken: m.handoverToken})
 		cause = m.cause
 		urgent = urgent || m.cause != causeLoad
 	}
@@ -93,7 +93,7 @@
 		return nil
 	}
 	next.Cause = cause
-	next.PreviousPlanners = t.activePreviousPlanners(now)
+	next.PreviousPlanners = t.previousPlannersForRecord(now)
 	t.pendingAppend = &Append{Table: next, ExpectedOffset: t.p.streamEnd, Cause: cause}
 	t.lastRecordAt = now
 	return t.pendingAppend
@@ -106,7 +106,7 @@
 	var out []string
 	for _, r := range table.Ranges {
 		srv := t.server(r.Owner)
-		unreachable := t.upstreams[r.Owner] == nil || srv.lost
+		unreachable := t.upstreams[r.Owner] == nil || srv.unresponsive
 		if r.Owner != "" && unreachable && srv.grantsInFlight == 0 {
 			out = append(out, r.Owner)
 		}
@@ -123,7 +123,7 @@
 		keyCount[r.Owner] += r.To - r.From + 1
 	}
 	m.dest = ""
-	for _, u := range t.eligibleOwners(now) {
+	for _, u := range t.eligibleUpstreams(now) {
 		if m.dest == "" || keyCount[u.ID] < keyCount[m.dest] || (keyCount[u.ID] == keyCount[m.dest] && u.ID < m.dest) {
 			m.dest = u.ID
 		}
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -23,17 +23,17 @@
 	nextRetireAt            bootclock.Time
 }
 
-// previousPlanners returns the planners that may still send grants when the
+// newPreviousPlanners returns the planners that may still send grants when the
 // term starts. The last of them has lost the lease by now; the others had when
 // the last one's term was seen.
-func (t *term) previousPlanners(now bootclock.Time) []*previousPlanner {
+func (t *term) newPreviousPlanners(now bootclock.Time) []*previousPlanner {
 	var out []*previousPlanner
 	for _, host := range t.table.PreviousPlanners {
 		leaseLostBy := now
 		if t.base != nil && host.Host != t.base.Planner {
 			leaseLostBy = t.baseTermSeenAt
 		}
-		prev := &previousPlanner{PlannerHost: host, grantsUntil: leaseLostBy.Add(t.p.opts.MaxViewAge), dialsUntil: leaseLostBy.Add(maxLeaseAge)}
+		prev := &previousPlanner{PlannerHost: host, grantsUntil: leaseLostBy.Add(t.p.opts.MaxViewAge), dialsUntil: leaseLostBy.Add(recentRenewalAge)}
 		if host.Host == t.p.opts.Host {
 			// This process, whose earlier terms have ended, or an earlier
 			// process of this host, which has exited.
@@ -54,7 +54,7 @@
 // dueRetires returns the Retire calls to make now.
 func (t *term) dueRetires(now bootclock.Time) []Action {
 	var out []Action
-	for _, prev := range t.previousGrants.planners {
+	for _, prev := range t.previous.planners {
 		if prev.retired || prev.retireInFlight || now.Before(prev.nextRetireAt) || prev.grantsUntil.Before(now) {
 			continue
 		}
@@ -64,9 +64,9 @@
 	return out
 }
 
-// activePreviousPlanners returns the planners that may still send grants now.
-func (t *term) activePreviousPlanners(now bootclock.Time) []ownership.PlannerHost {
-	if t.previousGrants.grantsUntil().Before(now) {
+// previousPlannersForRecord returns the planners that may still send grants now.
+func (t *term) previousPlannersForRecord(now bootclock.Time) []ownership.PlannerHost {
+	if t.previous.grantsUntil().Before(now) {
 		return nil
 	}
 	return t.table.PreviousPlanners
@@ -76,11 +76,11 @@
 // answered, and whether it has retired. A process that was started after the
 // term began always has.
 func (p *Planner) RetireDone(r *Retire, host string, retired bool, now bootclock.Time) {
-	t := p.services[r.Service]
+	t := p.terms[r.Service]
 	if t == nil || t.number != r.Term {
 		return
 	}
-	for _, prev := range t.previousGrants.planners {
+	for _, prev := range t.previous.planners {
 		if prev.Host != r.Host {
 			continue
 		}
@@ -96,7 +96,7 @@
 // nextTerm. It reports whether no grant of the service's past term is in flight
 // any more.
 func (p *Planner) Retire(service string, nextTerm int64, now bootclock.Time) bool {
-	if t := p.services[service]; t != nil {
+	if t := p.terms[service]; t != nil {
 		if t.started && t.number >= nextTerm {
 			return false // the caller itself was superseded
 		}
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -97,7 +97,7 @@
 		if err := s.run(2500 * time.Millisecond); err != nil {
 			return err
 		}
-		nextTerm := s.currentPlanner().planner.services[simService]
+		nextTerm := s.currentPlanner().planner.terms[simService]
 		moved := nextTerm.table.Ranges[0]
 		newOwner := s.upstreams[0].id
 		if moved.Owner == newOwner {
@@ -164,7 +164,7 @@
 
 // Checks that the simulation detects two owners of a key: if upstreams keep grants for
 // three times the TTL, keys are reassigned too early, and some seed must show it.
-func TestOracleDetectsEarlyMoves(t *testing.T) {
+func TestSimulationDetectsTwoOwners(t *testing.T) {
 	for seed := range uint64(40) {
 		s := newSimulation(seed, allFaults, testOptions)
 		s.overstayFactor = 3
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -27,10 +27,10 @@
 	// ackedSpans are the spans for which the server has acknowledged this term's token.
 	ackedSpans []span
 	// throttles limits the events for failed calls.
-	throttles     map[EventKind]eventThrottle
-	losses        int
-	excludedUntil bootclock.Time
-	lost          bool
+	throttles         map[EventKind]eventThrottle
+	timesUnresponsive int
+	excludedUntil     bootclock.Time
+	unresponsive      bool
 }
 
 // eventThrottle records when an event of one kind was last emitted, and how
@@ -56,7 +56,7 @@
 		srv.answeredAt = now
 	case err == nil && !srv.forPastIncarnation(g):
 		srv.answeredAt = now
-		srv.losses = 0
+		srv.timesUnresponsive = 0
 		srv.ackedSpans = append(srv.ackedSpans, span{g.Range.From, g.Range.To})
 		if len(srv.ackedSpans) > maxAckedSpans {
 			srv.ackedSpans = srv.ackedSpans[len(srv.ackedSpans)-maxAckedSpans:]
@@ -75,7 +75,7 @@
 func (srv *serverState) startIncarnation(incarnation string, now bootclock.Time) {
 	srv.incarnation = incarnation
 	srv.ackedSpans = nil
-	srv.lost, srv.losses, srv.excludedUntil = false, 0, 0
+	srv.unresponsive, srv.timesUnresponsive, srv.excludedUntil = false, 0, 0
 	srv.answeredAt = now
 }
 
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -28,8 +28,8 @@
 	firstFencingToken int64
 	// base is the table that the term's first record was made from.
 	// previousGrants bounds what previous planners may still send.
-	base           *ownership.Table
-	previousGrants previousGrants
+	base     *ownership.Table
+	previous previousPlanners
 	// baseTermSeenAt is when the term of base was first seen.
 	baseTermSeenAt bootclock.Time
 	// otherPlannerSeenAt is when a table of another planner was last adopted.
@@ -58,12 +58,12 @@
 	servers      map[string]*serverState
 	activeGrants map[span]*activeGrant
 	// limiter delays the reassignment of lost owners' keys.
-	limiter placementLimiter
+	limiter reassignmentLimiter
 	// moves are the moves in progress, in the order of their keys.
 	moves []*move
 	// nextRebalance is when load is checked next, nextOwnerlessCheck when keys
 	// without an owner are.
-	nextRebalance, nextOwnerlessCheck bootclock.Time
+	nextRebalance, nextNewOwnerCheck bootclock.Time
 }
 
 // activeGrant is a grant that is renewed for as long as it is wanted.
@@ -130,11 +130,11 @@
 func (t *term) start(now bootclock.Time) {
 	t.started = true
 	t.firstFencingToken = t.table.MaxFencingToken
-	t.previousGrants.planners = t.previousPlanners(now)
+	t.previous.planners = t.newPreviousPlanners(now)
 	if past := t.p.pastTerms[t.name]; past != nil && t.base != nil && past.number == t.base.Term {
 		// This host was also the last planner: the bounds of its past term still
 		// hold, and the servers' states count the grants that it sent itself.
-		t.previousGrants = past.previousGrants
+		t.previous = past.previous
 		t.servers = past.servers
 	}
 	t.p.OnEvent(Event{Kind: TermStarted, Service: t.name, Table: t.table})
@@ -167,7 +167,7 @@
 	if t.base != nil {
 		t.baseTermSeenAt = t.p.histories[t.name].termSeenAt(t.base, now)
 	}
-	t.previousGrants.lostBounds = t.p.histories[t.name].lostBounds(t.base, &t.p.opts)
+	t.previous.lostOwnerDeadlines = t.p.histories[t.name].lostOwnerDeadlines(t.base, &t.p.opts)
 	next.Cause = "new planner"
 	t.pendingAppend = &Append{Table: next, ExpectedOffset: t.p.streamEnd, Cause: next.Cause}
 	return []Action{t.pendingAppend}
@@ -215,25 +215,25 @@
 	return warm >= cold
 }
 
-// ineligible reports whether a listed upstream may own no keys now, even if it answers.
-func (t *term) ineligible(u *catalogue.Upstream) bool {
+// drainingOrCold reports whether a listed upstream may own no keys now, even if it answers.
+func (t *term) drainingOrCold(u *catalogue.Upstream) bool {
 	return u.Draining() || (t.excludeCold && t.p.Cold(u))
 }
 
-// eligibleOwners returns the upstreams that may own keys.
-func (t *term) eligibleOwners(now bootclock.Time) []*catalogue.Upstream {
+// eligibleUpstreams returns the upstreams that may own keys.
+func (t *term) eligibleUpstreams(now bootclock.Time) []*catalogue.Upstream {
 	var out []*catalogue.Upstream
 	for _, u := range t.upstreams {
-		if !t.ineligible(u) && !t.excluded(u.ID, now) {
+		if !t.drainingOrCold(u) && !t.unavailable(u.ID, now) {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-func (t *term) excluded(id string, now bootclock.Time) bool {
+func (t *term) unavailable(id string, now bootclock.Time) bool {
 	srv := t.server(id)
-	return srv.lost || now.Before(srv.excludedUntil)
+	return srv.unresponsive || now.Before(srv.excludedUntil)
 }
 
 // syncGrants makes the active grants cover the owned ranges of the table,
@@ -291,7 +291,7 @@
 	for _, s := range sortedKeys(t.activeGrants) {
 		ag := t.activeGrants[s]
 		u := t.upstreams[ag.rng.Owner]
-		if ag.inFlight || now.Before(ag.nextSendAt) || u == nil || t.server(ag.rng.Owner).lost || t.table.IsLost(ag.rng.Owner) {
+		if ag.inFlight || now.Before(ag.nextSendAt) || u == nil || t.server(ag.rng.Owner).unresponsive || t.table.IsLost(ag.rng.Owner) {
 			continue
 		}
 		srv := t.server(u.ID)
@@ -302,7 +302,7 @@
 		srv.grantSent = true
 		ag.inFlight = true
 		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: ag.rng, TTL: t.p.opts.GrantTTL, SentAt: now,
-			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > maxLeaseAge, server: srv})
+			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > recentRenewalAge, server: srv})
 	}
 	return out
 }
@@ -328,8 +328,8 @@
 	if ag != nil {
 		ag.nextSendAt = now.Add(grantRetryDelay)
 	}
-	if !srv.lost && !srv.forPastIncarnation(g) && now.Sub(srv.answeredAt) > time.Duration(lostAfterFraction*float64(t.p.opts.GrantTTL)) {
-		srv.lost = true
+	if !srv.unresponsive && !srv.forPastIncarnation(g) && now.Sub(srv.answeredAt) > time.Duration(unresponsiveAfterFraction*float64(t.p.opts.GrantTTL)) {
+		srv.unresponsive = true
 		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(srv.answeredAt), Err: err})
 	}
 }
