--- a/internal/planner/actions.go
+++ b/internal/planner/actions.go
@@ -18,17 +18,20 @@
 	SentAt bootclock.Time
 }
 
-// ReleaseLease ends this host's membership in the planner election. It has no
+// ReleaseLease ends this host's membership in the planner election, whether or
+// not the host holds the lease. It is made during a planned shutdown, and by a
+// host that is not a candidate while another host is the planner. It has no
 // result to pass back.
 type ReleaseLease struct{}
 
-// Retire asks a previous planner to send no more grants; see
-// Planner.RetireDone.
+// Retire asks a previous planner to send no more grants, which Planner.Retire
+// handles on its host; see Planner.RetireDone.
 type Retire struct {
 	Service string
 	// Host is the previous planner's name, Addr the address at which its peers reach it.
 	Host, Addr string
-	// Term is the term that this host has recorded.
+	// Term is the number of the caller's term. The peer stops planning if its own
+	// term of the service is an earlier one.
 	Term int64
 }
 
@@ -37,7 +40,7 @@
 type Append struct {
 	Table          *ownership.Table
 	ExpectedOffset int64
-	// Cause is the reason for the change, for the log.
+	// Cause is the reason for the change, for log messages.
 	Cause string
 }
 
--- a/internal/planner/doc.go
+++ b/internal/planner/doc.go
@@ -4,35 +4,37 @@
 // before it grants the keys to their new owner.
 //
 // One host at a time is the planner: the one that holds the planner lease,
-// which the log service assigns to one member of an election. The first record
-// of a planner's term raises the fencing token of every range. An upstream that
-// has seen the new token rejects all grants of previous planners. The keys of
-// an upstream that has not seen it get no other owner until every grant that a
-// previous planner may have sent has expired.
+// which the log service assigns to one member of an election. A planner has one
+// term for each service; the first record of a term raises the fencing token of
+// every range of that service. An upstream that has seen the new token rejects
+// all grants of previous planners. The keys of an upstream that has not seen it
+// get no other owner until every grant that a previous planner may have sent has
+// expired.
 //
-// The package is a state machine without goroutines, network access or a clock
-// of its own: Tick returns the calls to make, and the caller passes their
-// results back.
+// Type Planner is a state machine that runs on every host, whether or not the
+// host is the planner. It has no goroutines, network access or clock of its own:
+// Tick returns the calls to make, and the caller passes their results back.
 //
 // # Why no key has two owners
 //
-// Let bound be the longest time for which an upstream may keep keys after a
-// grant was sent to it: the grant TTL, plus the drift of the upstream's clock
-// and the delay until the grant arrives. A key moves from U to V only through a
-// record in the log. The planner appends that record only once U can no longer
-// hold the key, because
+// Let maxGrantValidity be the longest time for which an upstream may keep keys
+// after a grant was sent to it: the grant TTL, plus the drift of the upstream's
+// clock and the delay until the grant arrives. A key moves from U to V only
+// through a record in the log. The planner appends that record only once U can
+// no longer hold the key, because
 //
 //   - no grant to U is in flight,
-//   - U answered a release, or bound has passed since the last grant that may
-//     have reached it,
-//   - bound has passed since the last grant to U that got no answer, and
-//   - U has acknowledged a token of this term for the key, or bound has passed
-//     since the last grant that a previous planner may have sent.
+//   - U answered a release, or maxGrantValidity has passed since the last grant
+//     that may have reached it,
+//   - maxGrantValidity has passed since the last grant to U that got no answer,
+//     and
+//   - U has acknowledged a token of this term for the key, or maxGrantValidity
+//     has passed since the last grant that a previous planner may have sent.
 //
 // The last condition covers planners that do not know yet that they were
 // replaced. Such a planner last renewed its lease before the first record of
-// its successor, and sends nothing later than MaxViewAge after that renewal;
-// history.go and retire.go compute the bounds.
+// the next planner, and sends nothing later than MaxViewAge after that renewal;
+// history.go and retire.go compute the deadline.
 //
 // # Servers that restart under the same ID
 //
@@ -46,31 +48,41 @@
 //   - The keys of an incarnation that has ended go to the next incarnation of
 //     the same server at once. Even if it accepts a grant meant for the earlier
 //     one, no other upstream owns those keys.
-//   - A planner that has not renewed its lease within maxLeaseAge sends grants
-//     only over connections that are already open. Such a connection ends with
-//     the incarnation at its other end, and an incarnation that acknowledged a
-//     newer planner's token has not forgotten it. Until all previous planners
-//     are known to be restricted in this way, such an acknowledgement does not
-//     count.
+//   - A planner that has not renewed its lease within recentRenewalAge sends
+//     grants only over connections that are already open. Such a connection
+//     ends with the incarnation at its other end, and an incarnation that
+//     acknowledged a newer planner's token has not forgotten it. Until all
+//     previous planners are known to be restricted in this way, such an
+//     acknowledgement does not count.
 //
 // # Previous planners
 //
-// Until a previous planner is known to have stopped, keys of owners that do not
-// answer this planner may still be granted to them. After each change of
-// planner such keys had no owner for MaxViewAge and a grant TTL, 9.2 s. The
-// planner therefore asks previous planners to retire. One that was stopped or
-// restarted, or still runs, confirms that within milliseconds; one that is
-// partitioned or stalled does not, and its bounds apply. All that may still
-// send are asked, not only the last: when the lease changed hands five times in
-// ten seconds, each new planner waited for the one before the last.
+// Until a previous planner is known to have stopped, it may still grant keys to
+// owners that do not answer this planner. Without a confirmation such keys would
+// have no owner for MaxViewAge plus maxGrantValidity after each change of
+// planner, 9.2 s with the default settings. The planner therefore asks previous
+// planners to retire. One that was stopped or restarted, or still runs, confirms
+// that within milliseconds; one that is partitioned or stalled does not, and its
+// deadlines apply. Asking only the last one is not enough: if the lease changes
+// hands several times within MaxViewAge, for example five times in ten seconds,
+// earlier ones may still send grants, and the keys would wait for them.
+//
+// # Handover
+//
+// An upstream that answers a release returns a handover token, and the grant to
+// the new owner carries it. The token lets the new owner serve the keys at full
+// speed at once. Without it, requests for the keys are slow for seconds
+// (desired.Service.WarmUp). Keys whose old owner cannot answer a release move
+// without a handover.
 //
 // # Keys of many lost owners
 //
-// Requests for keys that were reassigned without a handover are slow for
-// seconds. When a partition cut off a third of the owners, the others got all
-// their keys as soon as the grants had expired, and with them twice the load
-// that they could serve. Until some seconds after the partition, requests for
-// all keys were refused, also for those whose owners were never lost. The
-// planner therefore reassigns such keys only as fast as the other owners'
-// capacity allows. Some keys wait longer, mostly until their owners are back.
+// An owner is lost if it is gone, that is, not listed any more, or unresponsive,
+// that is, does not answer grants. Its keys move without a handover. If a
+// partition cuts off a third of the owners and the others get all their keys as
+// soon as the grants have expired, the others get twice the load that they can
+// serve. Until some seconds after the partition, requests for all keys are then
+// refused, also for those whose owners were never lost. The planner therefore
+// reassigns such keys only as fast as the other owners' capacity allows. Some
+// keys wait longer, mostly until their owners are back.
 package planner
--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -11,7 +11,7 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// harness drives a single planner and completes its calls.
+// harness drives a single Planner and completes its calls.
 type harness struct {
 	t         *testing.T
 	p         *Planner
@@ -35,7 +35,7 @@
 	return h
 }
 
-// publishView publishes the harness's upstreams and table to the planner's view.
+// publishView publishes the harness's upstreams and table to the Planner's view.
 func (h *harness) publishView() {
 	h.publisher.Publish(func(v *view.View) {
 		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true, WarmUp: h.warmUp}}, desired.Limits{})
@@ -46,7 +46,7 @@
 	})
 }
 
-// simulate ticks the planner for d, completes each call with the error that answer
+// simulate ticks the Planner for d, completes each call with the error that answer
 // returns for it, and returns the calls.
 func (h *harness) simulate(d time.Duration, answer func(Action) error) []Action {
 	var all []Action
@@ -59,7 +59,7 @@
 	return all
 }
 
-// complete passes the result of a call to the planner. Lease requests that succeed
+// complete passes the result of a call to the Planner. Lease requests that succeed
 // get the lease; Retire calls stay unanswered.
 func (h *harness) complete(a Action, err error) {
 	switch a := a.(type) {
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -6,8 +6,8 @@
 )
 
 // history is what this host has seen of a service's records, from any planner.
-// It bounds what previous planners may still send: a record was in the log no
-// later than it was seen here.
+// It yields deadlines for the grants of previous planners: a record was in the
+// log no later than it was seen here.
 type history struct {
 	// newestTerm is the newest term seen, newestTermSeenAt when it was first seen.
 	newestTerm       int64
@@ -33,10 +33,12 @@
 	}
 }
 
-// previousPlanners bounds the grants of previous planners.
+// previousPlanners holds the latest times at which previous planners may send
+// grants.
 type previousPlanners struct {
 	planners []*previousPlanner
-	// lostOwnerDeadlines holds earlier bounds for owners that the last planner had marked as lost.
+	// lostOwnerDeadlines holds earlier deadlines, by owner, for owners that the
+	// last planner had marked as lost.
 	lostOwnerDeadlines map[string]bootclock.Time
 }
 
@@ -49,10 +51,11 @@
 	return now
 }
 
-// lostOwnerDeadlines returns the bounds for owners that base marks as lost. Its planner
-// had stopped sending to them when the mark was seen. The planners before it
-// had lost the lease before its first record, and send nothing later than
-// MaxViewAge after that.
+// lostOwnerDeadlines returns the latest times at which a previous planner may send
+// a grant to the owners that base marks as lost. The planner of base had stopped
+// sending to them when the mark was seen. The planners before it had lost the
+// lease before its first record, and send nothing later than MaxViewAge after
+// that.
 func (h *history) lostOwnerDeadlines(base *ownership.Table, opts *Options) map[string]bootclock.Time {
 	out := map[string]bootclock.Time{}
 	if h == nil || base == nil || base.Term != h.newestTerm {
@@ -70,15 +73,16 @@
 	return g.latest(func(p *previousPlanner) bootclock.Time { return p.grantsUntil })
 }
 
-// dialsUntil returns the latest time at which one may open a connection for a grant.
+// dialsUntil returns the latest time at which a previous planner may open a
+// connection for a grant.
 func (g *previousPlanners) dialsUntil() bootclock.Time {
 	return g.latest(func(p *previousPlanner) bootclock.Time { return p.dialsUntil })
 }
 
-func (g *previousPlanners) latest(bound func(*previousPlanner) bootclock.Time) bootclock.Time {
+func (g *previousPlanners) latest(deadline func(*previousPlanner) bootclock.Time) bootclock.Time {
 	last := bootclock.Time(0)
 	for _, p := range g.planners {
-		last = max(last, bound(p))
+		last = max(last, deadline(p))
 	}
 	return last
 }
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -27,11 +27,11 @@
 		case *Grant:
 			grants++
 		case *AcquireLease, *Release, *Append:
-			t.Fatalf("a resigned planner made a call of type %T", a)
+			t.Fatalf("a planner whose host shuts down made a call of type %T", a)
 		}
 	}
 	if grants == 0 {
-		t.Error("a resigned planner does not renew its grants")
+		t.Error("a planner whose host shuts down does not renew its grants")
 	}
 }
 
@@ -64,9 +64,9 @@
 }
 
 // The lease is lost while grants are in flight and regained without another planner in
-// between. Their results arrived while the service had no term and were dropped: their
-// owners counted as having a grant in flight for good, so their keys could neither be
-// released nor moved once the owner had ended.
+// between. Their results arrive while the service has no term and must be counted all the
+// same. If they were dropped, their owners would count as having a grant in flight
+// forever, and their keys could neither be released nor moved once the owner had ended.
 func TestGrantResultsBetweenTermsAreCounted(t *testing.T) {
 	for _, result := range []error{nil, ownership.ErrNotSent, ownership.ErrNoAnswer} {
 		h := newHarness(t, "a", "b")
@@ -111,9 +111,10 @@
 	}
 }
 
-// When a fleet starts, the candidates publish no table until the upstreams have
-// registered. A non-candidate must not request the lease meanwhile: it would get it and
-// plan for the whole fleet.
+// When a fleet starts, there is no table until a candidate has acquired the lease and
+// written its first record. plannerExpected allows for that until minRegistrationWait
+// after the first upstream was listed. A non-candidate must not request the lease
+// meanwhile: it would get it and plan for the whole fleet.
 func TestNonCandidateWaitsDuringFleetStart(t *testing.T) {
 	h := newHarness(t)
 	h.p.opts.Candidate = false
@@ -132,8 +133,8 @@
 }
 
 // A non-candidate that is the planner must step down, but only after the memberships of
-// the other non-candidates have lapsed. Stepping down at once passed the lease from one
-// of them to the next, with a new term every 0.5 s. If no host takes the lease over, the
+// the other non-candidates have lapsed. Stepping down at once would pass the lease from
+// one of them to the next, with a new term every 0.5 s. If no host takes the lease over, the
 // non-candidate must acquire it again.
 func TestNonCandidatePlannerStepsDown(t *testing.T) {
 	h := newHarness(t, "a")
--- a/internal/planner/limiter.go
+++ b/internal/planner/limiter.go
@@ -8,8 +8,8 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// coldKeyLoadFraction is the fraction of the owners' capacity that the load on
-// keys reassigned without a handover may reach within one warm-up time.
+// noHandoverLoadFraction is the fraction of the owners' capacity that the load
+// on keys reassigned without a handover may reach within one warm-up time.
 // Requests for such keys take about five times as long, so this fraction
 // occupies half of the owners' time.
 const noHandoverLoadFraction = 0.1
--- a/internal/planner/limiter_test.go
+++ b/internal/planner/limiter_test.go
@@ -61,8 +61,8 @@
 }
 
 // A partition makes a third of the owners unreachable for some seconds. Their keys are
-// slow after a reassignment without a handover; when the other owners got all of them at
-// once, their load was twice their capacity. Only as many as fit that capacity may move
+// slow after a reassignment without a handover; if the other owners got all of them at
+// once, their load would be twice their capacity. Only as many as fit that capacity may move
 // at once, the rest within 30 s. A few owners' keys move as soon as their grants expire.
 func TestManyLostOwnersKeysAreReassignedWithinCapacity(t *testing.T) {
 	const grantsExpired = 6 * time.Second
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -11,7 +11,8 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// move is a span that is being moved to another owner.
+// move is a span that is being moved to another owner. The package comment
+// explains handoverToken.
 type move struct {
 	span
 	old ownership.Range
@@ -30,7 +31,7 @@
 	cause         string
 }
 
-// Causes of moves, as written to the log and to table records.
+// Causes of moves, as written to log messages and table records.
 const (
 	causeNoOwner   = "no owner"
 	causeRestarted = "owner restarted"
@@ -43,7 +44,7 @@
 )
 
 // lacksHandover reports whether the move's keys come without a handover because
-// their owner was lost or is gone.
+// their owner was unresponsive or gone when the move started.
 func (m *move) lacksHandover() bool {
 	return m.handoverToken == "" && (m.cause == causeLost || m.cause == causeGone)
 }
@@ -51,9 +52,10 @@
 const (
 	// rebalanceInterval is the interval between load checks.
 	rebalanceInterval = 250 * time.Millisecond
-	// newOwnerCheckInterval is that interval while keys need an owner. A check takes
-	// some milliseconds: with one per tick, a planner whose upstreams restarted one
-	// after another was too busy to renew its lease and lost it three times.
+	// newOwnerCheckInterval is the minimum interval between checks for keys that
+	// need a new owner. A check takes some milliseconds: with one per tick, a
+	// planner whose upstreams restart one after another would be too busy to renew
+	// its lease, and could lose it three times meanwhile.
 	newOwnerCheckInterval = 100 * time.Millisecond
 )
 
@@ -61,9 +63,10 @@
 // moved for load. A planner that has just taken over has no estimate yet.
 const minSamples = 40
 
-// maxLeaseAge is how recently the lease must have been renewed for the planner
-// to move keys for load, to open connections for grants and to rely on being
-// the only writer of the ownership stream.
+// recentRenewalAge is how recently the lease must have been renewed for the
+// planner to move keys for load, to open connections for grants and to rely on
+// being the only writer of the ownership stream. Options.MaxViewAge is the longer
+// limit of the same time for acting as the planner at all.
 const recentRenewalAge = 900 * time.Millisecond
 
 // planMoves starts the moves that the current owners and load require.
@@ -118,7 +121,7 @@
 // ownersWithUnansweredGrants returns the owners that recently left a grant
 // unanswered. It may still take effect, so keys taken from them have no owner
 // until it expires: 3 s instead of the duration of the requests in flight. With
-// 6% of the answers lost, nine tenths of all load moves waited that long.
+// 6% of the answers lost, nine tenths of all load moves would wait that long.
 func (t *term) ownersWithUnansweredGrants(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range owners {
@@ -132,7 +135,7 @@
 
 // loadMoveCount returns the number of load moves in progress. Moves off owners
 // that are lost or leaving do not count, because balance is not their purpose:
-// while 200 of them waited for grants to expire, no other owner could be relieved.
+// while 200 of them wait for grants to expire, no other owner could be relieved.
 func (t *term) loadMoveCount() int {
 	n := 0
 	for _, m := range t.moves {
@@ -173,13 +176,14 @@
 	return elapsed < minRegistrationWait || (now.Sub(reg.lastAt) < registrationQuiet && elapsed < maxRegistrationWait)
 }
 
-// noKeyAssigned reports whether no key has had an owner yet.
+// noKeyAssigned reports whether no key has an owner.
 func (t *term) noKeyAssigned() bool {
 	return !slices.ContainsFunc(t.table.Ranges, func(r ownership.Range) bool { return r.Owner != "" })
 }
 
 // hasKeysNeedingNewOwner reports whether a range that is not being moved has no
-// owner, or one that cannot keep it.
+// owner, or one that is unlisted, draining, cold while cold upstreams get no
+// keys, or unavailable.
 func (t *term) hasKeysNeedingNewOwner(now bootclock.Time) bool {
 	for _, r := range t.table.Ranges {
 		u := t.upstreams[r.Owner]
@@ -227,8 +231,9 @@
 
 // mayStartMove reports whether a move of the range need not wait for grants of
 // previous planners, or its owner is lost anyway. A range released before its
-// owner acknowledged this term's token had no owner until those grants expired,
-// 9.2 s later. The owner acknowledges the token with its first grant, or is lost.
+// owner has acknowledged this term's token would have no owner until those grants
+// expire, up to 9.2 s later. The owner acknowledges the token with its first
+// grant, or is lost.
 func (t *term) mayStartMove(old ownership.Range, now bootclock.Time) bool {
 	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previous.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantValidity() {
 		return true
@@ -255,6 +260,9 @@
 	return nil
 }
 
+// moveCause returns why keys of the owner must move. An upstream whose entry in
+// the log has lapsed counts as leaving at first, because catalogue.Upstream keeps
+// Leaving set while Unlisted is, and as gone once it is no longer in the view.
 func (t *term) moveCause(owner string, now bootclock.Time) string {
 	u := t.upstreams[owner]
 	switch {
@@ -266,7 +274,7 @@
 		return causeGone
 	case u.Leaving || u.ReportedLeaving:
 		return causeLeaving
-	case u.HandingOver():
+	case u.HandingOver(): // evacuated, as it has not reported that it is leaving
 		return causeEvacuated
 	case t.unavailable(owner, now):
 		return causeLost
@@ -291,7 +299,7 @@
 	return out
 }
 
-func (t *term) releaseDone(r *Release, handover string, err error, now bootclock.Time) {
+func (t *term) releaseDone(r *Release, handoverToken string, err error, now bootclock.Time) {
 	m := t.findMove(span{r.Range.From, r.Range.To})
 	if m == nil || m.releaseInFlight != r {
 		// The release was sent for a move that has been cancelled. The keys may
@@ -314,24 +322,24 @@
 	if t.restoreOwner(r.Range.Owner, now) {
 		return
 	}
-	m.released, m.handoverToken = true, handover
+	m.released, m.handoverToken = true, handoverToken
 	if m.releaseFailed {
 		m.relistUntil = now.Add(relistGrace)
 	}
 }
 
-// cancelMovesOfReturnedOwners cancels the moves off owners that were gone or lost,
-// are listed again, and whose keys no other upstream has been granted. When the
+// cancelMovesOfReturnedOwners cancels the moves off owners that were lost, are
+// listed again, and whose keys no other upstream has been granted. When the
 // partition of a data centre heals, its upstreams answer up to a heartbeat before
-// they are listed; moving a third of all keys off them overloaded the others.
+// they are listed; moving a third of all keys off them would overload the others.
 func (t *term) cancelMovesOfReturnedOwners(now bootclock.Time) {
 	if t.pendingAppend != nil {
 		return
 	}
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool {
 		u := t.upstreams[m.old.Owner]
-		wasUnlisted := m.cause == causeLeaving || m.cause == causeGone
-		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.drainingOrCold(u) || (!m.released && !wasUnlisted) {
+		wasLeavingOrGone := m.cause == causeLeaving || m.cause == causeGone
+		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.drainingOrCold(u) || (!m.released && !wasLeavingOrGone) {
 			return false
 		}
 		srv := t.server(u.ID)
@@ -341,7 +349,7 @@
 	t.syncGrants(now)
 }
 
-// restoreOwner cancels the moves off a lost upstream that answers again, and
+// restoreOwner cancels the moves off an unresponsive upstream that answers again, and
 // reports whether it did. No other upstream has been granted its keys, and perhaps
 // only the answers to its grants were lost. Moves with a release in flight go on.
 func (t *term) restoreOwner(id string, now bootclock.Time) bool {
@@ -356,9 +364,10 @@
 	return true
 }
 
-// startExclusions ends the loss of upstreams that own no keys any more and excludes
-// them for a time that doubles with each loss. Otherwise an upstream that answers
-// only now and then would be given keys again and again, only to lose them.
+// startExclusions no longer treats upstreams as unresponsive once they own no keys,
+// and instead excludes them for a time that doubles with each exclusion. Otherwise
+// an upstream that answers only intermittently would be given keys again and again,
+// only to lose them.
 func (t *term) startExclusions(now bootclock.Time) {
 	owns := map[string]bool{}
 	for _, r := range t.table.Ranges {
@@ -369,8 +378,8 @@
 			continue
 		}
 		srv.unresponsive = false
-		srv.excludedUntil = now.Add(min(minExclusion<<min(srv.timesUnresponsive, 4), maxExclusion))
-		srv.timesUnresponsive++
+		srv.excludedUntil = now.Add(min(minExclusion<<min(srv.exclusions, 4), maxExclusion))
+		srv.exclusions++
 		srv.grantSent = false
 	}
 }
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -10,9 +10,10 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// A host loses the planner lease and regains it while an upstream is down. Its past
-// term knows when the last grant was sent, so the upstream's keys must not wait for
-// grants that another planner may have sent: they would have no owner for 10 s.
+// A host loses the planner lease and regains it while an upstream does not answer. Its
+// past term knows when the last grant was sent, so the upstream's keys must move without
+// waiting for grants that another planner may have sent. If they waited, they would have
+// no owner for 10 s.
 func TestRegainedLeaseDoesNotDelayMoves(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
@@ -56,7 +57,7 @@
 func TestUnresponsiveOwnersKeysMoveOnceGrantsExpire(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
-	silentSince := h.now
+	unresponsiveSince := h.now
 	movedAt := bootclock.Time(0)
 	h.simulate(10*time.Second, func(a Action) error {
 		switch a := a.(type) {
@@ -77,7 +78,7 @@
 		t.Fatal("the keys have not moved after 10 s")
 	}
 	// The last grant that arrived was sent up to a renewal interval earlier.
-	waited := movedAt.Sub(silentSince)
+	waited := movedAt.Sub(unresponsiveSince)
 	if minWait := testOptions.GrantTTL - testOptions.GrantTTL/renewalsPerTTL; waited < minWait {
 		t.Errorf("keys moved %v after the owner stopped answering, before its grants had expired", waited)
 	}
@@ -231,7 +232,7 @@
 	}
 }
 
-// The planner changes while an upstream is down. If the previous planner confirms that
+// The planner changes while an upstream does not answer. If the previous planner confirms that
 // it sends no more grants, the upstream's keys must wait for one grant TTL only. A
 // confirmation by a host of another name at its address must not count; the keys then
 // wait for all grants that the previous planner may send, 9.2 s.
@@ -313,8 +314,9 @@
 }
 
 // A partition of some seconds cuts off a data centre: its upstream does not answer, and
-// its entry lapses. After the partition it answers 0.5 s before it is listed again. It
-// must keep its keys, because no other upstream has been granted them.
+// its entry lapses, which sets Leaving (see catalogue.Upstream.Unlisted). After the
+// partition it answers 0.5 s before it is listed again. It must keep its keys, because no
+// other upstream has been granted them.
 func TestOwnerBackFromPartitionKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -9,16 +9,18 @@
 	// GrantTTL is how long a grant lasts. It bounds how long the keys of an
 	// upstream that stops answering have no owner.
 	GrantTTL time.Duration
-	// MaxViewAge is how long after its last lease renewal the planner goes on
-	// renewing grants. During an outage of the log service keys stay owned for
-	// MaxViewAge + GrantTTL.
+	// MaxViewAge is the longest time since the last lease renewal for which a
+	// host acts as the planner and renews grants; see recentRenewalAge for the
+	// stricter limit of other actions. During an outage of the log service keys
+	// stay owned for MaxViewAge + GrantTTL.
 	MaxViewAge time.Duration
 	// LeaseTTL is how long the planner lease stays valid after its last renewal.
 	LeaseTTL time.Duration
 	// Candidate hosts always compete for the planner lease. Other hosts, with
 	// slow links or processors, do so only if they have seen no planner for
-	// noPlannerTimeout. Every host follows the planner: one with a 10 Mbit/s
-	// link made half of 91 hosts fall back to reading the log service.
+	// noPlannerTimeout. All hosts read new records from the planner's host or
+	// through relays, so a planner with a slow link delays them all: with a
+	// 10 Mbit/s link, half of 91 hosts fall back to reading the log service.
 	Candidate bool
 }
 
@@ -32,13 +34,13 @@
 	renewalsPerTTL = 3
 	// grantRetryDelay is the delay before a failed grant is retried.
 	grantRetryDelay = 100 * time.Millisecond
-	// unresponsiveAfterFraction is the fraction of the grant TTL without an answer to
-	// any grant after which an upstream is considered lost.
+	// unresponsiveAfterFraction is the fraction of the grant TTL without an answer
+	// to any grant after which an upstream is considered unresponsive.
 	unresponsiveAfterFraction = 0.5
 	// releaseRetryDelay is the delay before a failed release is retried.
 	releaseRetryDelay = 800 * time.Millisecond
-	// minExclusion is how long an upstream that was lost gets no keys, even if
-	// it is listed. The time doubles with each loss, up to maxExclusion.
+	// minExclusion is how long an upstream that was unresponsive gets no keys,
+	// even if it is listed. The time doubles with each exclusion, up to maxExclusion.
 	minExclusion = time.Second
 	maxExclusion = 16 * time.Second
 	// failureEventInterval is the minimum interval between two events for
@@ -56,21 +58,25 @@
 	// registrationQuiet is how long no further upstream must have registered before
 	// the first assignment, maxRegistrationWait the longest wait in total. Hundreds
 	// of upstreams take seconds to register, and late ones own nothing until the
-	// others are overloaded: in a fleet of 181, the first 81 got all keys.
+	// others are overloaded: without the wait, the first 81 of 181 would get all keys.
 	registrationQuiet   = 700 * time.Millisecond
 	maxRegistrationWait = 4 * time.Second
-	// highWatermark, lowWatermark and maxMoves are the default limits of
-	// rebalancing. An owner's load estimate rests on about fifty requests, so
-	// chance alone sometimes makes it a third too high.
+	// highWatermark and lowWatermark are multiples of an owner's fair load, its
+	// part of the total load (see ownership.Limits). An owner at or above
+	// highWatermark gives up keys until it is down to lowWatermark. An owner's
+	// load estimate rests on about fifty requests, so chance alone sometimes
+	// makes it a third too high.
 	highWatermark, lowWatermark = 1.35, 1.05
-	baseLoadMoves               = 24
-	// ownersPerMove raises the number of concurrent load moves in a large
-	// service to one for this many owners. A move takes about a second, mostly
-	// to wait for requests in flight, and a hot region of 200 keys needs 150
-	// new owners while it lasts.
+	// baseLoadMoves is the default number of concurrent load moves that are
+	// allowed in a service of any size.
+	baseLoadMoves = 24
+	// ownersPerMove: in a large service, one concurrent load move is allowed per
+	// this many owners. A move takes about a second, mostly to wait for requests
+	// in flight, and a hot region of 200 keys needs 150 new owners before the
+	// load shifts again.
 	ownersPerMove = 3
-	// maxLoadMoves bounds the concurrent load moves of a service of any size,
-	// and with them the cost of a plan.
+	// maxLoadMoves is the maximum of the number that ownersPerMove allows. It
+	// bounds the cost of a plan.
 	maxLoadMoves = 150
 	// loadRecordInterval is the minimum interval between records that contain only
 	// load moves. Each record goes to every host: with a table of 700 ranges, 30
@@ -81,7 +87,7 @@
 	// planner before it competes for the lease.
 	noPlannerTimeout = 3 * time.Second
 	// renewFraction and acquireFraction are the intervals between lease requests
-	// of the lease holder and of other hosts, as fractions of LeaseTTL.
+	// of the lease holder and of other hosts, as fractions of Options.LeaseTTL.
 	renewFraction   = 0.35
 	acquireFraction = 0.7
 	// stepDownAfterTTLs is the number of lease TTLs for which a planner that is
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -12,7 +12,13 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// Planner is the state machine. Its methods must be called from one goroutine.
+// Planner is the state machine that runs on every host, whether or not the host
+// is the planner. Its methods must be called from one goroutine.
+//
+// Four operations end or restrict planning. StepDown: a planner that is not a
+// candidate gives up the lease. Resign: the host is about to shut down. Retire:
+// a newer planner asks this host to stop. ReleaseLease, an Action: this host
+// leaves the election, possibly without holding the lease.
 type Planner struct {
 	opts Options
 	// Load returns a service's load with the capacities of the given upstreams,
@@ -26,9 +32,11 @@
 	// therefore limited.
 	Cold func(*catalogue.Upstream) bool
 
-	lease        plannerLease
+	lease plannerLease
+	// shuttingDown is set by Resign.
 	shuttingDown bool
-	terms        map[string]*term
+	// terms holds the current terms by service, while this host is the planner.
+	terms map[string]*term
 	// pastTerms holds each service's last ended term of this process.
 	pastTerms map[string]*term
 	histories map[string]*history
@@ -37,8 +45,9 @@
 	// may extend beyond it.
 	streamEnd          int64
 	streamEndUncertain bool
-	// plannerSeenAt is the start of noPlannerTimeout: when another planner was
-	// last seen, or when one could last have gone unseen.
+	// plannerSeenAt is the time from which noPlannerTimeout counts: when another
+	// planner was last seen, or since when this host would have seen one if
+	// there was one.
 	plannerSeenAt bootclock.Time
 	// registrations holds the registration times by service.
 	registrations map[string]registrations
@@ -59,8 +68,10 @@
 	Upstream string
 	Table    *ownership.Table
 	Cause    string
-	Age      time.Duration
-	Err      error
+	// Age is the time since the last lease renewal; in UpstreamLost events, the
+	// time since the upstream's last answer.
+	Age time.Duration
+	Err error
 	// Suppressed is the number of events of this kind suppressed since the last one.
 	Suppressed int
 }
@@ -88,12 +99,12 @@
 	member          bool
 	renewedAt       bootclock.Time
 	requestInFlight bool
-	// lastCompletedAt is when the last lease request completed, nextRequestAt when
-	// the next one is due.
+	// lastCompletedAt is when the last lease request completed, successfully or
+	// not, nextRequestAt when the next one is due.
 	lastCompletedAt, nextRequestAt bootclock.Time
 }
 
-// New returns a planner that does not hold the lease.
+// New returns a Planner for a host that does not hold the lease yet.
 func New(opts Options) *Planner {
 	return &Planner{opts: opts, terms: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
 		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: baseLoadMoves},
@@ -118,15 +129,18 @@
 	}
 }
 
-// HoldsLease reports whether this host may act as the planner now.
+// HoldsLease reports whether this host may act as the planner now. It is true
+// for MaxViewAge after the last lease renewal, even if the lease has expired
+// since, unless this host knows that it no longer holds the lease.
 func (p *Planner) HoldsLease(now bootclock.Time) bool {
 	return p.lease.held && now.Sub(p.lease.renewedAt) <= p.opts.MaxViewAge
 }
 
 // SoleWriter reports whether the ownership stream contains only records that
-// this host has read or written: it renewed the lease within maxLeaseAge, has not
-// resigned, every append was answered and no grant was fenced. Otherwise only a
-// read shows where the stream ends; without it every later append would conflict.
+// this host has read or written: it renewed the lease within recentRenewalAge, is
+// not shutting down, every append was answered and no grant was fenced. Otherwise
+// only a read shows where the stream ends; without it every later append would
+// conflict.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
 	return p.HoldsLease(now) && !p.shuttingDown && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= recentRenewalAge
 }
@@ -207,9 +221,9 @@
 }
 
 // shouldLeaveElection reports whether this host should leave the election: it
-// has resigned, or it is not a candidate and another host plans. A member that
-// merely stops its requests can still be assigned the lease until its
-// membership lapses; that left the fleet without a planner for 2.6 s.
+// is shutting down, or it is not a candidate and another host is the planner. A
+// member that merely stops its requests can still be assigned the lease until
+// its membership lapses, which would leave the fleet without a planner for 2.6 s.
 func (p *Planner) shouldLeaveElection(now bootclock.Time) bool {
 	if !p.lease.member || p.lease.requestInFlight {
 		return false
@@ -218,9 +232,11 @@
 }
 
 // plannerExpected reports whether a planner, if there is one, would have
-// published a table by now. Without this check 85 hosts that were not
-// candidates requested the lease before the first table existed, and at the
-// start of every fleet one of them got it.
+// published a table by now. A planner writes its first record as soon as it
+// holds the lease; minRegistrationWait after the first upstream was listed is an
+// upper estimate of that time. Without this check the hosts that are not
+// candidates, 85 in one fleet, would request the lease before the first table
+// exists, and at the start of each fleet one of them would get it.
 func (p *Planner) plannerExpected(now bootclock.Time, v *view.View) bool {
 	if len(v.Tables) > 0 {
 		return true
@@ -236,16 +252,19 @@
 // ShouldStepDown reports whether this host is the planner without being a
 // candidate and can give up the lease now. It first plans for stepDownAfterTTLs
 // lease TTLs: by then the other non-candidates have seen a planner and their
-// memberships have lapsed, so the lease goes to a candidate.
+// memberships have lapsed, so the lease goes to a candidate. The caller must
+// check that there is one.
 func (p *Planner) ShouldStepDown(now bootclock.Time) bool {
 	heldLongEnough := now.Sub(p.lease.acquiredAt) > time.Duration(stepDownAfterTTLs*float64(p.opts.LeaseTTL))
 	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.requestInFlight && heldLongEnough
 }
 
-// StepDown ends this host's term in favour of a candidate. Its grants remain
-// valid for up to GrantTTL, and the next planner renews them within one
-// interval between its lease requests.
+// StepDown ends this host's terms in favour of a candidate; the next Tick makes
+// the host leave the election. Its grants remain valid for up to GrantTTL. The
+// next planner learns from its next lease request, within about acquireFraction
+// of LeaseTTL, that it holds the lease, and then renews them.
 func (p *Planner) StepDown(now bootclock.Time) {
+	// The cause is an established log text. It means that a candidate can take over.
 	p.OnEvent(Event{Kind: LeaseLost, Cause: "a stronger host is there", Age: now.Sub(p.lease.renewedAt)})
 	p.lease.held = false
 	p.plannerSeenAt = now
@@ -280,8 +299,8 @@
 	}
 }
 
-// endTerms ends all terms once the last lease renewal is too old. A later term
-// starts with a record of its own.
+// endTerms ends all terms once this host may no longer act as the planner. A
+// later term starts with a record of its own.
 func (p *Planner) endTerms(now bootclock.Time) {
 	for name := range p.terms {
 		p.OnEvent(Event{Kind: TermEnded, Service: name, Age: now.Sub(p.lease.renewedAt)})
@@ -363,10 +382,11 @@
 	}
 }
 
-// ReleaseDone handles the result of a Release. handover is the old owner's handover token.
-func (p *Planner) ReleaseDone(r *Release, handover string, err error, now bootclock.Time) {
+// ReleaseDone handles the result of a Release. handoverToken is the token that
+// the old owner returned; see the package comment.
+func (p *Planner) ReleaseDone(r *Release, handoverToken string, err error, now bootclock.Time) {
 	if t := p.terms[r.Service]; t != nil {
-		t.releaseDone(r, handover, err, now)
+		t.releaseDone(r, handoverToken, err, now)
 	}
 }
 
@@ -396,8 +416,9 @@
 	}
 }
 
-// Resign stops requesting the lease, for a planned shutdown. The planner goes
-// on renewing its grants until its last lease renewal is too old or it sees a
-// newer planner's token, so that no grant expires before the next planner
-// renews it. It moves no more keys.
+// Resign begins a planned shutdown: this host leaves the election and requests
+// the lease no more. If it is the planner, it starts no more moves but goes on
+// renewing its grants until its last lease renewal is older than MaxViewAge or
+// it learns of a newer planner, so that no grant expires before the next planner
+// renews it.
 func (p *Planner) Resign() { p.shuttingDown = true }
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -18,7 +18,7 @@
 	if m.releaseInFlight == nil && catalogue.IsLaterIncarnation(m.dest, m.old.Owner) {
 		return true
 	}
-	maxTTL := t.p.opts.maxGrantValidity()
+	maxValidity := t.p.opts.maxGrantValidity()
 	srv := t.server(m.old.Owner)
 	if srv.grantsInFlight > 0 || m.releaseInFlight != nil || now.Before(m.relistUntil) {
 		return false
@@ -26,24 +26,24 @@
 	if m.old.FencingToken <= t.firstFencingToken && !t.previousGrantsExpired(m, now) {
 		return false
 	}
-	if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= maxTTL {
+	if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= maxValidity {
 		return false
 	}
-	return m.released || !srv.grantSent || now.Sub(srv.maybeGrantedAt) > maxTTL
+	return m.released || !srv.grantSent || now.Sub(srv.maybeGrantedAt) > maxValidity
 }
 
 // previousGrantsExpired reports whether no grant of a previous planner can keep
 // the move's keys at their old owner.
 func (t *term) previousGrantsExpired(m *move, now bootclock.Time) bool {
-	maxTTL := t.p.opts.maxGrantValidity()
-	if now.Sub(t.previous.grantsUntilFor(m.old.Owner)) > maxTTL {
+	maxValidity := t.p.opts.maxGrantValidity()
+	if now.Sub(t.previous.grantsUntilFor(m.old.Owner)) > maxValidity {
 		return true
 	}
 	srv := t.server(m.old.Owner)
 	if srv.incarnation != m.old.Owner || !srv.acknowledgedTerm(m.span) {
 		return false
 	}
-	return m.released || now.Sub(t.previous.dialsUntil()) > maxTTL
+	return m.released || now.Sub(t.previous.dialsUntil()) > maxValidity
 }
 
 // mayRelease reports whether a release sent now would also end the grants of
@@ -100,14 +100,14 @@
 }
 
 // lostOwners returns the owners in the table that get no grants, because they
-// are not listed or do not answer. An owner with a grant in flight is not
-// marked as lost yet: the mark promises that no more grants are sent to it.
+// are gone or unresponsive. An owner with a grant in flight is not marked as lost
+// yet: the mark promises that no more grants are sent to it.
 func (t *term) lostOwners(table *ownership.Table) []string {
 	var out []string
 	for _, r := range table.Ranges {
 		srv := t.server(r.Owner)
-		unreachable := t.upstreams[r.Owner] == nil || srv.unresponsive
-		if r.Owner != "" && unreachable && srv.grantsInFlight == 0 {
+		lost := t.upstreams[r.Owner] == nil || srv.unresponsive
+		if r.Owner != "" && lost && srv.grantsInFlight == 0 {
 			out = append(out, r.Owner)
 		}
 	}
@@ -115,8 +115,8 @@
 	return slices.Compact(out)
 }
 
-// redirect gives a move whose new owner is no longer eligible the eligible
-// owner with the fewest keys instead.
+// redirect gives a move whose new owner may own no keys any more the eligible
+// upstream with the fewest keys instead, or none if no upstream is eligible.
 func (t *term) redirect(m *move, now bootclock.Time) {
 	keyCount := map[string]int{}
 	for _, r := range t.table.Ranges {
@@ -130,7 +130,7 @@
 	}
 }
 
-// dropFinishedMoves removes the moves that the table in force contains.
+// dropFinishedMoves removes the moves that the current table contains.
 func (t *term) dropFinishedMoves() {
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return t.table.Find(m.from).FencingToken > m.old.FencingToken })
 }
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -64,7 +64,8 @@
 	return out
 }
 
-// previousPlannersForRecord returns the planners that may still send grants now.
+// previousPlannersForRecord returns the previous planners that the next record
+// must list: all of them while one may still send grants, and none after that.
 func (t *term) previousPlannersForRecord(now bootclock.Time) []ownership.PlannerHost {
 	if t.previous.grantsUntil().Before(now) {
 		return nil
@@ -92,9 +93,9 @@
 	}
 }
 
-// Retire ends this host's planning if its term of the service comes before
-// nextTerm. It reports whether no grant of the service's past term is in flight
-// any more.
+// Retire ends this host's planning, at the request of a newer planner, if this
+// host's term of the service comes before nextTerm. It reports whether no grant
+// of the service's past term is in flight any more.
 func (p *Planner) Retire(service string, nextTerm int64, now bootclock.Time) bool {
 	if t := p.terms[service]; t != nil {
 		if t.started && t.number >= nextTerm {
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -29,7 +29,7 @@
 	params.MaxShrinkCount = 0
 	params.Workers = 4
 	p := gopter.NewProperties(params)
-	p.Property("one owner a key", prop.ForAll(func(seed uint64) (string, error) {
+	p.Property("at most one owner per key", prop.ForAll(func(seed uint64) (string, error) {
 		s := newSimulation(seed, allFaults, testOptions)
 		if err := s.run(60 * time.Second); err != nil {
 			return err.Error(), nil
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -27,10 +27,14 @@
 	// ackedSpans are the spans for which the server has acknowledged this term's token.
 	ackedSpans []span
 	// throttles limits the events for failed calls.
-	throttles         map[EventKind]eventThrottle
-	timesUnresponsive int
-	excludedUntil     bootclock.Time
-	unresponsive      bool
+	throttles map[EventKind]eventThrottle
+	// exclusions counts how often the server was excluded since it last accepted a
+	// grant. Until excludedUntil it gets no keys.
+	exclusions    int
+	excludedUntil bootclock.Time
+	// unresponsive is set when a grant fails and the server has answered none for
+	// unresponsiveAfterFraction of the grant TTL.
+	unresponsive bool
 }
 
 // eventThrottle records when an event of one kind was last emitted, and how
@@ -56,7 +60,7 @@
 		srv.answeredAt = now
 	case err == nil && !srv.forPastIncarnation(g):
 		srv.answeredAt = now
-		srv.timesUnresponsive = 0
+		srv.exclusions = 0
 		srv.ackedSpans = append(srv.ackedSpans, span{g.Range.From, g.Range.To})
 		if len(srv.ackedSpans) > maxAckedSpans {
 			srv.ackedSpans = srv.ackedSpans[len(srv.ackedSpans)-maxAckedSpans:]
@@ -75,11 +79,12 @@
 func (srv *serverState) startIncarnation(incarnation string, now bootclock.Time) {
 	srv.incarnation = incarnation
 	srv.ackedSpans = nil
-	srv.unresponsive, srv.timesUnresponsive, srv.excludedUntil = false, 0, 0
+	srv.unresponsive, srv.exclusions, srv.excludedUntil = false, 0, 0
 	srv.answeredAt = now
 }
 
-// maxAckedSpans bounds the spans kept per server; as many as it owns ranges are enough.
+// maxAckedSpans bounds the spans kept per server. It must be at least the number
+// of ranges that a server owns, or acknowledgements that still count are dropped.
 const maxAckedSpans = 256
 
 // acknowledgedTerm reports whether the server has acknowledged this term's
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -14,7 +14,7 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// simulation runs the planners of several hosts in virtual time against one
+// simulation runs the Planners of several hosts in virtual time against one
 // ownership stream and a set of upstreams, with random faults. After each new
 // grant it checks that no two running upstreams own the same key.
 type simulation struct {
@@ -49,7 +49,7 @@
 	do func()
 }
 
-// simHost is a host that runs a planner.
+// simHost is a host with its Planner, whether or not it is the planner.
 type simHost struct {
 	name                string
 	planner             *Planner
@@ -61,7 +61,7 @@
 	unreachableUntil map[string]bootclock.Time
 	// connectedTo is the incarnation of each upstream to which a connection is open.
 	connectedTo map[string]int
-	// starts counts the starts of the host's planner.
+	// starts counts the starts of the host's Planner.
 	starts int
 }
 
@@ -106,7 +106,7 @@
 	s.upstreams = append(s.upstreams, &simUpstream{id: id, up: true, listed: true})
 }
 
-// restartHost replaces the host's planner and view by new ones.
+// restartHost replaces the host's Planner and view by new ones.
 func (s *simulation) restartHost(h *simHost) {
 	h.starts++
 	h.recordsRead = 0
@@ -134,7 +134,7 @@
 	s.queue = slices.Insert(s.queue, i, simEvent{at, do})
 }
 
-// faultOccurs draws whether a fault with the given rate occurs within step.
+// faultOccurs reports at random whether a fault with the given rate occurs within step.
 func (s *simulation) faultOccurs(perSecond float64, step time.Duration) bool {
 	return s.rng.Float64() < perSecond*step.Seconds()
 }
@@ -200,7 +200,7 @@
 	})
 }
 
-// execute makes a call that the host's planner returned and delivers its result.
+// execute makes a call that the host's Planner returned and delivers its result.
 func (s *simulation) execute(h *simHost, a Action) {
 	starts, planner := h.starts, h.planner
 	// deliver passes a result back unless the host has restarted. A stalled
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -22,13 +22,13 @@
 	crash             float64 // per second: an upstream ends for good; a new one registers
 	restart           float64 // per second: an upstream restarts under its ID
 	leave             float64 // per second: an upstream starts to leave; a new one registers
-	hostRestart       float64 // per second: a host's planner restarts
+	hostRestart       float64 // per second: a host restarts
 }
 
-// busyRegionSize is the number of adjacent keys among which all load is placed.
+// busyRegionSize is the number of adjacent keys that have all the load.
 const busyRegionSize = 1024
 
-// injectFaults draws the faults of one step, and now and then a new load.
+// injectFaults injects random faults for one step, and occasionally changes the load.
 func (s *simulation) injectFaults() {
 	f := s.faults
 	if s.faultOccurs(f.leaseChange, simStep) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// injectUpstreamFaults draws the faults of the upstreams themselves.
+// injectUpstreamFaults injects random faults of the upstreams themselves for one step.
 func (s *simulation) injectUpstreamFaults() {
 	for _, u := range slices.Clone(s.upstreams) {
 		if !u.up || !u.listed || u.leaving {
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -18,16 +18,16 @@
 type term struct {
 	p    *Planner
 	name string
-	// table is the table in force, or nil if none is known.
+	// table is the current table, the newest that is known, or nil if none is.
 	table *ownership.Table
-	// started is set once this host's first record is in force. number is the
+	// started is set once the term's first record has been adopted. number is the
 	// number of the term and firstFencingToken the token that its first record
 	// put on every range.
 	started           bool
 	number            int64
 	firstFencingToken int64
 	// base is the table that the term's first record was made from.
-	// previousGrants bounds what previous planners may still send.
+	// previous holds the deadlines for the grants of previous planners.
 	base     *ownership.Table
 	previous previousPlanners
 	// baseTermSeenAt is when the term of base was first seen.
@@ -47,7 +47,8 @@
 	superseded   bool
 	supersededAt bootclock.Time
 
-	// upstreams holds the listed upstreams by ID, upstreamByServer by server ID.
+	// upstreams holds the listed upstreams by incarnation ID (Upstream.ID),
+	// upstreamByServer by server ID, which all incarnations of a server share.
 	upstreams        map[string]*catalogue.Upstream
 	upstreamByServer map[string]*catalogue.Upstream
 	// warmUp is how long requests for keys are slow after a move without a handover.
@@ -61,8 +62,8 @@
 	limiter reassignmentLimiter
 	// moves are the moves in progress, in the order of their keys.
 	moves []*move
-	// nextRebalance is when load is checked next, nextOwnerlessCheck when keys
-	// without an owner are.
+	// nextRebalance is when load is checked next, nextNewOwnerCheck when keys that
+	// need a new owner are.
 	nextRebalance, nextNewOwnerCheck bootclock.Time
 }
 
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// adoptTable puts the latest table from the log into force if it is newer.
+// adoptTable makes the latest table from the log the current one if it is newer.
 func (t *term) adoptTable(latest *ownership.Table, now bootclock.Time) {
 	if latest == nil || (t.table != nil && latest.MaxFencingToken <= t.table.MaxFencingToken) {
 		return
@@ -132,8 +133,8 @@
 	t.firstFencingToken = t.table.MaxFencingToken
 	t.previous.planners = t.newPreviousPlanners(now)
 	if past := t.p.pastTerms[t.name]; past != nil && t.base != nil && past.number == t.base.Term {
-		// This host was also the last planner: the bounds of its past term still
-		// hold, and the servers' states count the grants that it sent itself.
+		// This host was also the last planner: the deadlines of its past term still
+		// apply, and the servers' states count the grants that it sent itself.
 		t.previous = past.previous
 		t.servers = past.servers
 	}
@@ -215,12 +216,14 @@
 	return warm >= cold
 }
 
-// drainingOrCold reports whether a listed upstream may own no keys now, even if it answers.
+// drainingOrCold reports whether a listed upstream may own no keys now, even if
+// it answers, because it is draining, or cold while cold upstreams get no keys.
 func (t *term) drainingOrCold(u *catalogue.Upstream) bool {
 	return u.Draining() || (t.excludeCold && t.p.Cold(u))
 }
 
-// eligibleUpstreams returns the upstreams that may own keys.
+// eligibleUpstreams returns the upstreams that may own keys: all that are neither
+// drainingOrCold nor unavailable.
 func (t *term) eligibleUpstreams(now bootclock.Time) []*catalogue.Upstream {
 	var out []*catalogue.Upstream
 	for _, u := range t.upstreams {
@@ -231,6 +234,8 @@
 	return out
 }
 
+// unavailable reports whether the upstream is unresponsive, or excluded because
+// it was.
 func (t *term) unavailable(id string, now bootclock.Time) bool {
 	srv := t.server(id)
 	return srv.unresponsive || now.Before(srv.excludedUntil)
@@ -353,8 +358,9 @@
 }
 
 // markSuperseded handles a grant that an upstream rejected because it has seen
-// a higher token. If the grant is in force, there is a newer planner whose
-// record has not reached this host, so the ownership stream must be read again.
+// a higher token. If the grant's token is still the one in the current table,
+// there is a newer planner whose record has not reached this host, so the
+// ownership stream must be read again.
 func (t *term) markSuperseded(r ownership.Range, now bootclock.Time, err error) {
 	if t.table.Find(r.From).FencingToken != r.FencingToken {
 		return // the grant predates one of this host's own moves
