--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -6,8 +6,8 @@
 )
 
 // history is what this host has seen of a service's records, from any planner.
-// It bounds what previous planners may still send: a record was in the log no
-// later than it was seen here.
+// It yields deadlines for the grants of previous planners: a record was in the
+// log no later than it was seen here.
 type history struct {
 	// newestTerm is the newest term seen, newestTermSeenAt when it was first seen.
 	newestTerm       int64
@@ -33,11 +33,13 @@
 	}
 }
 
-// previousGrants bounds the grants of previous planners.
-type previousGrants struct {
+// previousPlanners holds the latest times at which previous planners may send
+// grants.
+type previousPlanners struct {
 	planners []*previousPlanner
-	// lostBounds holds earlier bounds for owners that the last planner had marked as lost.
-	lostBounds map[string]bootclock.Time
+	// lostOwnerDeadlines holds earlier deadlines, by owner, for owners that the
+	// last planner had marked as lost.
+	lostOwnerDeadlines map[string]bootclock.Time
 }
 
 // termSeenAt returns when the term of base was first seen, or now if it is new
@@ -49,11 +51,12 @@
 	return now
 }
 
-// lostBounds returns the bounds for owners that base marks as lost. Its planner
-// had stopped sending to them when the mark was seen. The planners before it
-// had lost the lease before its first record, and send nothing later than
-// MaxViewAge after that.
-func (h *history) lostBounds(base *ownership.Table, opts *Options) map[string]bootclock.Time {
+// lostOwnerDeadlines returns the latest times at which a previous planner may send
+// a grant to the owners that base marks as lost. The planner of base had stopped
+// sending to them when the mark was seen. The planners before it had lost the
+// lease before its first record, and send nothing later than MaxViewAge after
+// that.
+func (h *history) lostOwnerDeadlines(base *ownership.Table, opts *Options) map[string]bootclock.Time {
 	out := map[string]bootclock.Time{}
 	if h == nil || base == nil || base.Term != h.newestTerm {
 		return out
@@ -66,27 +69,28 @@
 
 // grantsUntil returns the latest time at which a previous planner may send a
 // grant to any owner.
-func (g *previousGrants) grantsUntil() bootclock.Time {
+func (g *previousPlanners) grantsUntil() bootclock.Time {
 	return g.latest(func(p *previousPlanner) bootclock.Time { return p.grantsUntil })
 }
 
-// dialsUntil returns the latest time at which one may open a connection for a grant.
-func (g *previousGrants) dialsUntil() bootclock.Time {
+// dialsUntil returns the latest time at which a previous planner may open a
+// connection for a grant.
+func (g *previousPlanners) dialsUntil() bootclock.Time {
 	return g.latest(func(p *previousPlanner) bootclock.Time { return p.dialsUntil })
 }
 
-func (g *previousGrants) latest(bound func(*previousPlanner) bootclock.Time) bootclock.Time {
+func (g *previousPlanners) latest(deadline func(*previousPlanner) bootclock.Time) bootclock.Time {
 	last := bootclock.Time(0)
 	for _, p := range g.planners {
-		last = max(last, bound(p))
+		last = max(last, deadline(p))
 	}
 	return last
 }
 
 // grantsUntilFor returns the latest time at which a previous planner may send a
 // grant to the owner.
-func (g *previousGrants) grantsUntilFor(owner string) bootclock.Time {
-	if at, ok := g.lostBounds[owner]; ok {
+func (g *previousPlanners) grantsUntilFor(owner string) bootclock.Time {
+	if at, ok := g.lostOwnerDeadlines[owner]; ok {
 		return min(at, g.grantsUntil())
 	}
 	return g.grantsUntil()
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -11,7 +11,8 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// move is a span that is being moved to another owner.
+// move is a span that is being moved to another owner. The package comment
+// explains handoverToken.
 type move struct {
 	span
 	old ownership.Range
@@ -21,7 +22,7 @@
 	// once one was answered.
 	releaseInFlight *Release
 	released        bool
-	handover        string
+	handoverToken   string
 	nextRelease     bootclock.Time
 	// releaseFailed is set once a release failed. Until relistUntil an owner
 	// that answers again is given time to be listed again.
@@ -30,7 +31,7 @@
 	cause         string
 }
 
-// Causes of moves, as written to the log and to table records.
+// Causes of moves, as written to log messages and table records.
 const (
 	causeNoOwner   = "no owner"
 	causeRestarted = "owner restarted"
@@ -43,41 +44,43 @@
 )
 
 // lacksHandover reports whether the move's keys come without a handover because
-// their owner was lost or is gone.
+// their owner was unresponsive or gone when the move started.
 func (m *move) lacksHandover() bool {
-	return m.handover == "" && (m.cause == causeLost || m.cause == causeGone)
+	return m.handoverToken == "" && (m.cause == causeLost || m.cause == causeGone)
 }
 
 const (
 	// rebalanceInterval is the interval between load checks.
 	rebalanceInterval = 250 * time.Millisecond
-	// ownerlessCheckInterval is that interval while keys need an owner. A check takes
-	// some milliseconds: with one per tick, a planner whose upstreams restarted one
-	// after another was too busy to renew its lease and lost it three times.
-	ownerlessCheckInterval = 100 * time.Millisecond
+	// newOwnerCheckInterval is the minimum interval between checks for keys that
+	// need a new owner. A check takes some milliseconds: with one per tick, a
+	// planner whose upstreams restart one after another would be too busy to renew
+	// its lease, and could lose it three times meanwhile.
+	newOwnerCheckInterval = 100 * time.Millisecond
 )
 
 // minSamples is how many requests a load estimate must rest on before keys are
 // moved for load. A planner that has just taken over has no estimate yet.
 const minSamples = 40
 
-// maxLeaseAge is how recently the lease must have been renewed for the planner
-// to move keys for load, to open connections for grants and to rely on being
-// the only writer of the ownership stream.
-const maxLeaseAge = 900 * time.Millisecond
+// recentRenewalAge is how recently the lease must have been renewed for the
+// planner to move keys for load, to open connections for grants and to rely on
+// being the only writer of the ownership stream. Options.MaxViewAge is the longer
+// limit of the same time for acting as the planner at all.
+const recentRenewalAge = 900 * time.Millisecond
 
 // planMoves starts the moves that the current owners and load require.
 func (t *term) planMoves(now bootclock.Time) {
 	if t.awaitingRegistrations(now) {
 		return
 	}
-	if now.Before(t.nextOwnerlessCheck) || (now.Before(t.nextRebalance) && !t.hasOwnerlessKeys(now)) {
+	if now.Before(t.nextNewOwnerCheck) || (now.Before(t.nextRebalance) && !t.hasKeysNeedingNewOwner(now)) {
 		return
 	}
-	t.nextRebalance, t.nextOwnerlessCheck = now.Add(rebalanceInterval), now.Add(ownerlessCheckInterval)
+	t.nextRebalance, t.nextNewOwnerCheck = now.Add(rebalanceInterval), now.Add(newOwnerCheckInterval)
 	t.cancelMovesOfReturnedOwners(now)
 	t.startExclusions(now)
-	owners := t.eligibleOwners(now)
+	owners := t.eligibleUpstreams(now)
 	if len(owners) == 0 {
 		return
 	}
@@ -99,7 +102,7 @@
 func (t *term) loadAndLimits(owners []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
 	load, samples := t.p.Load(t.name, owners)
 	load.SlowToMove = t.ownersWithUnansweredGrants(owners, now)
-	if t.neverAssigned() {
+	if t.noKeyAssigned() {
 		// Requests that were refused because no key has an owner say little
 		// about load: after ten of them, those ten keys would be spread out and
 		// all others left in one range.
@@ -108,7 +111,7 @@
 	lim := t.p.Limits
 	moveBudget := max(lim.MaxMoves, min(len(owners)/ownersPerMove, maxLoadMoves))
 	lim.MaxMoves = max(moveBudget-t.loadMoveCount(), 0)
-	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > maxLeaseAge {
+	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > recentRenewalAge {
 		// Keys released while the log is not writable would have no owner until it is.
 		lim.MaxMoves = 0
 	}
@@ -118,12 +121,12 @@
 // ownersWithUnansweredGrants returns the owners that recently left a grant
 // unanswered. It may still take effect, so keys taken from them have no owner
 // until it expires: 3 s instead of the duration of the requests in flight. With
-// 6% of the answers lost, nine tenths of all load moves waited that long.
+// 6% of the answers lost, nine tenths of all load moves would wait that long.
 func (t *term) ownersWithUnansweredGrants(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range owners {
 		srv := t.server(u.ID)
-		if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= t.p.opts.maxGrantTTL() {
+		if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= t.p.opts.maxGrantValidity() {
 			out[u.ID] = true
 		}
 	}
@@ -132,7 +135,7 @@
 
 // loadMoveCount returns the number of load moves in progress. Moves off owners
 // that are lost or leaving do not count, because balance is not their purpose:
-// while 200 of them waited for grants to expire, no other owner could be relieved.
+// while 200 of them wait for grants to expire, no other owner could be relieved.
 func (t *term) loadMoveCount() int {
 	n := 0
 	for _, m := range t.moves {
@@ -150,7 +153,7 @@
 func (t *term) moveToNewIncarnations(now bootclock.Time) bool {
 	found := false
 	for _, r := range t.table.Ranges {
-		if u := t.newerIncarnation(r.Owner); u != nil && !t.ineligible(u) && !t.excluded(u.ID, now) {
+		if u := t.newerIncarnation(r.Owner); u != nil && !t.drainingOrCold(u) && !t.unavailable(u.ID, now) {
 			t.startMove(ownership.Move{From: r.From, To: r.To, NewOwner: u.ID}, now)
 			found = true
 		}
@@ -162,7 +165,7 @@
 // registering before the first assignment. Without the wait the first ones
 // would get all keys.
 func (t *term) awaitingRegistrations(now bootclock.Time) bool {
-	if !t.neverAssigned() {
+	if !t.noKeyAssigned() {
 		return false
 	}
 	reg := t.p.registrations[t.name]
@@ -173,17 +176,18 @@
 	return elapsed < minRegistrationWait || (now.Sub(reg.lastAt) < registrationQuiet && elapsed < maxRegistrationWait)
 }
 
-// neverAssigned reports whether no key has had an owner yet.
-func (t *term) neverAssigned() bool {
+// noKeyAssigned reports whether no key has an owner.
+func (t *term) noKeyAssigned() bool {
 	return !slices.ContainsFunc(t.table.Ranges, func(r ownership.Range) bool { return r.Owner != "" })
 }
 
-// hasOwnerlessKeys reports whether a range that is not being moved has no
-// owner, or one that cannot keep it.
-func (t *term) hasOwnerlessKeys(now bootclock.Time) bool {
+// hasKeysNeedingNewOwner reports whether a range that is not being moved has no
+// owner, or one that is unlisted, draining, cold while cold upstreams get no
+// keys, or unavailable.
+func (t *term) hasKeysNeedingNewOwner(now bootclock.Time) bool {
 	for _, r := range t.table.Ranges {
 		u := t.upstreams[r.Owner]
-		if u != nil && !t.ineligible(u) && !t.excluded(r.Owner, now) {
+		if u != nil && !t.drainingOrCold(u) && !t.unavailable(r.Owner, now) {
 			continue
 		}
 		if len(t.subtractMoves(span{r.From, r.To})) > 0 {
@@ -227,17 +231,18 @@
 
 // mayStartMove reports whether a move of the range need not wait for grants of
 // previous planners, or its owner is lost anyway. A range released before its
-// owner acknowledged this term's token had no owner until those grants expired,
-// 9.2 s later. The owner acknowledges the token with its first grant, or is lost.
+// owner has acknowledged this term's token would have no owner until those grants
+// expire, up to 9.2 s later. The owner acknowledges the token with its first
+// grant, or is lost.
 func (t *term) mayStartMove(old ownership.Range, now bootclock.Time) bool {
-	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previousGrants.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantTTL() {
+	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previous.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantValidity() {
 		return true
 	}
 	srv := t.server(old.Owner)
-	if t.upstreams[old.Owner] == nil || srv.lost {
+	if t.upstreams[old.Owner] == nil || srv.unresponsive {
 		return true
 	}
-	return srv.incarnation == old.Owner && srv.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previousGrants.dialsUntil()) > maxGrantDelay
+	return srv.incarnation == old.Owner && srv.acknowledgedTerm(span{old.From, old.To}) && now.Sub(t.previous.dialsUntil()) > maxGrantDelay
 }
 
 // insertMove inserts m in the order of the keys.
@@ -255,6 +260,9 @@
 	return nil
 }
 
+// moveCause returns why keys of the owner must move. An upstream whose entry in
+// the log has lapsed counts as leaving at first, because catalogue.Upstream keeps
+// Leaving set while Unlisted is, and as gone once it is no longer in the view.
 func (t *term) moveCause(owner string, now bootclock.Time) string {
 	u := t.upstreams[owner]
 	switch {
@@ -266,11 +274,11 @@
 		return causeGone
 	case u.Leaving || u.ReportedLeaving:
 		return causeLeaving
-	case u.HandingOver():
+	case u.HandingOver(): // evacuated, as it has not reported that it is leaving
 		return causeEvacuated
-	case t.excluded(owner, now):
+	case t.unavailable(owner, now):
 		return causeLost
-	case t.ineligible(u):
+	case t.drainingOrCold(u):
 		return causeCold
 	}
 	return causeLoad
@@ -291,7 +299,7 @@
 	return out
 }
 
-func (t *term) releaseDone(r *Release, handover string, err error, now bootclock.Time) {
+func (t *term) releaseDone(r *Release, handoverToken string, err error, now bootclock.Time) {
 	m := t.findMove(span{r.Range.From, r.Range.To})
 	if m == nil || m.releaseInFlight != r {
 		// The release was sent for a move that has been cancelled. The keys may
@@ -314,63 +322,64 @@
 	if t.restoreOwner(r.Range.Owner, now) {
 		return
 	}
-	m.released, m.handover = true, handover
+	m.released, m.handoverToken = true, handoverToken
 	if m.releaseFailed {
 		m.relistUntil = now.Add(relistGrace)
 	}
 }
 
-// cancelMovesOfReturnedOwners cancels the moves off owners that were gone or lost,
-// are listed again, and whose keys no other upstream has been granted. When the
+// cancelMovesOfReturnedOwners cancels the moves off owners that were lost, are
+// listed again, and whose keys no other upstream has been granted. When the
 // partition of a data centre heals, its upstreams answer up to a heartbeat before
-// they are listed; moving a third of all keys off them overloaded the others.
+// they are listed; moving a third of all keys off them would overload the others.
 func (t *term) cancelMovesOfReturnedOwners(now bootclock.Time) {
 	if t.pendingAppend != nil {
 		return
 	}
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool {
 		u := t.upstreams[m.old.Owner]
-		wasUnlisted := m.cause == causeLeaving || m.cause == causeGone
-		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.ineligible(u) || (!m.released && !wasUnlisted) {
+		wasLeavingOrGone := m.cause == causeLeaving || m.cause == causeGone
+		if !m.releaseFailed || m.releaseInFlight != nil || u == nil || t.drainingOrCold(u) || (!m.released && !wasLeavingOrGone) {
 			return false
 		}
 		srv := t.server(u.ID)
-		srv.lost, srv.answeredAt = false, now
+		srv.unresponsive, srv.answeredAt = false, now
 		return true
 	})
 	t.syncGrants(now)
 }
 
-// restoreOwner cancels the moves off a lost upstream that answers again, and
+// restoreOwner cancels the moves off an unresponsive upstream that answers again, and
 // reports whether it did. No other upstream has been granted its keys, and perhaps
 // only the answers to its grants were lost. Moves with a release in flight go on.
 func (t *term) restoreOwner(id string, now bootclock.Time) bool {
 	srv, u := t.server(id), t.upstreams[id]
-	if !srv.lost || u == nil || t.ineligible(u) || t.pendingAppend != nil {
+	if !srv.unresponsive || u == nil || t.drainingOrCold(u) || t.pendingAppend != nil {
 		return false
 	}
-	srv.lost = false
+	srv.unresponsive = false
 	srv.answeredAt = now
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return m.old.Owner == id && m.releaseInFlight == nil })
 	t.syncGrants(now)
 	return true
 }
 
-// startExclusions ends the loss of upstreams that own no keys any more and excludes
-// them for a time that doubles with each loss. Otherwise an upstream that answers
-// only now and then would be given keys again and again, only to lose them.
+// startExclusions no longer treats upstreams as unresponsive once they own no keys,
+// and instead excludes them for a time that doubles with each exclusion. Otherwise
+// an upstream that answers only intermittently would be given keys again and again,
+// only to lose them.
 func (t *term) startExclusions(now bootclock.Time) {
 	owns := map[string]bool{}
 	for _, r := range t.table.Ranges {
 		owns[catalogue.ServerID(r.Owner)] = true
 	}
 	for server, srv := range t.servers {
-		if !srv.lost || owns[server] || srv.grantsInFlight > 0 {
+		if !srv.unresponsive || owns[server] || srv.grantsInFlight > 0 {
 			continue
 		}
-		srv.lost = false
-		srv.excludedUntil = now.Add(min(minExclusion<<min(srv.losses, 4), maxExclusion))
-		srv.losses++
+		srv.unresponsive = false
+		srv.excludedUntil = now.Add(min(minExclusion<<min(srv.exclusions, 4), maxExclusion))
+		srv.exclusions++
 		srv.grantSent = false
 	}
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -12,7 +12,13 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// Planner is the state machine. Its methods must be called from one goroutine.
+// Planner is the state machine that runs on every host, whether or not the host
+// is the planner. Its methods must be called from one goroutine.
+//
+// Four operations end or restrict planning. StepDown: a planner that is not a
+// candidate gives up the lease. Resign: the host is about to shut down. Retire:
+// a newer planner asks this host to stop. ReleaseLease, an Action: this host
+// leaves the election, possibly without holding the lease.
 type Planner struct {
 	opts Options
 	// Load returns a service's load with the capacities of the given upstreams,
@@ -26,9 +32,11 @@
 	// therefore limited.
 	Cold func(*catalogue.Upstream) bool
 
-	lease    plannerLease
-	resigned bool
-	services map[string]*term
+	lease plannerLease
+	// shuttingDown is set by Resign.
+	shuttingDown bool
+	// terms holds the current terms by service, while this host is the planner.
+	terms map[string]*term
 	// pastTerms holds each service's last ended term of this process.
 	pastTerms map[string]*term
 	histories map[string]*history
@@ -37,8 +45,9 @@
 	// may extend beyond it.
 	streamEnd          int64
 	streamEndUncertain bool
-	// plannerSeenAt is the start of noPlannerTimeout: when another planner was
-	// last seen, or when one could last have gone unseen.
+	// plannerSeenAt is the time from which noPlannerTimeout counts: when another
+	// planner was last seen, or since when this host would have seen one if
+	// there was one.
 	plannerSeenAt bootclock.Time
 	// registrations holds the registration times by service.
 	registrations map[string]registrations
@@ -59,8 +68,10 @@
 	Upstream string
 	Table    *ownership.Table
 	Cause    string
-	Age      time.Duration
-	Err      error
+	// Age is the time since the last lease renewal; in UpstreamLost events, the
+	// time since the upstream's last answer.
+	Age time.Duration
+	Err error
 	// Suppressed is the number of events of this kind suppressed since the last one.
 	Suppressed int
 }
@@ -88,15 +99,15 @@
 	member          bool
 	renewedAt       bootclock.Time
 	requestInFlight bool
-	// lastAnswerAt is when the last lease request completed, nextRequestAt when
-	// the next one is due.
-	lastAnswerAt, nextRequestAt bootclock.Time
+	// lastCompletedAt is when the last lease request completed, successfully or
+	// not, nextRequestAt when the next one is due.
+	lastCompletedAt, nextRequestAt bootclock.Time
 }
 
-// New returns a planner that does not hold the lease.
+// New returns a Planner for a host that does not hold the lease yet.
 func New(opts Options) *Planner {
-	return &Planner{opts: opts, services: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
-		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: maxMoves},
+	return &Planner{opts: opts, terms: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
+		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: baseLoadMoves},
 		Load: func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 			return ownership.Load{Capacity: slotsByID(owners)}, 0
 		},
@@ -118,17 +129,20 @@
 	}
 }
 
-// HoldsLease reports whether this host may act as the planner now.
+// HoldsLease reports whether this host may act as the planner now. It is true
+// for MaxViewAge after the last lease renewal, even if the lease has expired
+// since, unless this host knows that it no longer holds the lease.
 func (p *Planner) HoldsLease(now bootclock.Time) bool {
 	return p.lease.held && now.Sub(p.lease.renewedAt) <= p.opts.MaxViewAge
 }
 
 // SoleWriter reports whether the ownership stream contains only records that
-// this host has read or written: it renewed the lease within maxLeaseAge, has not
-// resigned, every append was answered and no grant was fenced. Otherwise only a
-// read shows where the stream ends; without it every later append would conflict.
+// this host has read or written: it renewed the lease within recentRenewalAge, is
+// not shutting down, every append was answered and no grant was fenced. Otherwise
+// only a read shows where the stream ends; without it every later append would
+// conflict.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
-	return p.HoldsLease(now) && !p.resigned && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= maxLeaseAge
+	return p.HoldsLease(now) && !p.shuttingDown && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= recentRenewalAge
 }
 
 // Tick returns the calls to make now.
@@ -138,7 +152,7 @@
 	if a := p.dueAcquireLease(now, v); a != nil {
 		out = append(out, a)
 	}
-	if p.shouldReleaseLease(now) {
+	if p.shouldLeaveElection(now) {
 		p.lease.member = false
 		out = append(out, &ReleaseLease{})
 	}
@@ -189,7 +203,7 @@
 
 // dueAcquireLease returns the next lease request if it is due, or nil.
 func (p *Planner) dueAcquireLease(now bootclock.Time, v *view.View) Action {
-	if p.resigned || p.lease.requestInFlight || now.Before(p.lease.nextRequestAt) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
+	if p.shuttingDown || p.lease.requestInFlight || now.Before(p.lease.nextRequestAt) || v.Desired == nil || len(v.Desired.KeyedServices()) == 0 {
 		return nil
 	}
 	if p.plannerSeenAt == 0 || !p.plannerExpected(now, v) {
@@ -206,21 +220,23 @@
 	return &AcquireLease{TTL: ttl, SentAt: now}
 }
 
-// shouldReleaseLease reports whether this host should leave the election: it
-// has resigned, or it is not a candidate and another host plans. A member that
-// merely stops its requests can still be assigned the lease until its
-// membership lapses; that left the fleet without a planner for 2.6 s.
-func (p *Planner) shouldReleaseLease(now bootclock.Time) bool {
+// shouldLeaveElection reports whether this host should leave the election: it
+// is shutting down, or it is not a candidate and another host is the planner. A
+// member that merely stops its requests can still be assigned the lease until
+// its membership lapses, which would leave the fleet without a planner for 2.6 s.
+func (p *Planner) shouldLeaveElection(now bootclock.Time) bool {
 	if !p.lease.member || p.lease.requestInFlight {
 		return false
 	}
-	return p.resigned || (!p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout)
+	return p.shuttingDown || (!p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout)
 }
 
 // plannerExpected reports whether a planner, if there is one, would have
-// published a table by now. Without this check 85 hosts that were not
-// candidates requested the lease before the first table existed, and at the
-// start of every fleet one of them got it.
+// published a table by now. A planner writes its first record as soon as it
+// holds the lease; minRegistrationWait after the first upstream was listed is an
+// upper estimate of that time. Without this check the hosts that are not
+// candidates, 85 in one fleet, would request the lease before the first table
+// exists, and at the start of each fleet one of them would get it.
 func (p *Planner) plannerExpected(now bootclock.Time, v *view.View) bool {
 	if len(v.Tables) > 0 {
 		return true
@@ -236,16 +252,19 @@
 // ShouldStepDown reports whether this host is the planner without being a
 // candidate and can give up the lease now. It first plans for stepDownAfterTTLs
 // lease TTLs: by then the other non-candidates have seen a planner and their
-// memberships have lapsed, so the lease goes to a candidate.
+// memberships have lapsed, so the lease goes to a candidate. The caller must
+// check that there is one.
 func (p *Planner) ShouldStepDown(now bootclock.Time) bool {
 	heldLongEnough := now.Sub(p.lease.acquiredAt) > time.Duration(stepDownAfterTTLs*float64(p.opts.LeaseTTL))
 	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.requestInFlight && heldLongEnough
 }
 
-// StepDown ends this host's term in favour of a candidate. Its grants remain
-// valid for up to GrantTTL, and the next planner renews them within one
-// interval between its lease requests.
+// StepDown ends this host's terms in favour of a candidate; the next Tick makes
+// the host leave the election. Its grants remain valid for up to GrantTTL. The
+// next planner learns from its next lease request, within about acquireFraction
+// of LeaseTTL, that it holds the lease, and then renews them.
 func (p *Planner) StepDown(now bootclock.Time) {
+	// The cause is an established log text. It means that a candidate can take over.
 	p.OnEvent(Event{Kind: LeaseLost, Cause: "a stronger host is there", Age: now.Sub(p.lease.renewedAt)})
 	p.lease.held = false
 	p.plannerSeenAt = now
@@ -256,7 +275,7 @@
 // host holds the lease.
 func (p *Planner) AcquireLeaseDone(a *AcquireLease, held bool, err error, now bootclock.Time) {
 	p.lease.requestInFlight = false
-	p.lease.lastAnswerAt = now
+	p.lease.lastCompletedAt = now
 	fraction := acquireFraction
 	if p.lease.held {
 		fraction = renewFraction
@@ -280,10 +299,10 @@
 	}
 }
 
-// endTerms ends all terms once the last lease renewal is too old. A later term
-// starts with a record of its own.
+// endTerms ends all terms once this host may no longer act as the planner. A
+// later term starts with a record of its own.
 func (p *Planner) endTerms(now bootclock.Time) {
-	for name := range p.services {
+	for name := range p.terms {
 		p.OnEvent(Event{Kind: TermEnded, Service: name, Age: now.Sub(p.lease.renewedAt)})
 	}
 	p.dropTerms()
@@ -292,23 +311,23 @@
 // dropTerms ends the terms of all services. Started ones are kept as past
 // terms, because they know which grants this host has sent.
 func (p *Planner) dropTerms() {
-	for name, t := range p.services {
+	for name, t := range p.terms {
 		if t.started {
 			p.pastTerms[name] = t
 		}
 	}
-	p.services = map[string]*term{}
+	p.terms = map[string]*term{}
 }
 
 // tickService returns the calls to make for one service.
 func (p *Planner) tickService(now bootclock.Time, name string, v *view.View) []Action {
-	t := p.services[name]
+	t := p.terms[name]
 	if t == nil {
 		t = newTerm(p, name)
-		p.services[name] = t
+		p.terms[name] = t
 	}
 	t.adoptTable(v.Tables[name], now)
-	if !t.started && p.resigned || t.isSuperseded() {
+	if !t.started && p.shuttingDown || t.isSuperseded() {
 		return nil
 	}
 	if !t.started {
@@ -316,7 +335,7 @@
 	}
 	t.updateUpstreams(v, now)
 	out := t.dueRetires(now)
-	if !p.resigned {
+	if !p.shuttingDown {
 		t.planMoves(now)
 		out = append(out, t.dueReleases(now)...)
 	}
@@ -330,7 +349,7 @@
 // AppendDone handles the result of an Append. It returns the table if this host
 // may use it already, or nil.
 func (p *Planner) AppendDone(a *Append, end int64, err error, now bootclock.Time) *ownership.Table {
-	t := p.services[a.Table.Service]
+	t := p.terms[a.Table.Service]
 	if t == nil || t.pendingAppend != a {
 		return nil
 	}
@@ -358,15 +377,16 @@
 // GrantDone handles the result of a Grant.
 func (p *Planner) GrantDone(g *Grant, err error, now bootclock.Time) {
 	g.server.recordResult(g, err, now)
-	if t := p.services[g.Service]; t != nil {
+	if t := p.terms[g.Service]; t != nil {
 		t.grantDone(g, err, now)
 	}
 }
 
-// ReleaseDone handles the result of a Release. handover is the old owner's handover token.
-func (p *Planner) ReleaseDone(r *Release, handover string, err error, now bootclock.Time) {
-	if t := p.services[r.Service]; t != nil {
-		t.releaseDone(r, handover, err, now)
+// ReleaseDone handles the result of a Release. handoverToken is the token that
+// the old owner returned; see the package comment.
+func (p *Planner) ReleaseDone(r *Release, handoverToken string, err error, now bootclock.Time) {
+	if t := p.terms[r.Service]; t != nil {
+		t.releaseDone(r, handoverToken, err, now)
 	}
 }
 
@@ -391,13 +411,14 @@
 // whenever a member joins or leaves; this host may hold it already and learns
 // that only from its next request.
 func (p *Planner) PlannerLost() {
-	if earliest := p.lease.lastAnswerAt.Add(minAcquireInterval); !p.lease.held && earliest.Before(p.lease.nextRequestAt) {
+	if earliest := p.lease.lastCompletedAt.Add(minAcquireInterval); !p.lease.held && earliest.Before(p.lease.nextRequestAt) {
 		p.lease.nextRequestAt = earliest
 	}
 }
 
-// Resign stops requesting the lease, for a planned shutdown. The planner goes
-// on renewing its grants until its last lease renewal is too old or it sees a
-// newer planner's token, so that no grant expires before the next planner
-// renews it. It moves no more keys.
-func (p *Planner) Resign() { p.resigned = true }
+// Resign begins a planned shutdown: this host leaves the election and requests
+// the lease no more. If it is the planner, it starts no more moves but goes on
+// renewing its grants until its last lease renewal is older than MaxViewAge or
+// it learns of a newer planner, so that no grant expires before the next planner
+// renews it.
+func (p *Planner) Resign() { p.shuttingDown = true }
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -29,7 +29,7 @@
 	params.MaxShrinkCount = 0
 	params.Workers = 4
 	p := gopter.NewProperties(params)
-	p.Property("one owner a key", prop.ForAll(func(seed uint64) (string, error) {
+	p.Property("at most one owner per key", prop.ForAll(func(seed uint64) (string, error) {
 		s := newSimulation(seed, allFaults, testOptions)
 		if err := s.run(60 * time.Second); err != nil {
 			return err.Error(), nil
@@ -97,7 +97,7 @@
 		if err := s.run(2500 * time.Millisecond); err != nil {
 			return err
 		}
-		nextTerm := s.currentPlanner().planner.services[simService]
+		nextTerm := s.currentPlanner().planner.terms[simService]
 		moved := nextTerm.table.Ranges[0]
 		newOwner := s.upstreams[0].id
 		if moved.Owner == newOwner {
@@ -164,7 +164,7 @@
 
 // Checks that the simulation detects two owners of a key: if upstreams keep grants for
 // three times the TTL, keys are reassigned too early, and some seed must show it.
-func TestOracleDetectsEarlyMoves(t *testing.T) {
+func TestSimulationDetectsTwoOwners(t *testing.T) {
 	for seed := range uint64(40) {
 		s := newSimulation(seed, allFaults, testOptions)
 		s.overstayFactor = 3
