--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -76,8 +76,8 @@
 	opCounts map[string]int64
 	// answersByIdempotencyKey holds answers by service/key and idempotency key.
 	answersByIdempotencyKey map[string]Answer
-	// executed counts the operations run, by service/key, for tests.
-	executed map[string]int64
+	// runsByKey counts the operations run, by service/key, for tests.
+	runsByKey map[string]int64
 	// runsByIdempotencyKey counts the operations run, by service/key and
 	// idempotency key, for tests.
 	runsByIdempotencyKey map[string]int64
@@ -94,7 +94,7 @@
 		opts.Slots = 1
 	}
 	return &Server{opts: opts, started: time.Now(), grants: map[string]*grantState{},
-		opCounts: map[string]int64{}, answersByIdempotencyKey: map[string]Answer{}, executed: map[string]int64{}, runsByIdempotencyKey: map[string]int64{}}
+		opCounts: map[string]int64{}, answersByIdempotencyKey: map[string]Answer{}, runsByKey: map[string]int64{}, runsByIdempotencyKey: map[string]int64{}}
 }
 
 // Handler serves grants, work and health.
@@ -156,7 +156,7 @@
 func (s *Server) Executed(service, key string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.executed[service+"/"+key]
+	return s.runsByKey[service+"/"+key]
 }
 
 // Runs returns how often the operation with idempotency key ik ran on service/key
@@ -262,16 +262,16 @@
 	}
 	ans := s.apply(r, service, key)
 	if s.opts.CrossAnswers {
-		ans = s.swapWithPrevious(ans)
+		ans = s.replacePreviousAnswer(ans)
 	}
 	w.Header().Set(tp.HeaderRequestID, ans.RequestID)
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(ans)
 }
 
-// swapWithPrevious stores ans for the next request and returns the answer to the
+// replacePreviousAnswer stores ans for the next request and returns the answer to the
 // request before, or ans if it is the first.
-func (s *Server) swapWithPrevious(ans Answer) Answer {
+func (s *Server) replacePreviousAnswer(ans Answer) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	prev := s.previousAnswer
@@ -320,7 +320,7 @@
 		return prev
 	}
 	s.opCounts[stateKey]++
-	s.executed[stateKey]++
+	s.runsByKey[stateKey]++
 	s.runsByIdempotencyKey[stateKey+"\x00"+idempotencyKey]++
 	ans.Ops = s.opCounts[stateKey]
 	if idempotencyKey != "" {
