--- a/internal/standin/cli/cli.go
+++ b/internal/standin/cli/cli.go
@@ -21,7 +21,7 @@
 
 // Command returns the root command of papayatide-standin.
 func Command() *cobra.Command {
-	root := &cobra.Command{Use: "papayatide-standin", Short: "Stand-ins for the platform's peers", SilenceUsage: true}
+	root := &cobra.Command{Use: "papayatide-standin", Short: "Stand-ins for the servers that papayatide uses", SilenceUsage: true}
 	root.AddCommand(logCommand(), targetCommand(), hostsCommand())
 	return root
 }
@@ -46,7 +46,7 @@
 			return serve(listen, hostlist.NewServer(lag).Handler(), nil)
 		}}
 	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:7100", "host:port to listen on")
-	cmd.Flags().DurationVar(&lag, "lag", 2*time.Second, "how late a change shows in the list")
+	cmd.Flags().DurationVar(&lag, "lag", 2*time.Second, "delay before a change appears in the list")
 	return cmd
 }
 
@@ -54,7 +54,7 @@
 	var example, file, upstream string
 	var opts target.Options
 	var drainWait time.Duration
-	cmd := &cobra.Command{Use: "target", Short: "Run one target server stand-in for an upstream of a shipped manifest",
+	cmd := &cobra.Command{Use: "target", Short: "Run one target server stand-in for an upstream of a manifest",
 		RunE: func(*cobra.Command, []string) error {
 			data, err := manifest.Example(example)
 			if file != "" {
@@ -76,23 +76,23 @@
 					}
 				}
 			}
-			return eris.Errorf("upstream %q is not in manifest %s", upstream, example)
+			return eris.Errorf("upstream %q is not in the manifest (--example %s, unless --manifest is set)", upstream, example)
 		}}
 	f := cmd.Flags()
 	f.StringVar(&example, "example", "siam-sludge", "shipped manifest naming the upstream")
 	f.StringVar(&file, "manifest", "", "manifest file naming the upstream (instead of --example)")
 	f.StringVar(&upstream, "upstream", "", "upstream to serve, e.g. routeboard-01")
 	f.DurationVar(&opts.WorkTime, "work-time", time.Millisecond, "time one request takes")
-	f.DurationVar(&opts.ColdStart, "cold-start", 0, "how long after start requests are slow")
+	f.DurationVar(&opts.ColdStart, "cold-start", 0, "how long requests stay slow after startup")
 	f.DurationVar(&opts.ColdWorkTime, "cold-work-time", 50*time.Millisecond, "time one request takes while cold")
-	f.DurationVar(&opts.HealthLag, "health-lag", 0, "how late the health endpoint reports draining")
-	f.DurationVar(&drainWait, "drain-wait", 2*time.Second, "on SIGTERM, refuse new work this long before stopping")
+	f.DurationVar(&opts.HealthLag, "health-lag", 0, "delay before the health endpoint reports draining")
+	f.DurationVar(&drainWait, "drain-wait", 2*time.Second, "on SIGINT or SIGTERM, refuse new work this long before stopping")
 	_ = cmd.MarkFlagRequired("upstream")
 	return cmd
 }
 
-// serve serves h on addr until SIGINT or SIGTERM. It then calls beforeStop, unless
-// that is nil, and shuts the server down.
+// serve serves h on addr until SIGINT, SIGTERM or a failure of the server. It then
+// calls beforeStop, unless that is nil, and shuts the server down.
 func serve(addr string, h http.Handler, beforeStop func()) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/cli/doc.go
+++ b/internal/standin/cli/doc.go
@@ -1,3 +1,3 @@
-// Package cli implements the command papayatide-standin, which runs the stand-ins
-// for the platform's peers (log service, host list, targets) as processes.
+// Package cli implements the command papayatide-standin, which runs stand-ins for the
+// servers that papayatide uses (log service, host list, targets) as processes.
 package cli
--- a/internal/standin/logsvc/doc.go
+++ b/internal/standin/logsvc/doc.go
@@ -1,5 +1,8 @@
-// Package logsvc is a stand-in for the platform's append-only log service: named
-// streams of records with offsets, conditional appends, a retention limit, and
-// injectable faults (an outage, slow calls, and appends that take effect but return
-// an error). It keeps everything in memory.
+// Package logsvc is a stand-in for the append-only log service of deployments with
+// published manifests. It serves the twirp API of rpc/logsvcpb, whose client is package
+// logservice: named streams of records with offsets, conditional appends and a retention
+// limit. Faults can be injected: an outage, slow calls, and appends that take effect but
+// return an error. Everything is kept in memory.
+//
+// Package memstore is the stand-in for the log service that `papayatided entry` uses.
 package logsvc
--- a/internal/standin/logsvc/server.go
+++ b/internal/standin/logsvc/server.go
@@ -112,6 +112,7 @@
 	next := st.first + int64(len(st.records))
 	if req.Conditional && req.ExpectedNext != next {
 		s.mu.Unlock()
+		// The stream does not end at the expected offset.
 		return nil, twirp.NewError(twirp.FailedPrecondition, "log: stream moved on").
 			WithMeta("next", strconv.FormatInt(next, 10))
 	}
@@ -119,6 +120,7 @@
 	st.records = append(st.records, &logsvcpb.Record{Offset: next, Data: req.Data, UnixMs: now.UnixMilli()})
 	s.trim(st, now)
 	s.mu.Unlock()
+	// Injected fault: the record is appended, but the client gets an error.
 	if f.LoseAckRate > 0 && rand.Float64() < f.LoseAckRate {
 		return nil, twirp.NewError(twirp.Unavailable, "log: answer lost")
 	}
--- a/internal/standin/loopback/fleet.go
+++ b/internal/standin/loopback/fleet.go
@@ -22,7 +22,7 @@
 	"github.com/papayatide/papayatide/internal/standin/target"
 )
 
-// Spec describes a fleet to start.
+// Spec describes a deployment to start.
 type Spec struct {
 	DataCentres []string
 	Services    []manifest.ServiceSize
@@ -76,7 +76,7 @@
 	stopErr       error
 }
 
-// Fleet is a running deployment.
+// Fleet is a running deployment: its entry hosts, targets, log service and host list.
 type Fleet struct {
 	// HostList is nil unless Spec.HostListLag was set.
 	HostList       *hostlist.Server
@@ -194,7 +194,7 @@
 	}
 }
 
-// Runs returns how often the operation with idempotency key ik ran on
+// Runs returns how many times the operation with idempotency key ik ran on
 // service/key, over all incarnations of the target.
 func (t *Target) Runs(service, key, ik string) int64 {
 	n := t.Server.Runs(service, key, ik)
@@ -244,7 +244,7 @@
 	return h.stopErr
 }
 
-// Publish publishes the fleet's manifest.
+// Publish publishes the deployment's manifest.
 func (f *Fleet) Publish(ctx context.Context) error {
 	data, err := f.Manifest.Encode()
 	if err != nil {
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -1,6 +1,7 @@
-// Package memstore is an in-memory stand-in for the platform's log service, as
-// package metastore defines it. Tests can make it unavailable and have it drop its
-// history, as the service does.
+// Package memstore is an in-memory metastore.Store, a stand-in for the log service that
+// `papayatided entry` uses; package platform/standin serves it over HTTP. Tests can make
+// it unavailable and have it drop its history, as the service does. Package logsvc is the
+// stand-in for the log service of deployments with published manifests.
 package memstore
 
 import (
@@ -31,7 +32,7 @@
 	calls map[string]int
 
 	// The planner lease: its holder, or "" if it was given up; its expiry; and
-	// how often it was acquired.
+	// how many times it was acquired.
 	leaseHolder     string
 	leaseExpiresAt  time.Time
 	leaseGeneration int64
@@ -75,7 +76,8 @@
 	return r.Offset + 1
 }
 
-// SetDown sets whether every call fails with metastore.ErrRejected.
+// SetDown sets whether the service is down: every call then fails with
+// metastore.ErrRejected, as if the service responded with status 503.
 func (l *Log) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,11 +110,12 @@
 	return l.calls[name]
 }
 
-// joinCallWeight is what the service counts for a join; any other call counts 1.
+// joinCallWeight is the weight of a join in the service's load, relative to any other
+// call: the log service counts a join as a tenth of a call.
 const joinCallWeight = 0.1
 
-// WeightedCalls returns how many calls were made, weighted as the service counts
-// them.
+// WeightedCalls returns the load on the service: the number of calls made, with joins
+// weighted by joinCallWeight. Failed calls are included.
 func (l *Log) WeightedCalls() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/pipenet/pipenet.go
+++ b/internal/standin/pipenet/pipenet.go
@@ -1,6 +1,6 @@
 // Package pipenet is an in-memory network for tests that run whole hosts under
-// testing/synctest. Its fake clock advances only while every goroutine is blocked
-// within the test; a goroutine that waits for a kernel socket does not count as such.
+// testing/synctest. The fake clock of synctest advances only while every goroutine in
+// the test's bubble is durably blocked; one that waits for a kernel socket is not.
 package pipenet
 
 import (
@@ -55,9 +55,9 @@
 	}
 }
 
-// Kill removes the listener at addr from the network and closes every connection
-// that it has accepted, which clients see as a crash of its process. The process
-// keeps running, and its Accept keeps waiting.
+// Kill disconnects the listener at addr: it removes it from the network and closes
+// every connection that it has accepted. To clients this looks like a crash of the
+// server. The server itself keeps running, and its Accept keeps blocking.
 func (n *Network) Kill(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/standin/ports/ports.go
+++ b/internal/standin/ports/ports.go
@@ -14,12 +14,13 @@
 
 const (
 	// firstPort and lastPort lie below the kernel's ephemeral ports. An ephemeral
-	// port that was free may go to another process before it is listened on: a
-	// host then failed to start, and its callers reached another process's server.
+	// port that is free may go to another process before the host or stand-in
+	// listens on it, which then fails to start, and its clients reach the other
+	// process's server.
 	firstPort, lastPort = 10000, 32000
 	// blockSize is how many ports a process reserves at once, by listening on the
-	// first of them. No other process can then be given one of the others, not
-	// even while a stand-in that restarts has closed its port.
+	// first of them. No other process can then reserve the others, not even
+	// while a stand-in that restarts has closed its port.
 	blockSize = 1000
 )
 
--- a/internal/standin/rangeowner/upstream.go
+++ b/internal/standin/rangeowner/upstream.go
@@ -1,5 +1,8 @@
-// Package rangeowner is a stand-in for an upstream that owns ranges of keys by
-// grants, each with a TTL and a fencing token, and refuses requests for other keys.
+// Package rangeowner is a stand-in for an upstream on the platform. It owns ranges of
+// keys by grants, each with a TTL and a fencing token, and refuses requests for other
+// keys. Package soak serves it with the platform's grant calls (platform/standin);
+// tests of package entryhost call Grant and Release directly. Package target is the
+// stand-in for a target of a published manifest, which is granted shards of a service.
 package rangeowner
 
 import (
@@ -27,8 +30,8 @@
 	workTime time.Duration
 	ln       net.Listener
 	srv      *http.Server
-	// CrashOn, if set, is called when a request starts to run. If it returns
-	// true, it has killed the upstream, and the request gets no response.
+	// CrashOn, if set, is called when a request starts to run. It may kill the
+	// upstream; it then returns true, and the request gets no response.
 	CrashOn func(*http.Request) bool
 
 	mu sync.Mutex
@@ -99,7 +102,7 @@
 // Kill closes the listener and all connections. It needs Start or StartOn.
 func (u *Upstream) Kill() { _ = u.srv.Close() }
 
-// Runs returns how often each request ran, by request ID.
+// Runs returns how many times each request ran, by request ID.
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -23,20 +23,23 @@
 	CheckFencing bool
 	// WorkTime is the processing time of one request.
 	WorkTime time.Duration
-	// ColdStart is how long after the start requests take ColdWorkTime instead.
+	// ColdStart is the period after startup in which each request takes
+	// ColdWorkTime instead of WorkTime.
 	ColdStart    time.Duration
 	ColdWorkTime time.Duration
 	// HealthLag is how long the health endpoint still reports ok after Drain.
 	HealthLag time.Duration
-	// CrossAnswers makes the target return to each request the answer to the
-	// request before it, as a faulty middlebox would.
+	// CrossAnswers makes the target respond to each request with the answer to
+	// the previous one, as a faulty middlebox would. The first request gets its
+	// own answer.
 	CrossAnswers bool
-	// CrashOn, if set, is called when the named target starts work on a key. If
-	// it returns true, it has killed the target, and the request gets no response.
+	// CrashOn, if set, is called with the target's name and the request's key
+	// when work on a request starts. It may kill the target; it then returns
+	// true, and the request gets no response.
 	CrashOn func(name, key string) bool
 }
 
-// Answer is the JSON body of a response to work.
+// Answer is the JSON body of the response to a work request (a request to tp.PathWork).
 type Answer struct {
 	Upstream  string `json:"upstream"`
 	Service   string `json:"service"`
@@ -65,8 +68,8 @@
 	// drainStart is when draining began, in Unix nanoseconds.
 	drainStart atomic.Int64
 
-	// pauseMu is write-locked while the target is paused: every handler blocks
-	// on entry, as in a suspended process.
+	// pauseMu is write-locked while the target is paused, which blocks new
+	// requests.
 	pauseMu sync.RWMutex
 
 	mu sync.Mutex
@@ -76,7 +79,8 @@
 	opCounts map[string]int64
 	// answersByIdempotencyKey holds answers by service/key and idempotency key.
 	answersByIdempotencyKey map[string]Answer
-	// runsByKey counts the operations run, by service/key, for tests.
+	// runsByKey counts the operations run, by service/key, for tests. It always
+	// equals opCounts.
 	runsByKey map[string]int64
 	// runsByIdempotencyKey counts the operations run, by service/key and
 	// idempotency key, for tests.
@@ -139,27 +143,29 @@
 	return ok && acceptedAt < s.blackholedBefore.Load()
 }
 
-// Pause suspends the target like a stopped process: requests block until Resume,
-// and the TTLs of its grants keep running.
+// Pause blocks new requests until Resume, similar to SIGSTOP, except that requests in
+// flight continue. The TTLs of the target's grants keep running.
 func (s *Server) Pause() { s.pauseMu.Lock() }
 
 // Resume ends a Pause. The target still has the grants it had before.
 func (s *Server) Resume() { s.pauseMu.Unlock() }
 
-// Drain makes the target refuse new work as not run, as before a planned stop.
+// Drain makes the target refuse new work requests and mark them as not run, as before a
+// planned stop.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 	s.drainStart.Store(time.Now().UnixNano())
 }
 
-// Executed returns how many operations (requests other than GET) ran on the key.
+// Executed returns how many operations (requests other than GET) ran on the key in this
+// incarnation.
 func (s *Server) Executed(service, key string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runsByKey[service+"/"+key]
 }
 
-// Runs returns how often the operation with idempotency key ik ran on service/key
+// Runs returns how many times the operation with idempotency key ik ran on service/key
 // in this incarnation.
 func (s *Server) Runs(service, key, ik string) int64 {
 	s.mu.Lock()
@@ -230,6 +236,8 @@
 		return "no grant"
 	case time.Now().After(g.expires):
 		return "grant lease lapsed"
+	// Fencing tokens are placement epochs. Since to Epoch are those whose placement
+	// gives the target the shards of this grant.
 	case token < g.grant.Since || token > g.grant.Epoch:
 		return "fencing token not current"
 	case !g.shards[shard]:
@@ -269,8 +277,8 @@
 	_ = json.NewEncoder(w).Encode(ans)
 }
 
-// replacePreviousAnswer stores ans for the next request and returns the answer to the
-// request before, or ans if it is the first.
+// replacePreviousAnswer stores ans as the previous answer and returns the one stored
+// before, or ans if there is none.
 func (s *Server) replacePreviousAnswer(ans Answer) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
