--- a/cmd/papayatided/daemon.go
+++ b/cmd/papayatided/daemon.go
@@ -11,9 +11,9 @@
 	"github.com/papayatide/papayatide/internal/settings"
 )
 
-// runDaemon runs the entry host of a deployment with published manifests until it is
+// runWithManifest runs the entry host of a deployment with published manifests until it is
 // stopped by a signal or fails.
-func runDaemon() error {
+func runWithManifest() error {
 	path := flag.String("config", "papayatided.ini", "path of the INI settings file")
 	flag.Parse()
 	cfg, err := settings.LoadDaemon(*path)
--- a/cmd/papayatided/entry.go
+++ b/cmd/papayatided/entry.go
@@ -29,10 +29,10 @@
 	grantConns = 3
 )
 
-// runEntryHost runs an entry host on the platform until it is stopped by a signal or
+// runOnPlatform runs an entry host on the platform until it is stopped by a signal or
 // fails. The environment variable platform.SettingsEnv holds the path of its
 // settings file.
-func runEntryHost() error {
+func runOnPlatform() error {
 	path := os.Getenv(platform.SettingsEnv)
 	cfg, err := settings.LoadEntryHost(path)
 	if err != nil {
--- a/cmd/papayatided/main.go
+++ b/cmd/papayatided/main.go
@@ -13,9 +13,9 @@
 )
 
 func main() {
-	run := runDaemon
+	run := runWithManifest
 	if len(os.Args) > 1 && os.Args[1] == "entry" {
-		run = runEntryHost
+		run = runOnPlatform
 	}
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "papayatided:", err)
--- a/cmd/papayatided/main_test.go
+++ b/cmd/papayatided/main_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	t.Setenv(platform.SettingsEnv, path)
-	err := runEntryHost()
+	err := runOnPlatform()
 	if err == nil || exitCode(err) != exitSettings || !strings.Contains(err.Error(), "[host]") {
 		t.Errorf("error %v, exit code %d", err, exitCode(err))
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,10 +14,10 @@
 // Server implements adminpb.Admin. Table returns the routing table in force, nil if
 // there is none yet.
 type Server struct {
-	Host       string
-	DataCentre string
-	Table      func() *routing.Table
-	Burns      *burn.Recorder
+	Host          string
+	DataCentre    string
+	Table         func() *routing.Table
+	RequestCounts *burn.Recorder
 }
 
 // Status returns the manifest and, for each upstream, its placement. The epochs are
@@ -57,7 +57,7 @@
 // Burn returns the request counts of each service and window.
 func (s *Server) Burn(ctx context.Context, _ *adminpb.BurnRequest) (*adminpb.BurnResponse, error) {
 	resp := &adminpb.BurnResponse{Host: s.Host}
-	for _, c := range s.Burns.Snapshot(time.Now()) {
+	for _, c := range s.RequestCounts.Snapshot(time.Now()) {
 		resp.Windows = append(resp.Windows, &adminpb.WindowCounts{Service: c.Service, WindowS: int64(c.Window.Seconds()),
 			Total: c.Total, Bad: c.Bad, Slow: c.Slow})
 	}
--- a/internal/cli/peers.go
+++ b/internal/cli/peers.go
@@ -92,7 +92,7 @@
 type ownerSummary struct {
 	owner        string
 	ranges, keys int
-	maxFence     int64
+	maxToken     int64
 }
 
 // printOwners prints a summary of each owner, sorted by ID.
@@ -106,7 +106,7 @@
 		}
 		summary.ranges++
 		summary.keys += int(r.To-r.From) + 1
-		summary.maxFence = max(summary.maxFence, r.Fence)
+		summary.maxToken = max(summary.maxToken, r.Fence)
 	}
 	all := make([]*ownerSummary, 0, len(byOwner))
 	for _, summary := range byOwner {
@@ -114,6 +114,6 @@
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].owner < all[j].owner })
 	for _, summary := range all {
-		fmt.Fprintf(w, "    %s\t%d keys in %d ranges\tfence up to %d\n", ownerName(summary.owner), summary.keys, summary.ranges, summary.maxFence)
+		fmt.Fprintf(w, "    %s\t%d keys in %d ranges\tfence up to %d\n", ownerName(summary.owner), summary.keys, summary.ranges, summary.maxToken)
 	}
 }
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -25,7 +25,7 @@
 // host that keeps no record of such crashes sends the request on: to the restarted
 // target, or to the shard's next owner, which crashes as well. With one host and one
 // caller, each crash happens under a separate request and the host sees every one.
-func TestRequestThatCrashesTargetsIsSentToFew(t *testing.T) {
+func TestCrashingRequestReachesFewTargets(t *testing.T) {
 	var mu sync.Mutex
 	var running *loopback.Fleet // nil before the start and after the test
 	crashes := 0
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -63,7 +63,7 @@
 	callerMux.Handle("/{service}/{key...}", callerRouter)
 	var stopping atomic.Bool
 	adminMux := http.NewServeMux()
-	adminServer := adminpb.NewAdminServer(&admin.Server{Host: cfg.Host, DataCentre: cfg.DataCentre, Table: loop.Table, Burns: callerRouter.Burns})
+	adminServer := adminpb.NewAdminServer(&admin.Server{Host: cfg.Host, DataCentre: cfg.DataCentre, Table: loop.Table, RequestCounts: callerRouter.Burns})
 	adminMux.Handle(adminServer.PathPrefix(), adminServer)
 	refusedServer := refusedpb.NewRefusedServer(&refused.Server{Host: cfg.Host, Crashes: callerRouter.Crashes(), Log: logger})
 	adminMux.Handle(refusedServer.PathPrefix(), refusedServer)
--- a/internal/daemon/failure_test.go
+++ b/internal/daemon/failure_test.go
@@ -199,7 +199,7 @@
 
 // A charge is sent with the same idempotency key through the entry hosts of all
 // data centres. The owner must run it once and replay the response afterwards.
-func TestNonIdempotentRunsOnce(t *testing.T) {
+func TestWriteWithSameIdempotencyKeyRunsOnce(t *testing.T) {
 	f := startFleet(t, []string{"bangna", "latphrao", "nonthaburi"}, true, 1)
 	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	for _, h := range f.Hosts {
@@ -215,7 +215,7 @@
 // The log service fails. Reads must still be served from the last view, so that a
 // data centre that is cut off serves what it can. Once the view is older than
 // MaxViewAge, a write must be refused as not run with Retry-After and not run.
-func TestLogOutageServesReadsAndRefusesWrites(t *testing.T) {
+func TestLogServiceOutageServesReadsAndRefusesWrites(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
 	owner, _ := waitServed(t, h, testKey, "")
--- a/internal/daemon/model_test.go
+++ b/internal/daemon/model_test.go
@@ -20,7 +20,7 @@
 	targetNames []string
 	writeCount  int
 	writes      []writeResult
-	stopped     map[int]bool
+	killed      map[int]bool
 }
 
 // writeResult is one write with the response that its caller got. checkExecutions
@@ -68,14 +68,14 @@
 func (c toggleCmd) Run(sut commands.SystemUnderTest) commands.Result {
 	s := sut.(*fleetUnderTest)
 	tg := s.fleet.Targets[s.targetNames[c.target]]
-	if s.stopped[c.target] {
+	if s.killed[c.target] {
 		if err := tg.Start(); err != nil {
 			s.t.Errorf("restart %s: %v", s.targetNames[c.target], err)
 		}
 	} else {
 		tg.Kill()
 	}
-	s.stopped[c.target] = !s.stopped[c.target]
+	s.killed[c.target] = !s.killed[c.target]
 	return nil
 }
 func (c toggleCmd) NextState(st commands.State) commands.State { return st }
@@ -88,13 +88,13 @@
 // Runs random sequences of writes, target kills and target restarts on a fleet with
 // two entry hosts. Afterwards no write may have run more than once over all
 // targets, and one refused as not run must not have run on any.
-func TestFleetAgainstOracle(t *testing.T) {
+func TestRandomWritesRunAtMostOnce(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 2)
 	names := make([]string, 0, len(f.Manifest.Services[0].Upstreams))
 	for _, u := range f.Manifest.Services[0].Upstreams {
 		names = append(names, u.Name)
 	}
-	sut := &fleetUnderTest{t: t, fleet: f, targetNames: names, stopped: map[int]bool{}}
+	sut := &fleetUnderTest{t: t, fleet: f, targetNames: names, killed: map[int]bool{}}
 	cmds := &commands.ProtoCommands{
 		NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest { return sut },
 		DestroySystemUnderTestFunc: func(commands.SystemUnderTest) {
@@ -102,7 +102,7 @@
 				if err := f.Targets[n].Start(); err != nil {
 					t.Errorf("restart %s: %v", n, err)
 				}
-				sut.stopped[i] = false
+				sut.killed[i] = false
 			}
 		},
 		InitialStateGen: gen.Const(struct{}{}),
@@ -121,13 +121,13 @@
 	props := gopter.NewProperties(params)
 	props.Property("writes keep their promises", commands.Prop(cmds))
 	props.TestingRun(t)
-	checkExecutions(t, f, sut.writes)
+	checkRuns(t, f, sut.writes)
 }
 
-// checkExecutions checks each write against the executions counted by all targets,
+// checkRuns checks each write against the executions counted by all targets,
 // those before their restarts included: a write ran at most once, exactly once if
 // its response was 200, and never if it was refused as not run.
-func checkExecutions(t *testing.T, f *loopback.Fleet, writes []writeResult) {
+func checkRuns(t *testing.T, f *loopback.Fleet, writes []writeResult) {
 	t.Helper()
 	notRun := 0
 	for _, w := range writes {
--- a/internal/daemon/responses_test.go
+++ b/internal/daemon/responses_test.go
@@ -84,7 +84,7 @@
 // connections work. A read sent on a pooled connection gets no response; after
 // the attempt timeout it is retried on a new connection and must succeed well
 // before the caller's 2 s deadline.
-func TestReadOnSilentConnectionIsRetried(t *testing.T) {
+func TestReadOnBlackholedConnectionIsRetried(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
 	owner, _ := waitServed(t, h, testKey, "")
@@ -104,7 +104,7 @@
 // Callers request 50 service names that are not in the manifest. Each gets 404
 // UNKNOWN_SERVICE, and the host counts all of them under one name: one counter
 // per name would let callers grow the host's memory without bound.
-func TestUnknownServicesShareOneBurnCount(t *testing.T) {
+func TestUnknownServicesShareOneRequestCount(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
 	for i := 0; i < 50; i++ {
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -40,7 +40,7 @@
 // A request is in flight at a slow target when its entry host is stopped as planned.
 // The host accepts no new connections but must wait for requests in flight, so the
 // caller still gets the complete response.
-func TestPlannedStopCompletesInFlightRequests(t *testing.T) {
+func TestGracefulShutdownCompletesInFlightRequests(t *testing.T) {
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: 300 * time.Millisecond}})
