--- a/cmd/papayatided/daemon.go
+++ b/cmd/papayatided/daemon.go
@@ -11,8 +11,8 @@
 	"github.com/papayatide/papayatide/internal/settings"
 )
 
-// runWithManifest runs the entry host of a deployment with published manifests until it is
-// stopped by a signal or fails.
+// runWithManifest runs the entry host of a deployment with a published manifest until a
+// signal stops it or it fails.
 func runWithManifest() error {
 	path := flag.String("config", "papayatided.ini", "path of the INI settings file")
 	flag.Parse()
--- a/cmd/papayatided/entry.go
+++ b/cmd/papayatided/entry.go
@@ -23,13 +23,14 @@
 	settingsPollInterval = time.Second
 	// logServiceConns is the number of connections to the log service.
 	logServiceConns = 8
-	// grantConns is the number of connections to each upstream for grants. One is
-	// not enough: some may close while the log service is unreachable, and no new
-	// connection may be opened then.
+	// grantConns is the number of connections to each upstream for grants. A planner
+	// that can't reach the log service to renew its lease must not open connections,
+	// as an upstream may have restarted at the same address. With only one, grants
+	// could stop when the upstream closes it.
 	grantConns = 3
 )
 
-// runOnPlatform runs an entry host on the platform until it is stopped by a signal or
+// runOnPlatform runs an entry host on the platform until a signal stops it or it
 // fails. The environment variable platform.SettingsEnv holds the path of its
 // settings file.
 func runOnPlatform() error {
@@ -54,7 +55,7 @@
 	return entryhost.Run(ctx, cfg, deps, reload, logger)
 }
 
-// newLogger returns a JSON logger that writes to out from level on.
+// newLogger returns a JSON logger that writes entries at level and above to out.
 func newLogger(level string, out zapcore.WriteSyncer) (*zap.Logger, error) {
 	lvl, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -66,8 +67,8 @@
 }
 
 // watchSettings sends the settings to out when the file has changed. It reads the file
-// every settingsPollInterval and on SIGHUP. Invalid settings are logged and leave the
-// previous ones in force.
+// every settingsPollInterval and on SIGHUP. It logs invalid settings; the previous
+// ones then stay in effect.
 func watchSettings(ctx context.Context, path string, out chan<- *settings.EntryHost, logger *zap.Logger) {
 	sighup := make(chan os.Signal, 1)
 	signal.Notify(sighup, syscall.SIGHUP)
@@ -88,7 +89,7 @@
 		last = data
 		cfg, err := settings.LoadEntryHost(path)
 		if err != nil {
-			logger.Error("changed settings rejected; the previous ones stay in force", zap.Int("event", events.SettingsRejected), entryhost.ErrorField(err))
+			logger.Error("changed settings rejected; the previous ones stay in effect", zap.Int("event", events.SettingsRejected), entryhost.ErrorField(err))
 			continue
 		}
 		select {
--- a/cmd/papayatided/main.go
+++ b/cmd/papayatided/main.go
@@ -2,8 +2,13 @@
 //
 // Usage:
 //
-//	papayatided -config FILE   on hosts with published manifests and hashed shards
+//	papayatided -config FILE   for deployments with a published manifest, whose keys are
+//	                           hashed to shards
 //	papayatided entry          on the platform; see docs/PLATFORM.md
+//
+// The platform is the users' hosting platform. It starts the host, fills in its settings
+// file, and provides the append-only log service that holds the upstreams, the desired
+// state and the ownership of keys.
 package main
 
 import (
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,4 +1,4 @@
 // Package admin serves the admin API (twirp) of an entry host with a published
-// manifest: the manifest and placement in force, and counts for burn rates. The
-// papayatide command-line tool is its client.
+// manifest: the current manifest and placement, and the request counts from which
+// burn rates are computed. The papayatide command-line tool is its client.
 package admin
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -11,7 +11,7 @@
 	"github.com/papayatide/papayatide/rpc/adminpb"
 )
 
-// Server implements adminpb.Admin. Table returns the routing table in force, nil if
+// Server implements adminpb.Admin. Table returns the current routing table, nil if
 // there is none yet.
 type Server struct {
 	Host          string
--- a/internal/burn/recorder.go
+++ b/internal/burn/recorder.go
@@ -24,8 +24,9 @@
 	total, bad, slow int64
 }
 
-// Counts are the counts of one service's requests in one window. Bad is the number
-// of refused requests, Slow that of requests slower than the latency objective.
+// Counts are the counts of one service's requests in one window. Bad is the number of
+// requests refused for reasons that the caller did not cause, Slow that of requests
+// slower than Recorder.LatencyObjective.
 type Counts struct {
 	Service          string
 	Window           time.Duration
@@ -35,7 +36,8 @@
 // Recorder counts requests. It is safe for concurrent use; its lock is held only for a
 // few additions per request.
 type Recorder struct {
-	// LatencyObjective is the latency above which a request counts as slow.
+	// LatencyObjective is the latency above which a request counts as slow. Rate
+	// takes the share of requests that must not be slow.
 	LatencyObjective time.Duration
 	mu               sync.Mutex
 	services         map[string]*[Buckets]bucket
--- a/internal/cli/burn.go
+++ b/internal/cli/burn.go
@@ -22,11 +22,14 @@
 		Long: `Burn sums the request counts of all entry hosts per service over the last 5
 minutes and the last hour, and prints the burn rate of each objective. A rate
 of 1 spends the error budget exactly in the objective's period. A rate of 14
-or more in both windows should page the operator, 1 to 6 should open a ticket.`,
+or more in both windows should page the operator, 1 to 6 should open a ticket.
+
+REFUSED counts only requests refused for reasons that the caller did not cause:
+invalid requests and those to unknown services are not in it.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			// sums are by service ID and window in seconds.
+			// sums is keyed by the service's index and the window in seconds.
 			sums := map[[2]int64]*adminpb.WindowCounts{}
-			serviceIDs := map[string]int64{}
+			serviceIndex := map[string]int64{}
 			for _, a := range admins {
 				c := adminpb.NewAdminProtobufClient(a, &http.Client{Timeout: 3 * time.Second})
 				resp, err := c.Burn(cmd.Context(), &adminpb.BurnRequest{})
@@ -35,12 +38,12 @@
 					continue
 				}
 				for _, w := range resp.Windows {
-					id, ok := serviceIDs[w.Service]
+					index, ok := serviceIndex[w.Service]
 					if !ok {
-						id = int64(len(serviceIDs))
-						serviceIDs[w.Service] = id
+						index = int64(len(serviceIndex))
+						serviceIndex[w.Service] = index
 					}
-					k := [2]int64{id, w.WindowS}
+					k := [2]int64{index, w.WindowS}
 					if sums[k] == nil {
 						sums[k] = &adminpb.WindowCounts{Service: w.Service, WindowS: w.WindowS}
 					}
@@ -53,13 +56,13 @@
 			return nil
 		}}
 	cmd.Flags().StringSliceVar(&admins, "admin", []string{"http://127.0.0.1:9081"}, "admin URLs of entry hosts")
-	cmd.Flags().Float64Var(&availability, "availability", 0.999, "availability objective: share of requests that are not refused")
-	cmd.Flags().Float64Var(&latency, "latency", 0.99, "latency objective: share of requests served within the latency set in [objectives]")
+	cmd.Flags().Float64Var(&availability, "availability", 0.999, "availability objective: share of requests not refused, as counted in column REFUSED")
+	cmd.Flags().Float64Var(&latency, "latency", 0.99, "share of requests that must take no longer than the latency objective (latency in section [objectives] of the hosts' settings)")
 	return cmd
 }
 
-// formatBurnRate returns the burn rate, or the minimum number of requests if there were
-// fewer.
+// formatBurnRate returns the burn rate as printed, or the minimum number of requests if
+// there were fewer. objective is the share of requests that must not be bad.
 func formatBurnRate(bad, total int64, objective float64) string {
 	if minRequests := burn.MinRequests(objective); total < minRequests {
 		return fmt.Sprintf("under %d requests", minRequests)
@@ -67,7 +70,8 @@
 	return fmt.Sprintf("%.2f", burn.Rate(bad, total, objective))
 }
 
-// printBurn prints one row per service and window, sorted by both.
+// printBurn prints one row per service and window, sorted by both. availability and latency
+// are the shares of requests that must not be bad and must not be slow.
 func printBurn(cmd *cobra.Command, sums map[[2]int64]*adminpb.WindowCounts, availability, latency float64) {
 	rows := make([]*adminpb.WindowCounts, 0, len(sums))
 	for _, w := range sums {
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -48,7 +48,7 @@
 	}
 	svc, dc := findUpstream(m, upstream)
 	if svc == "" {
-		return eris.Errorf("upstream %q is not in the manifest in force", upstream)
+		return eris.Errorf("upstream %q is not in the current manifest", upstream)
 	}
 	for attempt := 0; attempt < 5; attempt++ {
 		cur, next, err := currentState(cmd, logc, svc, dc)
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -20,7 +20,7 @@
 		Long: "Reads logs of papayatided from the files, or from standard input. Prints the lines of the\n" +
 			"request (marked >) and the state changes around them that concern it, ordered by time.\n" +
 			"Exits with 1 if no line has the request ID. With --ids, all arguments are log files: prints the\n" +
-			"cause of every request listed in the file, and exits with 1 if one has none.",
+			"cause that the logs give for every request listed in the file, and exits with 1 if one has none.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if ids != "" {
 				return explainRequests(cmd, ids, args)
@@ -61,11 +61,11 @@
 		if ok {
 			found++
 		} else {
-			cause = "(no line)"
+			cause = "(no line with a cause)"
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "%s\t%s\n", id, cause)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "%d of %d requests have a line that says why\n", found, len(ids))
+	fmt.Fprintf(cmd.OutOrStdout(), "%d of %d requests have a line with a cause\n", found, len(ids))
 	if found < len(ids) {
 		return eris.Errorf("%d requests have no line with a cause", len(ids)-found)
 	}
--- a/internal/cli/peers.go
+++ b/internal/cli/peers.go
@@ -52,7 +52,9 @@
 	return st, eris.Wrapf(err, "peer %s: status", addr)
 }
 
-// printHostStatus prints a host's status, and each range of keys if verbose.
+// printHostStatus prints a host's status, and each range of keys if verbose. The host is
+// the planner ("plans"), follows another host's replica of the log, or reads the log
+// service itself. "fence" is a fencing token.
 func printHostStatus(out io.Writer, st *peerpb.StatusReply, verbose bool) error {
 	w := tabwriter.NewWriter(out, 2, 4, 2, ' ', 0)
 	role := "follows " + st.Follows
@@ -80,7 +82,7 @@
 	return w.Flush()
 }
 
-// ownerName returns the owner ID as printed.
+// ownerName returns the owner ID as printed: "(nobody)" if there is no owner.
 func ownerName(id string) string {
 	if id == "" {
 		return "(nobody)"
--- a/internal/cli/publish.go
+++ b/internal/cli/publish.go
@@ -46,7 +46,7 @@
 func readManifest(file, example string) ([]byte, error) {
 	switch {
 	case file != "" && example != "":
-		return nil, eris.New("--file and --example exclude each other")
+		return nil, eris.New("--file and --example are mutually exclusive")
 	case file != "":
 		data, err := os.ReadFile(file)
 		return data, eris.Wrapf(err, "read %s", file)
@@ -91,7 +91,7 @@
 		return eris.Wrapf(appendErr, "outcome of publish is unknown and the log cannot be read (%v); run status before retrying", err)
 	}
 	if len(batch.Records) == 1 && batch.Records[0].Offset == next && bytes.Equal(batch.Records[0].Data, data) {
-		fmt.Fprintf(cmd.OutOrStdout(), "published at offset %d (answer was lost; confirmed by reading back)\n", next)
+		fmt.Fprintf(cmd.OutOrStdout(), "published at offset %d (response was lost; confirmed by reading back)\n", next)
 		return nil
 	}
 	if batch.Next <= next {
--- a/internal/cli/refused.go
+++ b/internal/cli/refused.go
@@ -19,8 +19,8 @@
 	cmd := &cobra.Command{
 		Use:   "refused",
 		Short: "List or clear requests that are refused because they crash their servers",
-		Long: "Requests are identified by their fingerprint, logged as content. On the platform, the --peer address of one\n" +
-			"host is enough, as all hosts share refusals; with --admin, give all hosts, as each counts crashes by itself."}
+		Long: "Requests are identified by their fingerprint, which lists and logs call content. SERVERS THAT ENDED are the\nservers that crashed while they ran such requests. " +
+			"On the platform, the --peer address of one\nhost is enough, as all hosts share refusals; with --admin, give all hosts, as each counts crashes by itself."}
 	cmd.PersistentFlags().StringSliceVar(&admins, "admin", []string{"http://127.0.0.1:9081"}, "admin URLs of entry hosts")
 	cmd.PersistentFlags().StringSliceVar(&peers, "peer", nil, "peer addresses (host:port) of entry hosts on the platform")
 	urls := func() []string {
@@ -35,7 +35,7 @@
 	}
 	list := &cobra.Command{Use: "list", Short: "List refused requests", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return listRefused(cmd, urls()) }}
-	clear := &cobra.Command{Use: "clear CONTENT", Short: "Stop refusing the requests with a fingerprint", Args: cobra.ExactArgs(1),
+	clear := &cobra.Command{Use: "clear CONTENT", Short: "Stop refusing the requests with the fingerprint CONTENT", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return clearRefused(cmd, urls(), args[0]) }}
 	cmd.AddCommand(list, clear)
 	return cmd
@@ -66,8 +66,8 @@
 	return err
 }
 
-// clearRefused makes the hosts serve a fingerprint again. It fails if no host has a
-// crash recorded under it.
+// clearRefused makes the hosts serve a fingerprint again. It fails if no host has
+// recorded a crash for it.
 func clearRefused(cmd *cobra.Command, urls []string, fingerprint string) error {
 	known := false
 	call := func(ctx context.Context, url string) (*refusedpb.ClearReply, error) {
@@ -79,7 +79,7 @@
 		return nil
 	})
 	if err == nil && !known {
-		return eris.Errorf("no host has a record of servers that crashed under %s", fingerprint)
+		return eris.Errorf("no host has a record of servers that crashed while they ran requests with fingerprint %s", fingerprint)
 	}
 	return err
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -19,9 +19,9 @@
 		Use:   "status",
 		Short: "Show the status of entry hosts",
 		Long: "With --admin, shows the manifest and placement of hosts. With --peer, shows hosts on the platform, at the\n" +
-			"address that is peer_listen in their settings: which host is the planner, whose replica of the log a\n" +
-			"host follows, the age of its view, the owners of keys with their fencing tokens, and the last changes\n" +
-			"of ownership with their causes. Exits with 1 if a host is unreachable.",
+			"address that is peer_listen in their settings: which host is the planner (\"plans\"), whose replica of\n" +
+			"the log a host follows, the age of its view, the version of the desired state, the owners of keys with\n" +
+			"their fencing tokens (\"fence\"), and the last changes of ownership with their causes. Exits with 1 if\na host is unreachable.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if len(peers) > 0 {
 				return printPeerStatus(cmd, peers, verbose)
@@ -64,7 +64,8 @@
 	return cmd
 }
 
-// printServices prints one row per upstream.
+// printServices prints one row per upstream. Its state is "out" if it is not a member of
+// its service's placement.
 func printServices(w *tabwriter.Writer, st *adminpb.StatusResponse) {
 	for _, s := range st.Services {
 		for _, u := range s.Upstreams {
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/papayatide/papayatide/internal/manifest"
 	"github.com/papayatide/papayatide/internal/standin/loopback"
-	stand "github.com/papayatide/papayatide/internal/standin/target"
+	standin "github.com/papayatide/papayatide/internal/standin/target"
 )
 
 const (
@@ -24,7 +24,7 @@
 // A request crashes the target that runs it, and its caller retries forever. A
 // host that keeps no record of such crashes sends the request on: to the restarted
 // target, or to the shard's next owner, which crashes as well. With one host and one
-// caller, each crash happens under a separate request and the host sees every one.
+// caller, each crash is caused by a separate request and the host sees every one.
 func TestCrashingRequestReachesFewTargets(t *testing.T) {
 	var mu sync.Mutex
 	var running *loopback.Fleet // nil before the start and after the test
@@ -51,7 +51,7 @@
 	}
 	fleet := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
-		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond, CrashOn: crashOn}})
+		Settings: loopback.DefaultSettings(), Target: standin.Options{WorkTime: time.Millisecond, CrashOn: crashOn}})
 	setRunning := func(fleet *loopback.Fleet) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -79,13 +79,13 @@
 const maxRecoveryTime = 12 * time.Second
 
 // All targets fail at the same moment, three times, while callers request a popular
-// key and many others. Each time a target crashes under the popular key. If these
-// correlated failures counted as crashes caused by the request, the key would be
-// refused for a day; it must be served again within seconds.
+// key and many others, so each time a target crashes while it runs requests for the
+// popular key. If these correlated failures counted as crashes caused by the request,
+// the key would be refused for a day; it must be served again within seconds.
 func TestPopularKeyIsServedAfterCorrelatedFailures(t *testing.T) {
 	fleet := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 8, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
-		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: 20 * time.Millisecond}})
+		Settings: loopback.DefaultSettings(), Target: standin.Options{WorkTime: 20 * time.Millisecond}})
 	host := fleet.Hosts[0]
 	waitServed(t, host, testKey, "")
 	stop := make(chan struct{})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,18 +40,20 @@
 	return l, eris.Wrap(err, "build logger")
 }
 
-// Run runs the daemon until ctx ends or a component fails. The end of ctx is a
-// planned stop: the host reports not ready, stops accepting connections and
-// waits up to ShutdownGrace for requests in flight. Run then returns nil.
+// Run runs the daemon until ctx is cancelled or a component fails. Cancelling ctx
+// starts a graceful shutdown: the host reports not ready, stops accepting
+// connections and waits up to ShutdownGrace for requests in flight. Run then
+// returns nil.
 func Run(ctx context.Context, cfg *settings.Daemon, logger *zap.Logger) error {
 	logClient := logservice.New(cfg.LogAddr, &http.Client{Timeout: 5 * time.Second})
 	targets := target.NewClient()
 	targets.AttemptTimeout = cfg.AttemptTimeout
-	var hosts *hostlist.Client
+	// The platform's host list has the machines of targets.
+	var hostList *hostlist.Client
 	if cfg.HostListAddr != settings.HostListOff {
-		hosts = hostlist.New(cfg.HostListAddr, &http.Client{Timeout: 5 * time.Second})
+		hostList = hostlist.New(cfg.HostListAddr, &http.Client{Timeout: 5 * time.Second})
 	}
-	loop := control.New(control.Options{HostList: hosts, HostListInterval: cfg.HostListInterval, Host: cfg.Host, DataCentre: cfg.DataCentre, PollInterval: cfg.PollInterval,
+	loop := control.New(control.Options{HostList: hostList, HostListInterval: cfg.HostListInterval, Host: cfg.Host, DataCentre: cfg.DataCentre, PollInterval: cfg.PollInterval,
 		ProbeInterval: cfg.ProbeInterval, ProbeFailures: cfg.ProbeFailures, GrantTTL: cfg.GrantTTL,
 		SnapshotEvery: cfg.SnapshotEvery, SnapshotInterval: cfg.SnapshotInterval, HeartbeatInterval: cfg.HeartbeatInterval, HeartbeatTimeout: cfg.HeartbeatTimeout,
 		RenewersPerUpstream: cfg.RenewersPerUpstream}, logClient, targets, logger)
--- a/internal/daemon/failure_test.go
+++ b/internal/daemon/failure_test.go
@@ -14,7 +14,7 @@
 	"github.com/papayatide/papayatide/internal/refusal"
 	"github.com/papayatide/papayatide/internal/standin/logsvc"
 	"github.com/papayatide/papayatide/internal/standin/loopback"
-	stand "github.com/papayatide/papayatide/internal/standin/target"
+	standin "github.com/papayatide/papayatide/internal/standin/target"
 	"github.com/papayatide/papayatide/internal/target"
 )
 
@@ -26,7 +26,7 @@
 	t.Helper()
 	return startFleetFromSpec(t, loopback.Spec{DataCentres: dcs, Slots: 3, HostsPerDC: hostsPerDC,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4 * len(dcs), FencingChecked: checked}},
-		Settings: loopback.DefaultSettings(), Target: stand.Options{WorkTime: time.Millisecond}})
+		Settings: loopback.DefaultSettings(), Target: standin.Options{WorkTime: time.Millisecond}})
 }
 
 // startFleetFromSpec starts a fleet, publishes its manifest and waits until every
@@ -53,7 +53,7 @@
 type callResult struct {
 	status  int
 	header  http.Header
-	body    stand.Answer
+	body    standin.Answer
 	refusal refusal.Refusal
 }
 
@@ -126,8 +126,8 @@
 	}
 }
 
-// The owner has just been killed. A caller must be refused with Retry-After at
-// once, and not only at its deadline of 2 s.
+// The owner has just been killed. A caller must be refused with Retry-After
+// immediately rather than at its 2 s deadline.
 func TestRefusalIsImmediate(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
@@ -140,14 +140,14 @@
 		t.Fatalf("the killed owner served the request: %+v", r.body)
 	}
 	if r.header.Get("Retry-After") == "" || took > 500*time.Millisecond {
-		t.Fatalf("refusal %s took %v with Retry-After %q; want at once with Retry-After", r.refusal.Code, took, r.header.Get("Retry-After"))
+		t.Fatalf("refusal %s took %v with Retry-After %q; want immediately, with Retry-After", r.refusal.Code, took, r.header.Get("Retry-After"))
 	}
 }
 
 // The owner is paused while it has a grant, and its keys move to a new owner after
-// the grant TTL. When it resumes, its state still shows it as the owner. It must
-// refuse a request with the old fencing token, as a router with an old view sends
-// it, as not run, because its grant expired during the pause.
+// the grant TTL. When it resumes, its state still shows it as the owner. A router
+// with an old view sends it a request with the old fencing token. It must reject the
+// request without running it, because its grant expired during the pause.
 func TestPausedOwnerIsFencedOnResume(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
@@ -168,7 +168,7 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusConflict || resp.Header.Get(target.HeaderNotRun) != "1" {
-		t.Fatalf("resumed old owner responded %d (not-run %q); want 409, not run", resp.StatusCode, resp.Header.Get(target.HeaderNotRun))
+		t.Fatalf("resumed old owner responded %d (not-run header %q); want 409 and 1", resp.StatusCode, resp.Header.Get(target.HeaderNotRun))
 	}
 	if n := oldOwner.Server.Executed("routeboard", testKey); n != 0 {
 		t.Fatalf("old owner ran %d operations on the key", n)
@@ -177,7 +177,7 @@
 
 // Targets do not check fencing tokens. The owner is paused, its keys move, and it
 // resumes. Writes through every entry host must run on the new owner only: only
-// the router can keep requests from the old owner.
+// the router can prevent requests from reaching the old owner.
 func TestResumedOwnerWithoutFencingGetsNoWork(t *testing.T) {
 	f := startFleet(t, []string{"bangna", "latphrao"}, false, 1)
 	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
@@ -197,24 +197,25 @@
 	}
 }
 
-// A charge is sent with the same idempotency key through the entry hosts of all
+// A write is sent with the same idempotency key through the entry hosts of all
 // data centres. The owner must run it once and replay the response afterwards.
 func TestWriteWithSameIdempotencyKeyRunsOnce(t *testing.T) {
 	f := startFleet(t, []string{"bangna", "latphrao", "nonthaburi"}, true, 1)
 	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	for _, h := range f.Hosts {
 		if r := call(t, http.MethodPost, h.URL+"/routeboard/"+testKey, "charge-7"); r.status != http.StatusOK {
-			t.Fatalf("charge via %s: status %d, refusal %+v", h.Name, r.status, r.refusal)
+			t.Fatalf("write via %s: status %d, refusal %+v", h.Name, r.status, r.refusal)
 		}
 	}
 	if n := f.Targets[owner].Server.Executed("routeboard", testKey); n != 1 {
-		t.Fatalf("charge ran %d times; want once", n)
+		t.Fatalf("write ran %d times; want once", n)
 	}
 }
 
 // The log service fails. Reads must still be served from the last view, so that a
 // data centre that is cut off serves what it can. Once the view is older than
-// MaxViewAge, a write must be refused as not run with Retry-After and not run.
+// MaxViewAge, a write must be refused with outcome not_run and Retry-After, and no
+// target may run it.
 func TestLogServiceOutageServesReadsAndRefusesWrites(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
 	h := f.Hosts[0]
@@ -222,11 +223,11 @@
 	f.Log.SetFaults(logsvc.Faults{Outage: true})
 	time.Sleep(loopback.DefaultSettings().MaxViewAge + 200*time.Millisecond)
 	if r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, ""); r.status != http.StatusOK {
-		t.Fatalf("read during log outage: status %d, refusal %+v", r.status, r.refusal)
+		t.Fatalf("read during log-service outage: status %d, refusal %+v", r.status, r.refusal)
 	}
 	r := call(t, http.MethodPost, h.URL+"/routeboard/"+testKey, "w-1")
 	if r.refusal.Code != refusal.StaleView || r.refusal.Outcome != refusal.NotRun || r.header.Get("Retry-After") == "" {
-		t.Fatalf("write during log outage: status %d, refusal %+v", r.status, r.refusal)
+		t.Fatalf("write during log-service outage: status %d, refusal %+v", r.status, r.refusal)
 	}
 	if n := f.Targets[owner].Server.Executed("routeboard", testKey); n != 0 {
 		t.Fatalf("refused write ran %d times", n)
@@ -241,9 +242,9 @@
 	owner, _ := waitServed(t, f.Hosts[0], testKey, "")
 	f.Log.SetFaults(logsvc.Faults{LoseAckRate: 1})
 	f.Targets[owner].Kill()
-	ownerAtFirst, _ := waitServed(t, f.Hosts[0], testKey, owner)
-	ownerAtSecond, _ := waitServed(t, f.Hosts[1], testKey, owner)
-	if ownerAtFirst != ownerAtSecond {
-		t.Fatalf("entry hosts disagree on the new owner: %s and %s", ownerAtFirst, ownerAtSecond)
+	ownerViaHost0, _ := waitServed(t, f.Hosts[0], testKey, owner)
+	ownerViaHost1, _ := waitServed(t, f.Hosts[1], testKey, owner)
+	if ownerViaHost0 != ownerViaHost1 {
+		t.Fatalf("entry hosts disagree on the new owner: %s and %s", ownerViaHost0, ownerViaHost1)
 	}
 }
--- a/internal/daemon/grant_renewal_test.go
+++ b/internal/daemon/grant_renewal_test.go
@@ -38,6 +38,6 @@
 	server, took := waitServed(t, survivor, testKey, "")
 	t.Logf("owner %s, renewers %v: %s served the key via %s %v after the renewers stopped", owner, renewers, server, survivor.Name, time.Since(start))
 	if took > 3*time.Second {
-		t.Fatalf("served again after %v; want under 3s", took)
+		t.Fatalf("served %v after the wait for grant expiry; want under 3s", took)
 	}
 }
--- a/internal/daemon/model_test.go
+++ b/internal/daemon/model_test.go
@@ -23,8 +23,8 @@
 	killed      map[int]bool
 }
 
-// writeResult is one write with the response that its caller got. checkExecutions
-// is the oracle: it compares all results with what the targets ran.
+// writeResult is one write with the response that its caller got. checkRuns
+// compares all of them with what the targets ran.
 type writeResult struct {
 	key, idempotencyKey string
 	status              int
@@ -33,7 +33,7 @@
 
 var modelKeys = []string{"sheet-1", "sheet-2", "sheet-3", "booking-9"}
 
-// writeCmd sends a charge with a new idempotency key through one host.
+// writeCmd sends a write with a new idempotency key through one host.
 type writeCmd struct{ key, host int }
 
 func (c writeCmd) Run(sut commands.SystemUnderTest) commands.Result {
@@ -87,7 +87,7 @@
 
 // Runs random sequences of writes, target kills and target restarts on a fleet with
 // two entry hosts. Afterwards no write may have run more than once over all
-// targets, and one refused as not run must not have run on any.
+// targets, and one refused with outcome not_run must not have run on any.
 func TestRandomWritesRunAtMostOnce(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 2)
 	names := make([]string, 0, len(f.Manifest.Services[0].Upstreams))
@@ -119,14 +119,14 @@
 	params.MinSuccessfulTests = 15
 	params.MaxSize = 25
 	props := gopter.NewProperties(params)
-	props.Property("writes keep their promises", commands.Prop(cmds))
+	props.Property("every refused write has an outcome", commands.Prop(cmds))
 	props.TestingRun(t)
 	checkRuns(t, f, sut.writes)
 }
 
-// checkRuns checks each write against the executions counted by all targets,
-// those before their restarts included: a write ran at most once, exactly once if
-// its response was 200, and never if it was refused as not run.
+// checkRuns checks each write against the runs counted by all targets, those before
+// their restarts included: a write ran at most once, exactly once if its response was
+// 200, and never if it was refused with outcome not_run.
 func checkRuns(t *testing.T, f *loopback.Fleet, writes []writeResult) {
 	t.Helper()
 	notRun := 0
@@ -141,13 +141,13 @@
 		case w.status == http.StatusOK && runs != 1:
 			t.Fatalf("%s on %s got 200 but ran %d times", w.idempotencyKey, w.key, runs)
 		case w.outcome == refusal.NotRun && runs != 0:
-			t.Fatalf("%s on %s refused as not run but ran", w.idempotencyKey, w.key)
+			t.Fatalf("%s on %s refused with outcome not_run but ran", w.idempotencyKey, w.key)
 		}
 		if w.outcome == refusal.NotRun {
 			notRun++
 		}
 	}
-	t.Logf("%d writes checked, %d refused as not run, %d got 200", len(writes), notRun, countOK(writes))
+	t.Logf("%d writes checked, %d refused with outcome not_run, %d got 200", len(writes), notRun, countOK(writes))
 }
 
 // countOK returns how many writes got 200.
--- a/internal/daemon/path_bench_test.go
+++ b/internal/daemon/path_bench_test.go
@@ -11,16 +11,16 @@
 
 	"github.com/papayatide/papayatide/internal/manifest"
 	"github.com/papayatide/papayatide/internal/standin/loopback"
-	stand "github.com/papayatide/papayatide/internal/standin/target"
+	standin "github.com/papayatide/papayatide/internal/standin/target"
 )
 
-// BenchmarkPath measures parallel GETs through one entry host to 20 stand-in
-// targets on loopback. Targets respond at once. It reports the latency quantiles
-// of the callers.
+// BenchmarkPath measures the path of a request from its caller through one entry host
+// to a target and back: parallel GETs to 20 stand-in targets on loopback, which respond
+// without delay. It reports the callers' latency quantiles.
 func BenchmarkPath(b *testing.B) {
 	f := startFleetFromSpec(b, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 64, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 20, FencingChecked: true}},
-		Settings: loopback.DefaultSettings(), Target: stand.Options{}})
+		Settings: loopback.DefaultSettings(), Target: standin.Options{}})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	perWorker := make(chan []float64, 64)
 	b.ResetTimer()
--- a/internal/daemon/responses_test.go
+++ b/internal/daemon/responses_test.go
@@ -11,18 +11,18 @@
 	"github.com/papayatide/papayatide/internal/manifest"
 	"github.com/papayatide/papayatide/internal/refusal"
 	"github.com/papayatide/papayatide/internal/standin/loopback"
-	stand "github.com/papayatide/papayatide/internal/standin/target"
+	standin "github.com/papayatide/papayatide/internal/standin/target"
 	"github.com/papayatide/papayatide/rpc/adminpb"
 )
 
 // Every target responds with the response to its previous request. No caller
 // may receive another caller's response: the response's request ID is not the
 // one that the router sent, so the router refuses with 502 CROSSED_ANSWER and
-// outcome unknown, as the target may have executed the request.
+// outcome unknown, as the target may have run the request.
 func TestMismatchedResponseNeverReachesCaller(t *testing.T) {
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
 		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
-		Settings: loopback.DefaultSettings(), Target: stand.Options{CrossAnswers: true}})
+		Settings: loopback.DefaultSettings(), Target: standin.Options{CrossAnswers: true}})
 	h := f.Hosts[0]
 	for _, key := range []string{"a", "b", "c", "d"} {
 		r := call(t, http.MethodGet, h.URL+"/routeboard/"+key, "")
@@ -80,8 +80,8 @@
 	return out
 }
 
-// All connections open to the key's owner stop carrying data, while new
-// connections work. A read sent on a pooled connection gets no response; after
+// All connections open to the key's owner are blackholed, while new connections
+// work. A read sent on a pooled connection gets no response; after
 // the attempt timeout it is retried on a new connection and must succeed well
 // before the caller's 2 s deadline.
 func TestReadOnBlackholedConnectionIsRetried(t *testing.T) {
@@ -93,7 +93,7 @@
 	r := call(t, http.MethodGet, h.URL+"/routeboard/"+testKey, "")
 	took := time.Since(start)
 	if r.status != http.StatusOK || r.body.Upstream != owner {
-		t.Fatalf("read over silent connections: status %d, refusal %+v after %v", r.status, r.refusal, took)
+		t.Fatalf("read over blackholed connections: status %d, refusal %+v after %v", r.status, r.refusal, took)
 	}
 	if took > time.Second {
 		t.Fatalf("read took %v; want well under the 2 s deadline", took)
@@ -102,7 +102,7 @@
 }
 
 // Callers request 50 service names that are not in the manifest. Each gets 404
-// UNKNOWN_SERVICE, and the host counts all of them under one name: one counter
+// UNKNOWN_SERVICE, and the host counts all of them under one name: request counts
 // per name would let callers grow the host's memory without bound.
 func TestUnknownServicesShareOneRequestCount(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
@@ -122,6 +122,6 @@
 		names[w.Service] = true
 	}
 	if len(names) > 2 {
-		t.Fatalf("%d service names have burn counts; want routeboard and one for unknown services", len(names))
+		t.Fatalf("%d service names have request counts; want routeboard and one for unknown services", len(names))
 	}
 }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -18,7 +18,8 @@
 	once    sync.Once
 }
 
-// maxQueuedLines takes less than a megabyte with lines of some 400 bytes.
+// maxQueuedLines is the capacity of the queue; further lines are dropped. With lines of
+// some 400 bytes, a full queue takes less than a megabyte.
 const maxQueuedLines = 2048
 
 // New returns a sink that writes to out until it is closed.
--- a/internal/manifest/doc.go
+++ b/internal/manifest/doc.go
@@ -2,6 +2,6 @@
 // one deployment. A build pipeline generates them as JSON, and operators publish
 // them to the log service.
 //
-// Parse validates a whole manifest before any of it is used, so an invalid manifest
-// leaves the previous one in force.
+// Parse validates a whole manifest before any of it is used. If it is invalid, the
+// previous manifest stays in effect.
 package manifest
--- a/internal/manifest/examples.go
+++ b/internal/manifest/examples.go
@@ -34,8 +34,8 @@
 	return names
 }
 
-// ServiceSize describes one service of a generated manifest by its name and its
-// number of upstreams.
+// ServiceSize describes one service of a generated manifest: its name, its number of
+// upstreams and whether its targets check fencing tokens.
 type ServiceSize struct {
 	Name           string
 	Upstreams      int
@@ -49,11 +49,11 @@
 func Generate(deployment string, dcs []string, services []ServiceSize, slots, conns, firstPort int) *Manifest {
 	m := &Manifest{Deployment: deployment, DataCentres: dcs}
 	port := firstPort
-	for _, size := range services {
-		s := Service{Name: size.Name, FencingChecked: size.FencingChecked}
-		for i := 0; i < size.Upstreams; i++ {
+	for _, spec := range services {
+		s := Service{Name: spec.Name, FencingChecked: spec.FencingChecked}
+		for i := 0; i < spec.Upstreams; i++ {
 			s.Upstreams = append(s.Upstreams, Upstream{
-				Name:        fmt.Sprintf("%s-%02d", size.Name, i+1),
+				Name:        fmt.Sprintf("%s-%02d", spec.Name, i+1),
 				Addr:        fmt.Sprintf("127.0.0.1:%d", port),
 				DataCentre:  dcs[i%len(dcs)],
 				Slots:       slots,
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -11,8 +11,9 @@
 )
 
 // DefaultShards is the number of shards of a service whose manifest sets none.
-// Placement moves whole shards: fewer shards move more keys at once, more shards
-// make grants larger.
+// A shard is the unit of placement: all of its keys change owner together. With
+// fewer shards each move affects more keys; with more, the lists of shards in grants
+// are longer.
 const DefaultShards = 4096
 
 // MaxShards is the most shards that a service may have. It limits the service's
@@ -35,7 +36,8 @@
 	// Shards is the number of shards that keys hash to; 0 means DefaultShards.
 	Shards int `json:"shards,omitempty"`
 	// FencingChecked is set if the service's targets check fencing tokens. If
-	// they don't, only the router keeps requests from a previous owner.
+	// they don't, only the router prevents requests from reaching a previous
+	// owner.
 	FencingChecked bool `json:"fencing_checked"`
 	// Upstreams are the servers that own the service's keys.
 	Upstreams []Upstream `json:"upstreams"`
--- a/internal/refused/server.go
+++ b/internal/refused/server.go
@@ -1,6 +1,8 @@
 // Package refused serves the API by which operators list and clear the request
 // fingerprints that a host refuses because servers crashed while they ran them. The
-// admin interface and the peer interface both serve it.
+// admin interface and the peer interface both serve it. It implements the service
+// Refused of package refusedpb; package refusal defines a router's response to a
+// refused request.
 package refused
 
 import (
@@ -33,9 +35,10 @@
 	return reply, nil
 }
 
-// Clear makes the host forget the crashes recorded under a fingerprint, so that it is
-// no longer refused. Known is set in the reply if there were any.
+// Clear deletes the crashes recorded for a fingerprint, so that the host no longer
+// refuses it. Known is set in the reply if there were any.
 func (s *Server) Clear(_ context.Context, req *refusedpb.ClearRequest) (*refusedpb.ClearReply, error) {
+	// A success deletes the fingerprint's crashes, which is all that Clear needs.
 	known := s.Crashes.RecordSuccess(crashes.Fingerprint(req.Content))
 	s.Log.Info("operator cleared a refused request fingerprint", zap.Int("event", events.FingerprintCleared), zap.String("content", req.Content),
 		zap.Bool("known", known))
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -24,12 +24,13 @@
 const MaxResponseBytes = 4 << 20
 
 // ErrNotSent means that the request was not sent. The target can't have run it, so
-// it may be retried or refused as not run.
+// it may be retried, or refused with outcome not_run. Callers see the texts of
+// ErrNotSent, ErrNoResponse and ErrCrashed in the details of refusals.
 var ErrNotSent = errors.New("target: request not sent")
 
 // ErrNoResponse means that the request was sent but no complete response was
-// received. The target may have run it, so it must not be retried unless it is
-// idempotent.
+// received. The target may have run it, so the client retries only GET and HEAD
+// requests.
 var ErrNoResponse = errors.New("target: sent, no answer")
 
 // ErrCrashed is wrapped in addition to ErrNoResponse if the target has crashed: its
@@ -59,11 +60,11 @@
 // Client sends requests, grants and health probes to targets. It has a connection
 // pool per upstream, limited to the upstream's Connections.
 type Client struct {
-	// AttemptTimeout bounds the first attempt of an idempotent request, which
+	// AttemptTimeout bounds the first attempt of a GET or HEAD request, which
 	// is then retried on a new connection. Zero disables the second attempt.
 	AttemptTimeout time.Duration
 	mu             sync.Mutex
-	// pools are by upstream address.
+	// pools is keyed by upstream address.
 	pools map[string]*http.Client
 	// unpooled opens a new connection for every request.
 	unpooled *http.Client
@@ -85,8 +86,8 @@
 		httpClient = &http.Client{Transport: &http.Transport{
 			MaxConnsPerHost:     u.Connections,
 			MaxIdleConnsPerHost: u.Connections,
-			// Pooled connections that no longer carry data are closed once
-			// they are idle; later requests then open new ones.
+			// Closes blackholed connections once they are idle; later requests
+			// then open new ones.
 			IdleConnTimeout: 30 * time.Second,
 		}}
 		c.pools[u.Addr] = httpClient
@@ -120,8 +121,9 @@
 	return resp, c.markCrashed(ctx, u, err)
 }
 
-// crashProbeTimeout bounds the connection attempt that tells whether a target has
-// crashed. Without a listener the connection is refused within a millisecond.
+// crashProbeTimeout bounds the connection attempt that shows whether a target has
+// crashed. An address without a listener refuses it within a millisecond; an attempt
+// that times out does not show a crash.
 const crashProbeTimeout = 100 * time.Millisecond
 
 // markCrashed adds ErrCrashed to err if err is a broken send to u and u refuses
--- a/internal/target/doc.go
+++ b/internal/target/doc.go
@@ -5,10 +5,12 @@
 // The paths, headers and the Grant body defined here are the protocol between
 // papayatide and a target.
 //
-// An idempotent request whose first attempt gets no response within
+// A GET or HEAD request whose first attempt gets no response within
 // Client.AttemptTimeout, or whose pooled connection breaks while the target is
-// still running, is sent once more on a new connection. Pooled connections can
-// stop carrying data for good, for example when a middlebox drops their state;
-// without the second attempt such a request would wait for the caller's whole
-// deadline although new connections work. Other requests are sent only once.
+// still running, is sent once more on a new connection. A pooled connection can
+// be blackholed: it stays open but no longer carries data, for example because a
+// middlebox dropped its state. Without the second attempt, a request on such a
+// connection would wait for the caller's whole deadline although new connections
+// work. Requests with other methods are sent only once, also if they have an
+// idempotency key.
 package target
--- a/internal/target/protocol.go
+++ b/internal/target/protocol.go
@@ -4,7 +4,8 @@
 const (
 	// HeaderShard is the shard that the request's key hashes to.
 	HeaderShard = "X-Papayatide-Shard"
-	// HeaderFencingToken is the placement epoch by which the router chose the target.
+	// HeaderFencingToken is the epoch of the placement in which the router looked
+	// up the target. It may be lower than the current one if the router's view is old.
 	HeaderFencingToken = "X-Papayatide-Fencing-Token"
 	// HeaderIdempotencyKey is the caller's idempotency key, unchanged.
 	HeaderIdempotencyKey = "Idempotency-Key"
@@ -13,7 +14,7 @@
 	HeaderRequestID = "X-Request-Id"
 	// HeaderDeadline is the request's deadline in Unix milliseconds.
 	HeaderDeadline = "X-Papayatide-Deadline"
-	// HeaderNotRun is "1" in the response of a target that refused a request
+	// HeaderNotRun is "1" in the response of a target that rejected a request
 	// without running any of it (shed, fenced, draining).
 	HeaderNotRun = "X-Papayatide-Not-Run"
 	// HeaderKey is the request's key.
