--- a/internal/cli/peers.go
+++ b/internal/cli/peers.go
@@ -52,7 +52,9 @@
 	return st, eris.Wrapf(err, "peer %s: status", addr)
 }
 
-// printHostStatus prints a host's status, and each range of keys if verbose.
+// printHostStatus prints a host's status, and each range of keys if verbose. The host is
+// the planner ("plans"), follows another host's replica of the log, or reads the log
+// service itself. "fence" is a fencing token.
 func printHostStatus(out io.Writer, st *peerpb.StatusReply, verbose bool) error {
 	w := tabwriter.NewWriter(out, 2, 4, 2, ' ', 0)
 	role := "follows " + st.Follows
@@ -80,7 +82,7 @@
 	return w.Flush()
 }
 
-// ownerName returns the owner ID as printed.
+// ownerName returns the owner ID as printed: "(nobody)" if there is no owner.
 func ownerName(id string) string {
 	if id == "" {
 		return "(nobody)"
@@ -92,7 +94,7 @@
 type ownerSummary struct {
 	owner        string
 	ranges, keys int
-	maxFence     int64
+	maxToken     int64
 }
 
 // printOwners prints a summary of each owner, sorted by ID.
@@ -106,7 +108,7 @@
 		}
 		summary.ranges++
 		summary.keys += int(r.To-r.From) + 1
-		summary.maxFence = max(summary.maxFence, r.Fence)
+		summary.maxToken = max(summary.maxToken, r.Fence)
 	}
 	all := make([]*ownerSummary, 0, len(byOwner))
 	for _, summary := range byOwner {
@@ -114,6 +116,6 @@
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].owner < all[j].owner })
 	for _, summary := range all {
-		fmt.Fprintf(w, "    %s\t%d keys in %d ranges\tfence up to %d\n", ownerName(summary.owner), summary.keys, summary.ranges, summary.maxFence)
+		fmt.Fprintf(w, "    %s\t%d keys in %d ranges\tfence up to %d\n", ownerName(summary.owner), summary.keys, summary.ranges, summary.maxToken)
 	}
 }
--- a/internal/daemon/model_test.go
+++ b/internal/daemon/model_test.go
@@ -20,11 +20,11 @@
 	targetNames []string
 	writeCount  int
 	writes      []writeResult
-	stopped     map[int]bool
+	killed      map[int]bool
 }
 
-// writeResult is one write with the response that its caller got. checkExecutions
-// is the oracle: it compares all results with what the targets ran.
+// writeResult is one write with the response that its caller got. checkRuns
+// compares all of them with what the targets ran.
 type writeResult struct {
 	key, idempotencyKey string
 	status              int
@@ -33,7 +33,7 @@
 
 var modelKeys = []string{"sheet-1", "sheet-2", "sheet-3", "booking-9"}
 
-// writeCmd sends a charge with a new idempotency key through one host.
+// writeCmd sends a write with a new idempotency key through one host.
 type writeCmd struct{ key, host int }
 
 func (c writeCmd) Run(sut commands.SystemUnderTest) commands.Result {
@@ -68,14 +68,14 @@
 func (c toggleCmd) Run(sut commands.SystemUnderTest) commands.Result {
 	s := sut.(*fleetUnderTest)
 	tg := s.fleet.Targets[s.targetNames[c.target]]
-	if s.stopped[c.target] {
+	if s.killed[c.target] {
 		if err := tg.Start(); err != nil {
 			s.t.Errorf("restart %s: %v", s.targetNames[c.target], err)
 		}
 	} else {
 		tg.Kill()
 	}
-	s.stopped[c.target] = !s.stopped[c.target]
+	s.killed[c.target] = !s.killed[c.target]
 	return nil
 }
 func (c toggleCmd) NextState(st commands.State) commands.State { return st }
@@ -87,14 +87,14 @@
 
 // Runs random sequences of writes, target kills and target restarts on a fleet with
 // two entry hosts. Afterwards no write may have run more than once over all
-// targets, and one refused as not run must not have run on any.
-func TestFleetAgainstOracle(t *testing.T) {
+// targets, and one refused with outcome not_run must not have run on any.
+func TestRandomWritesRunAtMostOnce(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 2)
 	names := make([]string, 0, len(f.Manifest.Services[0].Upstreams))
 	for _, u := range f.Manifest.Services[0].Upstreams {
 		names = append(names, u.Name)
 	}
-	sut := &fleetUnderTest{t: t, fleet: f, targetNames: names, stopped: map[int]bool{}}
+	sut := &fleetUnderTest{t: t, fleet: f, targetNames: names, killed: map[int]bool{}}
 	cmds := &commands.ProtoCommands{
 		NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest { return sut },
 		DestroySystemUnderTestFunc: func(commands.SystemUnderTest) {
@@ -102,7 +102,7 @@
 				if err := f.Targets[n].Start(); err != nil {
 					t.Errorf("restart %s: %v", n, err)
 				}
-				sut.stopped[i] = false
+				sut.killed[i] = false
 			}
 		},
 		InitialStateGen: gen.Const(struct{}{}),
@@ -119,15 +119,15 @@
 	params.MinSuccessfulTests = 15
 	params.MaxSize = 25
 	props := gopter.NewProperties(params)
-	props.Property("writes keep their promises", commands.Prop(cmds))
+	props.Property("every refused write has an outcome", commands.Prop(cmds))
 	props.TestingRun(t)
-	checkExecutions(t, f, sut.writes)
+	checkRuns(t, f, sut.writes)
 }
 
-// checkExecutions checks each write against the executions counted by all targets,
-// those before their restarts included: a write ran at most once, exactly once if
-// its response was 200, and never if it was refused as not run.
-func checkExecutions(t *testing.T, f *loopback.Fleet, writes []writeResult) {
+// checkRuns checks each write against the runs counted by all targets, those before
+// their restarts included: a write ran at most once, exactly once if its response was
+// 200, and never if it was refused with outcome not_run.
+func checkRuns(t *testing.T, f *loopback.Fleet, writes []writeResult) {
 	t.Helper()
 	notRun := 0
 	for _, w := range writes {
@@ -141,13 +141,13 @@
 		case w.status == http.StatusOK && runs != 1:
 			t.Fatalf("%s on %s got 200 but ran %d times", w.idempotencyKey, w.key, runs)
 		case w.outcome == refusal.NotRun && runs != 0:
-			t.Fatalf("%s on %s refused as not run but ran", w.idempotencyKey, w.key)
+			t.Fatalf("%s on %s refused with outcome not_run but ran", w.idempotencyKey, w.key)
 		}
 		if w.outcome == refusal.NotRun {
 			notRun++
 		}
 	}
-	t.Logf("%d writes checked, %d refused as not run, %d got 200", len(writes), notRun, countOK(writes))
+	t.Logf("%d writes checked, %d refused with outcome not_run, %d got 200", len(writes), notRun, countOK(writes))
 }
 
 // countOK returns how many writes got 200.
