--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -120,8 +120,8 @@
 	// soleWriter is set while only this host writes the ownership stream, which
 	// then needs no reading.
 	soleWriter atomic.Bool
-	// candidateAlive reports whether a candidate follows this host.
-	candidateAlive func() bool
+	// hasLiveCandidate reports whether a candidate follows this host.
+	hasLiveCandidate func() bool
 }
 
 func newController(zl *zap.Logger, store metastore.Store, dec Decoder, granter Granter, views *view.Publisher, opts planner.Options,
@@ -138,7 +138,7 @@
 	}
 	c.planner.OnEvent = c.logPlannerEvent
 	c.planner.Cold = c.isCold
-	c.candidateAlive = func() bool { return false }
+	c.hasLiveCandidate = func() bool { return false }
 	return c
 }
 
@@ -237,7 +237,7 @@
 // tick expires suspected upstreams and executes what the planner has due.
 func (c *controller) tick(ctx context.Context) {
 	now := c.clock()
-	if c.planner.ShouldStepDown(now) && c.candidateAlive() {
+	if c.planner.ShouldStepDown(now) && c.hasLiveCandidate() {
 		c.planner.StepDown(now)
 	}
 	c.isPlanner.Store(c.planner.HoldsLease(now))
@@ -292,18 +292,18 @@
 // calls.
 func (c *controller) crashBatchDelay() time.Duration {
 	if c.isPlanner.Load() {
-		return crashBatchDelayPlanner
+		return plannerCrashBatchDelay
 	}
-	return crashBatchDelayDirect
+	return defaultCrashBatchDelay
 }
 
 // upstreamBatchDelay returns the delay after a read that returned upstream
 // records.
 func (c *controller) upstreamBatchDelay() time.Duration {
 	if c.isPlanner.Load() {
-		return upstreamBatchDelayPlanner
+		return plannerUpstreamBatchDelay
 	}
-	return upstreamBatchDelayDirect
+	return defaultUpstreamBatchDelay
 }
 
 // longPollWait returns how long the next read of a stream may wait for a
@@ -312,7 +312,7 @@
 // acquires the lease with an older one.
 func (c *controller) longPollWait(s metastore.Stream) time.Duration {
 	if !(c.isPlanner.Load() || c.candidate) || s == metastore.StreamCrashes {
-		return directLongPoll // a replica's age does not include the crash stream
+		return defaultLongPoll // a replica's age does not include the crash stream
 	}
 	return min(max(plannerLongPoll-time.Since(c.replica.CurrentAt(s)), 0), plannerLongPoll)
 }
--- a/internal/entryhost/crash_test.go
+++ b/internal/entryhost/crash_test.go
@@ -19,11 +19,11 @@
 	maxLateAttempts = 3
 	// observationTime is how long tests count these attempts. Each time the key's owner
 	// crashes, the key has a new owner within maxHandover.
-	observationTime = 5 * maxHandover
+	observationTime = 5 * maxFailover
 	// callInterval is the pause between the requests of one caller.
 	callInterval = 50 * time.Millisecond
-	// fatalKey is the key of all requests in these tests.
-	fatalKey = 28264
+	// testKey is the key of all requests in these tests.
+	testKey = 28264
 )
 
 // A request that crashes its server is sent again by its callers, on other hosts and
@@ -40,9 +40,9 @@
 				for i := range 5 {
 					f.addServiceUpstream(c.service, fmt.Sprint(c.service, i))
 				}
-				f.waitAnswered(c.route, "/x", startupTimeout)
+				f.waitPathServed(c.route, "/x", startupTimeout)
 				stop := f.sendFatalRequests(c.route)
-				thirdCrash := f.waitCrashes(3, 6*maxHandover)
+				thirdCrash := f.waitCrashes(3, 6*maxFailover)
 				time.Sleep(time.Until(thirdCrash.Add(settleTime)))
 				before := f.crashCount()
 				time.Sleep(observationTime)
@@ -51,7 +51,7 @@
 				}
 				stop()
 				t.Logf("%d servers crashed in all", f.crashCount())
-				f.waitAnswered(c.route, "/x", maxHandover)
+				f.waitPathServed(c.route, "/x", maxFailover)
 			})
 		})
 	}
@@ -65,7 +65,7 @@
 	f.background.Go(func() {
 		defer close(done)
 		for n := 0; !stopped.Load() && f.sleep(callInterval); n++ {
-			f.hosts[n%len(f.hosts)].callPath("GET", route, fatalPath, fmt.Sprint("fatal-", n), fatalKey)
+			f.hosts[n%len(f.hosts)].callPath("GET", route, fatalPath, fmt.Sprint("fatal-", n), testKey)
 		}
 	})
 	return func() {
@@ -74,13 +74,13 @@
 	}
 }
 
-// waitAnswered waits until every host answers a request with 200.
-func (f *testFleet) waitAnswered(route, path string, within time.Duration) {
+// waitPathServed waits until every host answers a request with 200.
+func (f *testFleet) waitPathServed(route, path string, within time.Duration) {
 	f.t.Helper()
 	start := time.Now()
 	for _, h := range f.hosts {
 		for n := 0; ; n++ {
-			status, body := h.callPath("GET", route, path, fmt.Sprint(h.cfg.Host, "-", start.UnixNano(), "-", n), fatalKey)
+			status, body := h.callPath("GET", route, path, fmt.Sprint(h.cfg.Host, "-", start.UnixNano(), "-", n), testKey)
 			if status == http.StatusOK {
 				break
 			}
@@ -151,7 +151,7 @@
 				for i := range 8 {
 					ups = append(ups, f.addServiceUpstream("plain", fmt.Sprint("plain", i)))
 				}
-				f.waitAnswered(unkeyedRoute, "/popular", startupTimeout)
+				f.waitPathServed(unkeyedRoute, "/popular", startupTimeout)
 				interval := callInterval
 				if name == "all at once" {
 					interval = 10 * time.Millisecond
@@ -162,7 +162,7 @@
 				time.Sleep(time.Second)
 				fail(f, ups)
 				time.Sleep(entryExpiryDelay + restartDelay + maxRecoveryTime)
-				f.waitAnswered(unkeyedRoute, "/popular", 0)
+				f.waitPathServed(unkeyedRoute, "/popular", 0)
 			})
 		})
 	}
@@ -179,7 +179,7 @@
 				if n%10 == 0 {
 					path = fmt.Sprint("/", c, n)
 				}
-				h.callPath("GET", unkeyedRoute, path, fmt.Sprint(h.cfg.Host, "-", c, "-", n), fatalKey)
+				h.callPath("GET", unkeyedRoute, path, fmt.Sprint(h.cfg.Host, "-", c, "-", n), testKey)
 			}
 		})
 	}
@@ -208,20 +208,20 @@
 		for i := range 5 {
 			f.addServiceUpstream("plain", fmt.Sprint("plain", i))
 		}
-		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		f.waitPathServed(unkeyedRoute, "/x", startupTimeout)
 		stop := f.sendFatalRequests(unkeyedRoute)
-		f.waitCrashes(3, maxHandover)
+		f.waitCrashes(3, maxFailover)
 		time.Sleep(settleTime)
 		stop()
 		f.stopHosts()
 		for i := range 2 {
 			f.startHost(fmt.Sprint("new", i))
 		}
-		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		f.waitPathServed(unkeyedRoute, "/x", startupTimeout)
 		time.Sleep(settleTime)
 		before := f.crashCount()
 		for n := range 20 {
-			if status, body := f.hosts[n%2].callPath("GET", unkeyedRoute, fatalPath, fmt.Sprint("again-", n), fatalKey); status != http.StatusServiceUnavailable {
+			if status, body := f.hosts[n%2].callPath("GET", unkeyedRoute, fatalPath, fmt.Sprint("again-", n), testKey); status != http.StatusServiceUnavailable {
 				t.Errorf("%d %s", status, body)
 			}
 		}
@@ -244,7 +244,7 @@
 		for i := range 8 {
 			f.addServiceUpstream("sheets", fmt.Sprint("sheets", i))
 		}
-		f.waitAnswered("read.example", "/x", startupTimeout)
+		f.waitPathServed("read.example", "/x", startupTimeout)
 		f.mu.Lock()
 		f.fatalDuration = 100 * time.Millisecond
 		f.mu.Unlock()
@@ -252,7 +252,7 @@
 		for range 4 {
 			stops = append(stops, f.sendFatalRequests("read.example"))
 		}
-		f.waitCrashes(3, 6*maxHandover)
+		f.waitCrashes(3, 6*maxFailover)
 		time.Sleep(observationTime)
 		for _, stop := range stops {
 			stop()
--- a/internal/entryhost/evacuate.go
+++ b/internal/entryhost/evacuate.go
@@ -30,29 +30,29 @@
 type evacuations struct {
 	// timeout is the time from the order to the last request.
 	timeout time.Duration
-	// leaveBy is the deadline for the last request to each evacuated data
+	// handoverBy is the deadline for the last request to each evacuated data
 	// centre. endedAt is when the evacuation of a data centre ended.
-	leaveBy, endedAt map[string]time.Time
+	handoverBy, endedAt map[string]time.Time
 	// entriesRead holds the data centres whose upstreams' entries have been
 	// read since the evacuation ended.
 	entriesRead map[string]bool
 }
 
 func newEvacuations(timeout time.Duration) *evacuations {
-	return &evacuations{timeout: timeout, leaveBy: map[string]time.Time{}, endedAt: map[string]time.Time{}, entriesRead: map[string]bool{}}
+	return &evacuations{timeout: timeout, handoverBy: map[string]time.Time{}, endedAt: map[string]time.Time{}, entriesRead: map[string]bool{}}
 }
 
 // begin records an evacuation and reports whether it is new. With
 // orderedEarlier the time of the order is unknown, because the host has just
 // started or had lost the log. The timeout then counts as over.
 func (e *evacuations) begin(dataCentre string, orderedEarlier bool, now time.Time) bool {
-	if _, known := e.leaveBy[dataCentre]; known {
+	if _, known := e.handoverBy[dataCentre]; known {
 		return false
 	}
 	delete(e.endedAt, dataCentre)
-	e.leaveBy[dataCentre] = now
+	e.handoverBy[dataCentre] = now
 	if !orderedEarlier {
-		e.leaveBy[dataCentre] = now.Add(max(e.timeout-evacuationMargin, 0))
+		e.handoverBy[dataCentre] = now.Add(max(e.timeout-evacuationMargin, 0))
 	}
 	return true
 }
@@ -60,10 +60,10 @@
 // end records the end of a data centre's evacuation and reports whether it was
 // evacuated.
 func (e *evacuations) end(dataCentre string, now time.Time) bool {
-	if _, known := e.leaveBy[dataCentre]; !known {
+	if _, known := e.handoverBy[dataCentre]; !known {
 		return false
 	}
-	delete(e.leaveBy, dataCentre)
+	delete(e.handoverBy, dataCentre)
 	e.endedAt[dataCentre] = now
 	delete(e.entriesRead, dataCentre)
 	return true
@@ -85,7 +85,7 @@
 // slowStart is the duration of its slow start: until its entry has been read
 // after an evacuation, it may be cold for all of that time.
 func (e *evacuations) annotate(u *catalogue.Upstream, slowStart time.Duration) *catalogue.Upstream {
-	leaveBy, evacuated := e.leaveBy[u.DataCentre]
+	leaveBy, evacuated := e.handoverBy[u.DataCentre]
 	endedAt, ended := e.endedAt[u.DataCentre]
 	if !evacuated && !ended {
 		return u
@@ -119,7 +119,7 @@
 			changed = c.beginEvacuation(dc, reset, now) || changed
 		}
 	}
-	for dc := range c.evacuations.leaveBy {
+	for dc := range c.evacuations.handoverBy {
 		if reset && !listed[dc] {
 			changed = c.endEvacuation(dc, now) || changed
 		}
@@ -135,7 +135,7 @@
 		return false
 	}
 	c.zl.Info("evacuation of data centre begun", zap.Int("event", events.EvacuationBegun), zap.String("data_centre", dataCentre),
-		zap.Duration("keys_served_for", c.evacuations.leaveBy[dataCentre].Sub(now)))
+		zap.Duration("keys_served_for", c.evacuations.handoverBy[dataCentre].Sub(now)))
 	return true
 }
 
--- a/internal/entryhost/evacuate_test.go
+++ b/internal/entryhost/evacuate_test.go
@@ -102,6 +102,6 @@
 			t.Errorf("%d requests reached the data centre", n)
 		}
 		f.log.SetDown(false)
-		f.waitServed(f.hosts[1], maxHandover)
+		f.waitServed(f.hosts[1], maxFailover)
 	})
 }
--- a/internal/entryhost/feedback_test.go
+++ b/internal/entryhost/feedback_test.go
@@ -88,7 +88,7 @@
 	for i := range 5 {
 		ups = append(ups, f.addServiceUpstream(service, fmt.Sprint("up", i)))
 	}
-	f.waitAnswered(route, "/x", startupTimeout)
+	f.waitPathServed(route, "/x", startupTimeout)
 	time.Sleep(4 * time.Second)
 	f.generateSteadyLoad(route, 2*time.Second, 0)
 	return f, ups
@@ -152,7 +152,7 @@
 					for _, h := range f.hosts {
 						h.log.partitioned.Store(false)
 					}
-					f.waitAnswered(c.route, "/x", startupTimeout)
+					f.waitPathServed(c.route, "/x", startupTimeout)
 				})
 			})
 		}
@@ -184,7 +184,7 @@
 				}
 				ups[0].SetReport(rangeowner.Report{})
 				time.Sleep(backoff)
-				f.waitAnswered(c.route, "/x", startupTimeout)
+				f.waitPathServed(c.route, "/x", startupTimeout)
 			})
 		})
 	}
@@ -232,7 +232,7 @@
 			f.putEntry(u, catalogue.Upstream{Service: "sheets", DataCentre: "dc", Slots: 1})
 			ups = append(ups, u)
 		}
-		f.waitAnswered("read.example", "/x", startupTimeout)
+		f.waitPathServed("read.example", "/x", startupTimeout)
 		time.Sleep(4 * time.Second)
 		f.generateSteadyLoad("read.example", 3*time.Second, 0)
 		for _, u := range ups[:3] {
--- a/internal/entryhost/fleet_test.go
+++ b/internal/entryhost/fleet_test.go
@@ -13,8 +13,8 @@
 const (
 	testGrantTTL   = time.Second
 	startupTimeout = 5 * time.Second
-	// maxHandover bounds the time until a lost upstream's keys are served by others.
-	maxHandover = testGrantTTL + testGrantTTL/2 + time.Second
+	// maxFailover bounds the time until a lost upstream's keys are served by others.
+	maxFailover = testGrantTTL + testGrantTTL/2 + time.Second
 )
 
 // Every host must serve all keys soon after the fleet starts.
@@ -40,7 +40,7 @@
 		}
 		f.killUpstream(lost)
 		for _, h := range f.hosts {
-			t.Logf("served again after %v", f.waitServed(h, maxHandover))
+			t.Logf("served again after %v", f.waitServed(h, maxFailover))
 		}
 	})
 }
@@ -71,7 +71,7 @@
 // The planner's host is stopped as planned. It must report unready at once and
 // answer the requests in flight. Another host must take over as the planner
 // without any key being unserved.
-func TestPlannedStopOfPlanner(t *testing.T) {
+func TestGracefulShutdownOfPlanner(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 3)
 		f.waitServed(f.hosts[0], startupTimeout)
@@ -144,7 +144,7 @@
 			}
 		}
 		for _, h := range f.hosts {
-			f.waitServed(h, maxHandover)
+			f.waitServed(h, maxFailover)
 		}
 	})
 }
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -126,8 +126,8 @@
 	callerServer       *http.Server
 	stopping           atomic.Bool
 	inFlight           atomic.Int64
-	// reportedDroppedLines is the number of dropped log lines already logged.
-	reportedDroppedLines int64
+	// loggedDroppedLines is the number of dropped log lines already logged.
+	loggedDroppedLines int64
 }
 
 // Run serves until ctx ends or a component fails. The end of ctx is a planned
@@ -186,7 +186,7 @@
 	h.dispatch.SlowStartBounds = ratelimit.Bounds{Factor: cfg.SlowStartFactor, Slack: cfg.SlowStartSlack, Window: slowStartWindow}
 	h.controller.retirer = h.peers
 	h.controller.elector.fleetSize = func() int { return h.fleet.Size(time.Now()) }
-	h.controller.candidateAlive = func() bool { return h.fleet.HasLiveCandidate(time.Now()) }
+	h.controller.hasLiveCandidate = func() bool { return h.fleet.HasLiveCandidate(time.Now()) }
 	return h
 }
 
@@ -219,7 +219,7 @@
 	}
 	peers := http.NewServeMux()
 	ps := peerpb.NewPeerServer(&peer.Server{Copy: h.controller.replica, ReplicaStatus: h.replicaStatus, Fleet: h.fleet, Name: h.cfg.Host, HostStatus: h.status, RetireTermsBefore: h.retire,
-		OnLoads: func(l []peer.ServiceLoad) { h.receiveLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.report, PeerLoads: h.inFlightAggregator.othersInFlight,
+		OnLoads: func(l []peer.ServiceLoad) { h.receiveKeyLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.recordStats, PeerLoads: h.inFlightAggregator.othersInFlight,
 		Feedback: h.feedback, AcquirePermits: h.issuePermits})
 	peers.Handle(ps.PathPrefix(), ps)
 	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.tracker, Log: h.zl})
@@ -316,7 +316,7 @@
 			hosts := h.fleet.Size(now)
 			h.dispatch.SetHostCount(hosts, h.fleetSizeKnown(now))
 			h.budget.SetLimits(hostBudgetLimits(current, hosts))
-			listed := listedIn(h.views.Load().Upstreams)
+			listed := knownIn(h.views.Load().Upstreams)
 			h.client.Prune(now, listed)
 			h.picker.Prune(listed)
 			h.picker.MarkSynced(h.controller.replica.CurrentAt(metastore.StreamUpstreams))
@@ -340,13 +340,13 @@
 // logDroppedLines logs how many log lines were dropped since its last call.
 func (h *host) logDroppedLines() {
 	total := h.plat.LogDropped()
-	if total > h.reportedDroppedLines {
-		h.zl.Warn("log lines dropped", zap.Int("event", events.LogLinesDropped), zap.Int64("dropped", total-h.reportedDroppedLines))
+	if total > h.loggedDroppedLines {
+		h.zl.Warn("log lines dropped", zap.Int("event", events.LogLinesDropped), zap.Int64("dropped", total-h.loggedDroppedLines))
 	}
-	h.reportedDroppedLines = total
+	h.loggedDroppedLines = total
 }
 
-// listedIn returns a function that reports whether s contains an upstream ID.
-func listedIn(s *catalogue.Snapshot) func(id string) bool {
+// knownIn returns a function that reports whether s contains an upstream ID.
+func knownIn(s *catalogue.Snapshot) func(id string) bool {
 	return func(id string) bool { return s.ByID[id] != nil }
 }
--- a/internal/entryhost/inflight.go
+++ b/internal/entryhost/inflight.go
@@ -12,7 +12,7 @@
 
 // ownReportInterval is how often a host that others follow adds its own load
 // statistics.
-const ownReportInterval = 200 * time.Millisecond
+const ownStatsInterval = 200 * time.Millisecond
 
 // inFlightAggregator sums the in-flight requests at upstreams over the hosts of
 // one data centre. It runs on the host that the others follow.
@@ -21,36 +21,36 @@
 	picker           *balance.Picker
 	aggregator       *inflight.Aggregator
 
-	mu            sync.Mutex
-	ownReportedAt time.Time
+	mu         sync.Mutex
+	ownStatsAt time.Time
 }
 
 func newInFlightAggregator(host, dataCentre string, picker *balance.Picker, upstreams func() *catalogue.Snapshot) *inFlightAggregator {
 	return &inFlightAggregator{host: host, dataCentre: dataCentre, picker: picker, aggregator: inflight.New(upstreams, time.Now())}
 }
 
-// report records the load statistics of a follower, and every ownReportInterval
+// recordStats records the load statistics of a follower, and every ownReportInterval
 // those of this host. It ignores hosts of other data centres.
-func (a *inFlightAggregator) report(caller fleet.Host, stats []balance.LoadStats) {
+func (a *inFlightAggregator) recordStats(caller fleet.Host, stats []balance.LoadStats) {
 	if caller.DataCentre != a.dataCentre {
 		return
 	}
 	now := time.Now()
 	a.aggregator.Record(caller.Name, stats, now)
-	if a.ownReportDue(now) {
+	if a.ownStatsDue(now) {
 		a.aggregator.Record(a.host, a.picker.FlushLoadStats(), now)
 		a.picker.SetPeerLoads(a.aggregator.PeerLoads(a.host, a.picker.Subset().IDs, now), now)
 	}
 }
 
-// ownReportDue reports whether ownReportInterval has passed, and if so starts it anew.
-func (a *inFlightAggregator) ownReportDue(now time.Time) bool {
+// ownStatsDue reports whether ownReportInterval has passed, and if so starts it anew.
+func (a *inFlightAggregator) ownStatsDue(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now.Sub(a.ownReportedAt) < ownReportInterval {
+	if now.Sub(a.ownStatsAt) < ownStatsInterval {
 		return false
 	}
-	a.ownReportedAt = now
+	a.ownStatsAt = now
 	return true
 }
 
--- a/internal/entryhost/loadsampler.go
+++ b/internal/entryhost/loadsampler.go
@@ -15,23 +15,23 @@
 
 // maxReportSamples bounds the samples per service in one load report. Above it,
 // requests are sampled at random.
-const maxReportSamples = 512
+const maxSummarySamples = 512
 
 // loadSampler collects samples of callers' requests to keyed services for the
 // next load report. It is safe for concurrent use.
 type loadSampler struct {
 	mu        sync.Mutex
-	byService map[string]*serviceSample
+	byService map[string]*serviceReservoir
 }
 
-// serviceSample is a random sample of a service's requests. requests is the
+// serviceReservoir is a random sample of a service's requests. requests is the
 // number of requests it represents.
-type serviceSample struct {
+type serviceReservoir struct {
 	samples  []keyload.Sample
 	requests float64
 }
 
-func newLoadSampler() *loadSampler { return &loadSampler{byService: map[string]*serviceSample{}} }
+func newLoadSampler() *loadSampler { return &loadSampler{byService: map[string]*serviceReservoir{}} }
 
 // add records a finished request.
 func (s *loadSampler) add(e *dispatch.RequestSummary) {
@@ -44,7 +44,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sampleFor(e.Service).add(request, 1)
+	s.reservoirFor(e.Service).add(request, 1)
 }
 
 // merge adds the load reports of this host's followers.
@@ -52,19 +52,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range loads {
-		sample := s.sampleFor(l.Service)
+		sample := s.reservoirFor(l.Service)
 		for _, request := range l.Samples {
 			sample.add(request, l.Weight)
 		}
 	}
 }
 
-// sampleFor returns the sample of a service and creates it if needed. The
+// reservoirFor returns the sample of a service and creates it if needed. The
 // caller holds mu.
-func (s *loadSampler) sampleFor(service string) *serviceSample {
+func (s *loadSampler) reservoirFor(service string) *serviceReservoir {
 	sample := s.byService[service]
 	if sample == nil {
-		sample = &serviceSample{}
+		sample = &serviceReservoir{}
 		s.byService[service] = sample
 	}
 	return sample
@@ -73,14 +73,14 @@
 // add adds a request that represents weight requests. Once there are
 // maxReportSamples, it replaces a random one, with a probability that gives
 // every request the same chance to be kept (reservoir sampling).
-func (s *serviceSample) add(request keyload.Sample, weight float64) {
+func (s *serviceReservoir) add(request keyload.Sample, weight float64) {
 	s.requests += weight
-	if len(s.samples) < maxReportSamples {
+	if len(s.samples) < maxSummarySamples {
 		s.samples = append(s.samples, request)
 		return
 	}
-	if rand.Float64()*s.requests < maxReportSamples*weight {
-		s.samples[rand.IntN(maxReportSamples)] = request
+	if rand.Float64()*s.requests < maxSummarySamples*weight {
+		s.samples[rand.IntN(maxSummarySamples)] = request
 	}
 }
 
@@ -107,18 +107,18 @@
 	return ""
 }
 
-// receiveLoads handles load reports of followers. The planner uses them; a
+// receiveKeyLoads handles load reports of followers. The planner uses them; a
 // relay merges them into its own report.
-func (h *host) receiveLoads(ctx context.Context, loads []peer.ServiceLoad) {
+func (h *host) receiveKeyLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if h.controller.isPlanner.Load() {
-		h.addLoads(ctx, loads)
+		h.addKeyLoads(ctx, loads)
 		return
 	}
 	h.loadSampler.merge(loads)
 }
 
-// addLoads adds load reports to the planner's load estimate.
-func (h *host) addLoads(ctx context.Context, loads []peer.ServiceLoad) {
+// addKeyLoads adds load reports to the planner's load estimate.
+func (h *host) addKeyLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if len(loads) == 0 {
 		return
 	}
@@ -148,16 +148,16 @@
 // readers.
 func (h *host) newLogSyncer(ctx context.Context) *logSyncer {
 	ownershipReader, others := h.controller.newStreamReaders(ctx)
-	timeout := discoveryTimeout
+	timeout := defaultDiscoveryTimeout
 	if h.cfg.FirstStart {
 		timeout = firstStartDiscoveryTimeout
 	}
 	syncer := &logSyncer{discoveryTimeout: timeout, zl: h.zl, peers: h.peers, replica: h.controller.replica, ownershipReader: ownershipReader, otherReaders: others, plannerAddr: h.plannerAddr, isPlanner: h.controller.isPlanner.Load,
 		self: h.self, fleet: h.fleet, picker: h.picker, feedback: h.feedback,
-		takeLoads: h.loadSampler.take, applyLoads: func(l []peer.ServiceLoad) { h.addLoads(ctx, l) },
-		apply:           func(b relay.Batch) { h.controller.applyAndWait(ctx, b) },
-		onPlannerLost:   func() { h.controller.post(ctx, h.controller.planner.PlannerLost) },
-		onCandidateSeen: func() { h.controller.post(ctx, func() { h.controller.planner.PlannerSeen(h.controller.clock()) }) },
+		takeKeyLoads: h.loadSampler.take, applyKeyLoads: func(l []peer.ServiceLoad) { h.addKeyLoads(ctx, l) },
+		apply:          func(b relay.Batch) { h.controller.applyAndWait(ctx, b) },
+		onFollowFailed: func() { h.controller.post(ctx, h.controller.planner.PlannerLost) },
+		onStaleReplica: func() { h.controller.post(ctx, func() { h.controller.planner.PlannerSeen(h.controller.clock()) }) },
 		onPlannerFollowed: func(logReachableFor time.Duration) {
 			h.controller.post(ctx, func() { h.controller.onPlannerFollowed(logReachableFor) })
 		}}
@@ -167,7 +167,7 @@
 		reader.onResult = func(err error) {
 			onResult(err)
 			if err != nil {
-				syncer.attempts.recordFailure()
+				syncer.probes.recordFailure()
 			}
 		}
 	}
--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -42,11 +42,11 @@
 	// all streams directly, unless it finds the planner again. It leaves 0.5 s
 	// to catch up.
 	directReadAge = 1500 * time.Millisecond
-	// discoveryTimeout is how long a host that is no candidate and has read
+	// defaultDiscoveryTimeout is how long a host that is no candidate and has read
 	// nothing yet looks for a planner before it reads all streams directly. An
 	// existing planner answers within 0.1 s, and without one callers wait. A
 	// candidate reads at once, because it may have to be the planner.
-	discoveryTimeout = 300 * time.Millisecond
+	defaultDiscoveryTimeout = 300 * time.Millisecond
 	// firstStartDiscoveryTimeout replaces it at the fleet's first start: there
 	// are no callers yet, and a planner takes one or two seconds to appear.
 	firstStartDiscoveryTimeout = 3 * time.Second
@@ -58,8 +58,8 @@
 	// may be the only one served. Afterwards all such hosts together make
 	// fleetAttemptsPerSecond reads a second, or each one per maxAttemptInterval
 	// on average if that is more.
-	fleetAttemptsPerSecond = 10
-	maxAttemptInterval     = 2500 * time.Millisecond
+	fleetProbesPerSecond = 10
+	maxProbeInterval     = 2500 * time.Millisecond
 )
 
 // logSyncer keeps this host's replica of the log current. It follows the
@@ -86,18 +86,18 @@
 	// plannerAddr returns the planner's peer address (host:port). It is empty
 	// if no planner is known or it is this host.
 	plannerAddr func() string
-	// takeLoads returns the load to report and resets it. applyLoads processes
+	// takeKeyLoads returns the load to report and resets it. applyLoads processes
 	// it locally if this host is the planner or knows none.
-	takeLoads  func() []peer.ServiceLoad
-	applyLoads func([]peer.ServiceLoad)
+	takeKeyLoads  func() []peer.ServiceLoad
+	applyKeyLoads func([]peer.ServiceLoad)
 	// apply updates this host's state, replica included, from a batch.
 	apply func(relay.Batch)
 	// onPlannerFollowed is called after a successful call, with the time for
 	// which the planner has reached the log service without failure.
 	onPlannerFollowed func(logReachableFor time.Duration)
-	// onPlannerLost is called after a failed call, onCandidateSeen while the
+	// onFollowFailed is called after a failed call, onCandidateSeen while the
 	// followed host answers with too old a replica or none.
-	onPlannerLost, onCandidateSeen func()
+	onFollowFailed, onStaleReplica func()
 	zl                             *zap.Logger
 
 	// discoveryTimeout is how long a host that is no candidate looks for a
@@ -110,9 +110,9 @@
 	// followedReplicaStale is set while the followed host answers that its
 	// replica is too old, or that it has none.
 	followedReplicaStale bool
-	// attempts schedules this host's single reads while followedReplicaStale is
+	// probes schedules this host's single reads while followedReplicaStale is
 	// set.
-	attempts readAttempts
+	probes readProbes
 	// wasPlanner is the result of isPlanner at the last iteration of run.
 	wasPlanner bool
 	// directReadCtx is the context of the running readers; nil while none runs.
@@ -150,21 +150,21 @@
 			s.stopDirectReads()
 			continue
 		}
-		s.readFromLog(ctx)
+		s.updateDirectReads(ctx)
 		sleep(ctx, plannerRetryInterval)
 	}
 	s.stopDirectReads()
 }
 
-// readFromLog starts direct reads where this host should read the log service.
+// updateDirectReads starts direct reads where this host should read the log service.
 // While the followed host's replica is stale, a host that is no candidate reads
 // only after a single attempt has succeeded, and stops when a read fails.
-func (s *logSyncer) readFromLog(ctx context.Context) {
+func (s *logSyncer) updateDirectReads(ctx context.Context) {
 	if s.self().Candidate || s.isPlanner() || !s.followedReplicaStale || s.replica.NextOffset(metastore.StreamDesired) < 0 {
 		s.startDirectReads(ctx)
 		return
 	}
-	if s.directReadCtx != nil && s.attempts.failedSince(s.directReadsStartedAt) {
+	if s.directReadCtx != nil && s.probes.failedSince(s.directReadsStartedAt) {
 		s.stopDirectReads()
 		return
 	}
@@ -172,11 +172,11 @@
 		s.startDirectReads(ctx) // reads the other streams too once they are too old
 		return
 	}
-	s.onCandidateSeen() // the host that answered is a candidate, though its replica is stale
-	switch s.attempts.next(time.Now(), s.fleet.Size(time.Now())) {
-	case attemptNow:
-		go func() { s.attempts.finish(s.otherReaders[attemptStreamIndex].readOnce(ctx)) }()
-	case attemptSucceeded:
+	s.onStaleReplica() // the host that answered is a candidate, though its replica is stale
+	switch s.probes.next(time.Now(), s.fleet.Size(time.Now())) {
+	case probeNow:
+		go func() { s.probes.finish(s.otherReaders[probeReaderIndex].readOnce(ctx)) }()
+	case startReaders:
 		s.startDirectReads(ctx)
 	}
 }
@@ -186,9 +186,9 @@
 // replica is now recent enough.
 func (s *logSyncer) follow(ctx context.Context) bool {
 	planner := s.plannerAddr()
-	loads := s.takeLoads()
+	loads := s.takeKeyLoads()
 	if planner == "" {
-		s.applyLoads(loads)
+		s.applyKeyLoads(loads)
 		s.setFollowed("", 0, nil)
 		return false
 	}
@@ -222,7 +222,7 @@
 	s.lastFollowFailed = err != nil
 	if err != nil {
 		s.followedReplicaStale = errors.Is(err, peer.ErrNoReplica)
-		s.onPlannerLost()
+		s.onFollowFailed()
 		s.setFollowed("", 0, err)
 		return false
 	}
@@ -246,7 +246,7 @@
 		return false
 	}
 	s.setFollowed(addr, reply.Age, nil)
-	s.attempts.reset()
+	s.probes.reset()
 	s.onPlannerFollowed(reply.LogReachableFor)
 	return true
 }
--- a/internal/entryhost/logsyncer_test.go
+++ b/internal/entryhost/logsyncer_test.go
@@ -17,7 +17,7 @@
 		"planner":             maxReplicaAge + followTimeout,
 		"relay":               maxRelayedReplicaAge + relayFollowTimeout,
 		"planner not found":   directReadAge + plannerRetryInterval,
-		"log read by the way": directLongPoll,
+		"log read by the way": defaultLongPoll,
 	} {
 		if age >= maxLag {
 			t.Errorf("%s: a host's replica may be %v old", name, age)
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -89,7 +89,7 @@
 		}
 		for _, h := range f.hosts {
 			if h != planner {
-				f.waitServed(h, maxHandover)
+				f.waitServed(h, maxFailover)
 			}
 		}
 	})
--- a/internal/entryhost/readattempts.go
+++ b/internal/entryhost/readprobes.go
@@ -8,21 +8,21 @@
 
 // attemptStreamIndex is the index of the upstream stream's reader, which makes
 // the attempts, among the other readers that newStreamReaders returns.
-const attemptStreamIndex = 1
+const probeReaderIndex = 1
 
-// attemptDecision is what a host whose followed host has a stale replica does
+// probeDecision is what a host whose followed host has a stale replica does
 // next.
-type attemptDecision int
+type probeDecision int
 
 const (
-	attemptLater     attemptDecision = iota // wait
-	attemptNow                              // make one read
-	attemptSucceeded                        // an attempt succeeded: start the readers
+	probeLater   probeDecision = iota // wait
+	probeNow                          // make one read
+	startReaders                      // an attempt succeeded: start the readers
 )
 
-// readAttempts schedules a host's single reads of the log service while the
+// readProbes schedules a host's single reads of the log service while the
 // followed host's replica is stale. It is safe for concurrent use.
-type readAttempts struct {
+type readProbes struct {
 	mu sync.Mutex
 	// inFlight is set while an attempt is running, succeeded once one has
 	// succeeded.
@@ -35,24 +35,24 @@
 
 // next returns what to do now in a fleet of the given number of hosts. On
 // attemptNow the caller must call finish.
-func (a *readAttempts) next(now time.Time, hosts int) attemptDecision {
+func (a *readProbes) next(now time.Time, hosts int) probeDecision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case a.succeeded:
 		a.succeeded = false
-		return attemptSucceeded
+		return startReaders
 	case a.inFlight || now.Before(a.nextAt):
-		return attemptLater
+		return probeLater
 	}
-	interval := min(time.Duration(hosts)*time.Second/fleetAttemptsPerSecond, maxAttemptInterval)
+	interval := min(time.Duration(hosts)*time.Second/fleetProbesPerSecond, maxProbeInterval)
 	a.nextAt = now.Add(interval/2 + rand.N(interval+1))
 	a.inFlight = true
-	return attemptNow
+	return probeNow
 }
 
 // finish records the result of an attempt.
-func (a *readAttempts) finish(err error) {
+func (a *readProbes) finish(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.inFlight, a.succeeded = false, err == nil
@@ -62,21 +62,21 @@
 }
 
 // recordFailure records that a running reader's read failed.
-func (a *readAttempts) recordFailure() {
+func (a *readProbes) recordFailure() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.failedAt = time.Now()
 }
 
 // failedSince reports whether a read has failed after the given time.
-func (a *readAttempts) failedSince(at time.Time) bool {
+func (a *readProbes) failedSince(at time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.failedAt.After(at)
 }
 
 // reset records that the followed host's replica is recent again.
-func (a *readAttempts) reset() {
+func (a *readProbes) reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.succeeded, a.nextAt = false, time.Time{}
--- a/internal/entryhost/records.go
+++ b/internal/entryhost/records.go
@@ -32,7 +32,7 @@
 // apply applies the part of a batch that is new to this host's replica.
 func (c *controller) apply(b relay.Batch) {
 	if len(b.Changes) > 0 {
-		c.applyChanges(b)
+		c.applyDeltas(b)
 		return
 	}
 	fresh := c.replica.Apply(b)
@@ -90,9 +90,9 @@
 	}
 }
 
-// applyChanges applies deltas to this host's ownership tables. If one does not
+// applyDeltas applies deltas to this host's ownership tables. If one does not
 // apply, none is applied and the host requests full tables.
-func (c *controller) applyChanges(b relay.Batch) {
+func (c *controller) applyDeltas(b relay.Batch) {
 	if b.NextOffset <= c.replica.NextOffset(b.Stream) {
 		return // already read from the log service
 	}
--- a/internal/entryhost/refused_test.go
+++ b/internal/entryhost/refused_test.go
@@ -16,9 +16,9 @@
 		for i := range 5 {
 			f.addServiceUpstream("plain", fmt.Sprint("plain", i))
 		}
-		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		f.waitPathServed(unkeyedRoute, "/x", startupTimeout)
 		stop := f.sendFatalRequests(unkeyedRoute)
-		f.waitCrashes(3, 6*maxHandover)
+		f.waitCrashes(3, 6*maxFailover)
 		stop()
 		time.Sleep(settleTime)
 		list := func(h *testHost) []*refusedpb.Content {
--- a/internal/entryhost/slowstart_test.go
+++ b/internal/entryhost/slowstart_test.go
@@ -57,7 +57,7 @@
 						f.addServiceUpstream(c.service, fmt.Sprint("warm", i))
 					}
 					if warm > 0 {
-						f.waitAnswered(c.route, "/x", startupTimeout)
+						f.waitPathServed(c.route, "/x", startupTimeout)
 					}
 					time.Sleep(4 * time.Second)
 					from := time.Now() // upstreams started from now on are cold for at least coldFor
@@ -72,7 +72,7 @@
 						}
 					}
 					time.Sleep(time.Second)
-					f.waitAnswered(c.route, "/x", maxHandover)
+					f.waitPathServed(c.route, "/x", maxFailover)
 				})
 			})
 		}
@@ -89,7 +89,7 @@
 		far := f.startUpstream("plain", "far")
 		entry := catalogue.Upstream{Service: "plain", DataCentre: "far", Slots: 30}
 		f.putEntry(far, entry)
-		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		f.waitPathServed(unkeyedRoute, "/x", startupTimeout)
 		time.Sleep(4 * time.Second)
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
 		time.Sleep(testEvacuationTimeout + time.Second)
@@ -126,7 +126,7 @@
 				f := newFleet(t, 4, 0)
 				old := f.addServiceUpstream(c.service, "server")
 				f.addServiceUpstream(c.service, "other")
-				f.waitAnswered(c.route, "/x", startupTimeout)
+				f.waitPathServed(c.route, "/x", startupTimeout)
 				f.generateLoad(c.route, 4*time.Second)
 				f.log.SetDown(true)
 				f.killUpstream(old)
--- a/internal/entryhost/streamreader.go
+++ b/internal/entryhost/streamreader.go
@@ -20,10 +20,10 @@
 	// skipCheckInterval is how often a skipped stream is checked. Only the
 	// planner skips a stream: ownership, while no other host writes it.
 	skipCheckInterval = 100 * time.Millisecond
-	// directLongPoll is how long a read waits on hosts that can't follow the
+	// defaultLongPoll is how long a read waits on hosts that can't follow the
 	// planner. It bounds how long a record remains unread if the service does
 	// not wake the reader, which happened right after a cut ended.
-	directLongPoll = 1500 * time.Millisecond
+	defaultLongPoll = 1500 * time.Millisecond
 	// minReadRetryDelay and maxReadRetryDelay bound the backoff after a failed
 	// read. They are short: within 3 s of the end of a cut a host must have
 	// read what it missed, and 2 s of that pass in telling expired entries from
@@ -37,17 +37,17 @@
 	// Without it, a read sent during a cut would delay the next one until 1.5 s
 	// after the cut's end. A slow service answers within 0.3 s.
 	immediateReadTimeout = 600 * time.Millisecond
-	// upstreamBatchDelayPlanner and upstreamBatchDelayDirect are the delays
+	// plannerUpstreamBatchDelay and upstreamBatchDelayDirect are the delays
 	// after a read of the upstream stream, on the planner and on other readers.
 	// They let a burst cost one read: at a fleet's start every host reads and
 	// every upstream writes, and 91 hosts with the planner's delay made some
 	// 1,800 calls in 2 s.
-	upstreamBatchDelayPlanner = 150 * time.Millisecond
-	upstreamBatchDelayDirect  = 600 * time.Millisecond
-	// crashBatchDelayPlanner and crashBatchDelayDirect are the same for the
+	plannerUpstreamBatchDelay = 150 * time.Millisecond
+	defaultUpstreamBatchDelay = 600 * time.Millisecond
+	// plannerCrashBatchDelay and crashBatchDelayDirect are the same for the
 	// crash stream.
-	crashBatchDelayPlanner = 300 * time.Millisecond
-	crashBatchDelayDirect  = 2 * time.Second
+	plannerCrashBatchDelay = 300 * time.Millisecond
+	defaultCrashBatchDelay = 2 * time.Second
 )
 
 // streamReader reads one stream from the log service.
