--- a/internal/entryhost/actions.go
+++ b/internal/entryhost/actions.go
@@ -25,7 +25,7 @@
 	case *planner.ReleaseLease:
 		go func() {
 			if err := c.elector.release(ctx); err != nil {
-				c.zl.Info("leaving the planner group failed; the membership will expire", zap.Int("event", events.PlannerLeaseLost), ErrorField(err))
+				c.zl.Info("leaving the planner election failed; the membership will expire", zap.Int("event", events.PlannerLeaseLost), ErrorField(err))
 			}
 		}()
 	case *planner.Append:
@@ -55,12 +55,12 @@
 	}
 }
 
-// grant sends a grant, unless it was decided on longer than maxGrantSendDelay
-// ago. It runs on a goroutine of its own.
+// grant sends a grant, unless the planner decided on it (a.SentAt) longer than
+// maxGrantSendDelay ago. It runs on a goroutine of its own.
 func (c *controller) grant(ctx context.Context, a *planner.Grant) error {
 	delay := c.clock().Sub(a.SentAt)
 	if delay > maxGrantSendDelay {
-		return eris.Wrapf(ownership.ErrNotSent, "upstream %s: grant is %v old", a.Addr, delay)
+		return eris.Wrapf(ownership.ErrNotSent, "upstream %s: grant was decided on %v ago", a.Addr, delay)
 	}
 	grantCtx, cancel := context.WithTimeout(ctx, grantTimeout-delay)
 	defer cancel()
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -53,8 +53,8 @@
 	grantTimeout = 300 * time.Millisecond
 	// maxGrantSendDelay is the longest delay between the decision on a grant
 	// and its sending, which the planner's bound on the grant's expiry assumes.
-	// A grant sent a second late, by a host short of processor time, kept keys
-	// at an owner after another one had received them.
+	// Without the check, a host short of CPU time sends a grant a second late,
+	// and an owner holds keys after another one has received them.
 	maxGrantSendDelay = 100 * time.Millisecond
 	// retireTimeout bounds a retire call to a previous planner.
 	retireTimeout = 300 * time.Millisecond
@@ -76,7 +76,8 @@
 // goroutines use post, the atomic fields, and the fields whose types are safe
 // for concurrent use.
 type controller struct {
-	zl      *zap.Logger
+	zl *zap.Logger
+	// store is the client of the log service.
 	store   metastore.Store
 	decoder Decoder
 	granter Granter
@@ -93,7 +94,7 @@
 	inbox       chan func()
 	registry    *upstreamRegistry
 	evacuations *evacuations
-	// crashes stores the crash records read from the log.
+	// crashes shares crash records with the other hosts through the log.
 	crashes *crashLog
 	// streamLostSince holds, for each stream whose reads fail, when they began
 	// to. logRecoveredAt is when the first stream recovered after an outage of
@@ -103,8 +104,8 @@
 	logRecoveredAt  time.Time
 	replica         *relay.Replica
 	// feedback holds what upstreams report about themselves. drainTimeout is
-	// the time from an upstream's report that it is leaving to the last request
-	// to it.
+	// the time after an upstream's report that it is leaving from which on no
+	// request may reach it.
 	feedback     *feedback.Tracker
 	drainTimeout time.Duration
 	// rejectionLoggedAt is when a rejected upstream record was last logged,
@@ -112,15 +113,16 @@
 	rejectionLoggedAt  time.Time
 	rejectionsUnlogged int
 	ownershipHistory   ownershipHistory
-	// candidate is set if this host has the capacity to be the planner or a
-	// relay.
+	// candidate is set if this host's CPU and link suffice for the planner; see
+	// the package comment.
 	candidate bool
 	// isPlanner is set while this host holds the planner lease.
 	isPlanner atomic.Bool
 	// soleWriter is set while only this host writes the ownership stream, which
 	// then needs no reading.
 	soleWriter atomic.Bool
-	// hasLiveCandidate reports whether a candidate follows this host.
+	// hasLiveCandidate reports whether another host that is a candidate has
+	// called this one recently, which it does while it follows this host.
 	hasLiveCandidate func() bool
 }
 
@@ -180,8 +182,8 @@
 			f()
 			c.drainInbox()
 			// Tick soon after an event, but not once for each event: a
-			// planner with dozens of moves in progress spent its whole
-			// processor share on ticks.
+			// planner with dozens of moves in progress would spend all
+			// of its CPU time on ticks.
 			t.Reset(max(minTickInterval-time.Since(lastTick), 0))
 		case <-t.C:
 			lastTick = time.Now()
@@ -199,8 +201,8 @@
 
 // detectStall checks whether the host did not run for a while. The log service
 // may have failed meanwhile, so a stall counts as an outage that has just
-// ended. Without this, a host that had stalled through an outage considered all
-// upstreams gone, because their entries had expired, and moved every key.
+// ended. Without the check, a host that stalls through an outage unlists all
+// upstreams, because their entries have expired, and moves every key.
 func (c *controller) detectStall() {
 	now := c.clock()
 	if gap := now.Sub(c.lastRun); c.lastRun != 0 && gap > stallThreshold {
@@ -234,7 +236,8 @@
 	return max(min(followerTickInterval, c.registry.untilNextExpiry(time.Now())), minTickInterval)
 }
 
-// tick expires suspected upstreams and executes what the planner has due.
+// tick unlists suspects whose grace period has ended and executes the planner's
+// due actions.
 func (c *controller) tick(ctx context.Context) {
 	now := c.clock()
 	if c.planner.ShouldStepDown(now) && c.hasLiveCandidate() {
@@ -276,9 +279,9 @@
 }
 
 // crashReadStartDelay returns the delay before the first direct read of the
-// crash stream. A host that has just started usually finds a planner meanwhile,
-// whose replica contains the stream. The planner, and a host that has read the
-// stream before, read at once.
+// crash stream. A host that has just started, at the fleet's first start or
+// later, usually finds a planner meanwhile, whose replica contains the stream.
+// The planner, and a host that has read the stream before, read at once.
 func (c *controller) crashReadStartDelay() time.Duration {
 	if c.isPlanner.Load() || c.replica.NextOffset(metastore.StreamCrashes) >= 0 {
 		return 0
@@ -288,8 +291,8 @@
 
 // crashBatchDelay returns the delay after a read that returned crash records. A
 // crash record may take seconds to have effect, and while many servers crash
-// every host writes some: without the delay, a cut cost each host hundreds of
-// calls.
+// every host writes some: without the delay, a network partition costs each host
+// hundreds of calls.
 func (c *controller) crashBatchDelay() time.Duration {
 	if c.isPlanner.Load() {
 		return plannerCrashBatchDelay
@@ -307,9 +310,10 @@
 }
 
 // longPollWait returns how long the next read of a stream may wait for a
-// record. It keeps the replicas of the planner, and of the candidates that may
-// succeed it, from growing older than plannerLongPoll, also when a candidate
-// acquires the lease with an older one.
+// record. On the planner and the candidates, one of which may succeed it, the
+// replica must not grow older than plannerLongPoll: the wait shrinks by its age.
+// A replica that is older already, because the host followed another one that
+// then failed or because reads failed, is read without a wait.
 func (c *controller) longPollWait(s metastore.Stream) time.Duration {
 	if !(c.isPlanner.Load() || c.candidate) || s == metastore.StreamCrashes {
 		return defaultLongPoll // a replica's age does not include the crash stream
@@ -318,15 +322,16 @@
 }
 
 // minLogReachableFor is how long the planner must have reached the log service
-// without failure for this host's read failures to count as its own. Upstreams'
-// entries then have not expired because of an outage.
+// without failure for this host's read failures to be attributed to its own
+// connection rather than to an outage of the service. Upstreams' entries then
+// have not expired because of an outage.
 const minLogReachableFor = 4 * time.Second
 
 // onPlannerFollowed handles a successful call to the planner or its relay,
 // whose replica replaces this host's failed reads. If the log service has not
 // failed the planner, missing upstreams have left, even if this host saw no
-// failure: after a cut, a host sent requests to upstreams that had left 10 s
-// before.
+// failure. Without this, a host that reconnects after a network partition sends
+// requests to upstreams that left 10 s before.
 func (c *controller) onPlannerFollowed(logReachableFor time.Duration) {
 	for s := range c.streamLostSince {
 		c.onStreamResult(s, nil)
@@ -363,8 +368,8 @@
 	}
 }
 
-// resign releases the planner lease, so that another host becomes planner at
-// once and not only when the lease expires.
+// resign has the planner give up the lease, so that another host becomes the
+// planner at once and not only when the lease expires.
 func (c *controller) resign(ctx context.Context) {
 	c.post(ctx, func() {
 		c.planner.Resign()
--- a/internal/entryhost/crash_test.go
+++ b/internal/entryhost/crash_test.go
@@ -18,7 +18,7 @@
 	// sent later than settleTime after the third crash.
 	maxLateAttempts = 3
 	// observationTime is how long tests count these attempts. Each time the key's owner
-	// crashes, the key has a new owner within maxHandover.
+	// crashes, the key has a new owner within maxFailover.
 	observationTime = 5 * maxFailover
 	// callInterval is the pause between the requests of one caller.
 	callInterval = 50 * time.Millisecond
@@ -26,11 +26,12 @@
 	testKey = 28264
 )
 
-// A request that crashes its server is sent again by its callers, on other hosts and
-// under new request IDs, and crashes the next owner of its key. It crashed seven
-// servers in a row, four of them after the first three, and a range of keys was
-// unserved for seconds each time. Hosts must recognize it by the fingerprint that its
-// broken sends have in common, though each has another request ID.
+// A request that crashes its server is retried by its callers, on other hosts and
+// under new request IDs, and crashes the next owner of its key. If hosts don't
+// recognize it, it can crash seven servers in a row, four of them after the first
+// three, and a range of keys is unserved for seconds each time. Hosts must recognize
+// it by the fingerprint that its broken sends have in common, though each has another
+// request ID.
 func TestCrashingRequestIsSentToFewServers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
@@ -74,7 +75,7 @@
 	}
 }
 
-// waitPathServed waits until every host answers a request with 200.
+// waitPathServed waits until every host answers a request for the path with 200.
 func (f *testFleet) waitPathServed(route, path string, within time.Duration) {
 	f.t.Helper()
 	start := time.Now()
@@ -85,7 +86,7 @@
 				break
 			}
 			if time.Since(start) > within {
-				f.t.Fatalf("%s is not answered through %s after %v: %d %s", path, h.cfg.Host, time.Since(start), status, body)
+				f.t.Fatalf("%s is not served through %s after %v: %d %s", path, h.cfg.Host, time.Since(start), status, body)
 			}
 			time.Sleep(callInterval)
 		}
@@ -114,10 +115,10 @@
 }
 
 // All servers of a service lose power at the same moment, each while it runs a page
-// that most callers request, and are back a second later. The page was refused for a
-// day: three crashes counted against its fingerprint, and nothing was sent any more
-// that could have succeeded. After this and other correlated failures, every host
-// must serve the page again within maxRecoveryTime.
+// that most callers request, and are back a second later. If these crashes count
+// against the page's fingerprint, hosts refuse the page for a day, and send nothing
+// that could show that it is harmless. After this and other correlated failures,
+// every host must serve the page again within maxRecoveryTime.
 func TestPopularPageIsServedAfterCorrelatedFailures(t *testing.T) {
 	crashAll := func(f *testFleet, ups []*rangeowner.Upstream) {
 		for _, u := range ups {
@@ -128,13 +129,13 @@
 		"all at once":  crashAll,
 		"half of them": func(f *testFleet, ups []*rangeowner.Upstream) { crashAll(f, ups[:len(ups)/2]) },
 		"one by one":   func(f *testFleet, ups []*rangeowner.Upstream) { f.crashOneByOne("plain", ups) },
-		"log away": func(f *testFleet, ups []*rangeowner.Upstream) {
+		"during log outage": func(f *testFleet, ups []*rangeowner.Upstream) {
 			f.log.SetDown(true)
 			crashAll(f, ups)
 			time.Sleep(entryExpiryDelay + restartDelay)
 			f.log.SetDown(false)
 		},
-		"hosts restarted": func(f *testFleet, ups []*rangeowner.Upstream) {
+		"hosts replaced": func(f *testFleet, ups []*rangeowner.Upstream) {
 			crashAll(f, ups)
 			time.Sleep(entryExpiryDelay)
 			f.stopHosts()
@@ -195,13 +196,13 @@
 }
 
 // maxRecoveryTime is the longest time from correlated failures until callers are
-// served again: a fingerprint that is refused because of them is tried again once
-// in ten seconds.
+// served again. The first trial request with a fingerprint that is refused because of
+// them is sent ten seconds after the last crash.
 const maxRecoveryTime = 12 * time.Second
 
 // A request has crashed three servers. Then all hosts are replaced by new ones,
 // which have seen none of the crashes. The new hosts must learn of them from the
-// log: within settleTime they must refuse the request, and answer others.
+// log: within settleTime they must refuse the request, and serve others.
 func TestNewHostsRefuseKnownCrashingRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 0)
--- a/internal/entryhost/crashlog.go
+++ b/internal/entryhost/crashlog.go
@@ -85,7 +85,7 @@
 }
 
 // append writes the changes in one call. A change that can't be encoded is left
-// out and stays on this host: with it, the service would reject the whole call.
+// out, so that the others can be written; it has effect on this host only.
 func (l *crashLog) append(ctx context.Context, changes []crashes.Change) error {
 	recs := make([]metastore.Record, 0, len(changes))
 	now := time.Now()
--- a/internal/entryhost/doc.go
+++ b/internal/entryhost/doc.go
@@ -13,12 +13,19 @@
 //
 // # Planner election
 //
-// The log service's group assigns the twelve partitions of a topic to its
-// members. The member with partition 0 holds the planner lease. The group
-// rebalances whenever a member joins or leaves. With fewer members than
-// partitions, some hold two and must give one to a new member, so that the
-// planner could lose its lease to a host that restarted or came back from a cut.
-// Each such loss leaves 0.6 s without a planner and starts a new term. Every
-// host therefore joins as two members in a small fleet: six hosts then have as
-// many members as there are partitions, and no member holds two (elector.go).
+// Hosts elect the planner through a consumer group of the log service
+// (metastore.Store.JoinElection). The service assigns the twelve partitions of
+// the election's topic to the group's members, and the member with partition 0
+// holds the planner lease. The group rebalances whenever a member joins or
+// leaves. With fewer members than partitions, some hold two and must give one to
+// a new member: the planner could then lose its lease to a host that has
+// restarted or reconnected after a network partition. Each such loss leaves the
+// fleet without a planner for 0.6 s and starts a new term. In a small fleet every
+// host therefore joins as two members: six hosts then have as many members as
+// there are partitions, and no member holds two (elector.go).
+//
+// A candidate is a host whose CPU and link suffice for the planner. It seeks the
+// planner lease at once, and may be chosen as a relay. The other hosts seek the
+// lease only while no candidate seems alive, and such a planner gives it up once
+// a candidate follows it.
 package entryhost
--- a/internal/entryhost/evacuate.go
+++ b/internal/entryhost/evacuate.go
@@ -12,13 +12,13 @@
 
 const (
 	// evacuationMargin is how long before the evacuation timeout a host sends
-	// its last request. The host may have read the order up to 1.8 s late, and
-	// a request may then queue for half its latency objective.
+	// its last request. The host may have read the evacuation's record up to
+	// 1.8 s late, and a request may then queue for half its latency objective.
 	evacuationMargin = 2500 * time.Millisecond
 	// assumedColdFor is how long after the end of an evacuation the data
 	// centre's upstreams are treated as cold. They may have restarted
-	// meanwhile, and their entries say so only at their next heartbeat. Given
-	// their usual load at once, cold upstreams crashed.
+	// meanwhile, and their entries say so only at their next heartbeat. Cold
+	// upstreams that get their usual load at once can crash.
 	assumedColdFor = 2 * time.Second
 	// maxEntryDelay is the longest time from the end of an evacuation until an
 	// upstream's entry shows whether it is cold.
@@ -28,10 +28,12 @@
 // evacuations tracks the data centres that operators evacuate, or have
 // evacuated before.
 type evacuations struct {
-	// timeout is the time from the order to the last request.
+	// timeout is the time after the start of an evacuation from which on no
+	// request may reach the data centre.
 	timeout time.Duration
-	// handoverBy is the deadline for the last request to each evacuated data
-	// centre. endedAt is when the evacuation of a data centre ended.
+	// handoverBy is when hosts stop sending requests to each evacuated data
+	// centre; other owners must have its keys by then. endedAt is when the
+	// evacuation of a data centre ended.
 	handoverBy, endedAt map[string]time.Time
 	// entriesRead holds the data centres whose upstreams' entries have been
 	// read since the evacuation ended.
@@ -42,16 +44,16 @@
 	return &evacuations{timeout: timeout, handoverBy: map[string]time.Time{}, endedAt: map[string]time.Time{}, entriesRead: map[string]bool{}}
 }
 
-// begin records an evacuation and reports whether it is new. With
-// orderedEarlier the time of the order is unknown, because the host has just
-// started or had lost the log. The timeout then counts as over.
-func (e *evacuations) begin(dataCentre string, orderedEarlier bool, now time.Time) bool {
+// begin records an evacuation and reports whether it is new. With startUnknown
+// the evacuation may have begun at any time before now; the timeout then counts
+// as expired.
+func (e *evacuations) begin(dataCentre string, startUnknown bool, now time.Time) bool {
 	if _, known := e.handoverBy[dataCentre]; known {
 		return false
 	}
 	delete(e.endedAt, dataCentre)
 	e.handoverBy[dataCentre] = now
-	if !orderedEarlier {
+	if !startUnknown {
 		e.handoverBy[dataCentre] = now.Add(max(e.timeout-evacuationMargin, 0))
 	}
 	return true
@@ -69,12 +71,12 @@
 	return true
 }
 
-// confirmEntriesRead records that all entries written before the time written
-// have been read. It reports whether this changes the state of a data centre
-// whose evacuation has ended.
-func (e *evacuations) confirmEntriesRead(written, now time.Time) (changed bool) {
+// confirmEntriesRead records that all entries written before readUpTo have been
+// read. It reports whether this changes the state of a data centre whose
+// evacuation has ended.
+func (e *evacuations) confirmEntriesRead(readUpTo, now time.Time) (changed bool) {
 	for dc, endedAt := range e.endedAt {
-		if !e.entriesRead[dc] && now.Sub(endedAt) >= assumedColdFor && written.Sub(endedAt) >= maxEntryDelay {
+		if !e.entriesRead[dc] && now.Sub(endedAt) >= assumedColdFor && readUpTo.Sub(endedAt) >= maxEntryDelay {
 			e.entriesRead[dc], changed = true, true
 		}
 	}
@@ -85,13 +87,13 @@
 // slowStart is the duration of its slow start: until its entry has been read
 // after an evacuation, it may be cold for all of that time.
 func (e *evacuations) annotate(u *catalogue.Upstream, slowStart time.Duration) *catalogue.Upstream {
-	leaveBy, evacuated := e.handoverBy[u.DataCentre]
+	handoverBy, evacuated := e.handoverBy[u.DataCentre]
 	endedAt, ended := e.endedAt[u.DataCentre]
 	if !evacuated && !ended {
 		return u
 	}
 	annotated := *u
-	annotated.LeaveBy = leaveBy
+	annotated.LeaveBy = handoverBy
 	coldUntil := endedAt.Add(assumedColdFor)
 	if !e.entriesRead[u.DataCentre] {
 		coldUntil = coldUntil.Add(slowStart)
@@ -102,8 +104,10 @@
 	return &annotated
 }
 
-// applyEvacuations applies the evacuation records among recs. After a reset,
-// the evacuations without a record have ended.
+// applyEvacuations applies the evacuation records among recs. After a reset, the
+// evacuations without a record have ended, and the start of new ones is unknown:
+// this host has just started, or the records since its last read were no longer
+// retained.
 func (c *controller) applyEvacuations(recs []metastore.Record, reset bool) {
 	now := time.Now()
 	changed := false
@@ -130,8 +134,8 @@
 }
 
 // beginEvacuation begins a data centre's evacuation and reports whether it is new.
-func (c *controller) beginEvacuation(dataCentre string, orderedEarlier bool, now time.Time) bool {
-	if !c.evacuations.begin(dataCentre, orderedEarlier, now) {
+func (c *controller) beginEvacuation(dataCentre string, startUnknown bool, now time.Time) bool {
+	if !c.evacuations.begin(dataCentre, startUnknown, now) {
 		return false
 	}
 	c.zl.Info("evacuation of data centre begun", zap.Int("event", events.EvacuationBegun), zap.String("data_centre", dataCentre),
--- a/internal/entryhost/evacuate_test.go
+++ b/internal/entryhost/evacuate_test.go
@@ -48,10 +48,11 @@
 	return unserved
 }
 
-// An operator evacuates a data centre to work on it. Hosts went on sending requests
-// to its upstreams until these were switched off. Later than testEvacuationTimeout no
-// host may send any, not even one that started meanwhile, and other upstreams must
-// serve the keys. Once the evacuation has ended, the data centre must be used again.
+// An operator evacuates a data centre to work on it. Without the evacuation, hosts
+// would send requests to its upstreams until these are switched off. Later than
+// testEvacuationTimeout no request may reach them, not even through a host that
+// started meanwhile, and other upstreams must serve the keys. Once the evacuation has
+// ended, the data centre must be used again.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 4)
@@ -74,7 +75,7 @@
 			t.Errorf("%d requests were not served after the evacuation timeout", unserved)
 		}
 		if n := totalRuns(evacuated) - before; n > 0 {
-			t.Errorf("%d requests reached the data centre later than %v after the evacuation was ordered", n, testEvacuationTimeout)
+			t.Errorf("%d requests reached the data centre later than %v after the start of the evacuation", n, testEvacuationTimeout)
 		}
 		f.log.Put(metastore.StreamDesired, "evacuate/far", nil)
 		f.generateLoad("read.example", 8*time.Second) // owners with little load keep their keys
@@ -93,7 +94,7 @@
 		evacuated := f.addDataCentre("far", 2)
 		f.waitServed(f.hosts[0], startupTimeout)
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
-		time.Sleep(20 * time.Millisecond) // the hosts read the order, but have not moved the keys yet
+		time.Sleep(20 * time.Millisecond) // the hosts read the evacuation's record, but have not moved the keys yet
 		f.log.SetDown(true)
 		time.Sleep(testEvacuationTimeout)
 		before := totalRuns(evacuated)
--- a/internal/entryhost/feedback.go
+++ b/internal/entryhost/feedback.go
@@ -57,8 +57,8 @@
 	}
 	marked := *u
 	marked.ReportedLeaving = true
-	if leaveBy := reportedAt.Add(max(c.drainTimeout-drainMargin, 0)); marked.LeaveBy.IsZero() || leaveBy.Before(marked.LeaveBy) {
-		marked.LeaveBy = leaveBy
+	if handoverBy := reportedAt.Add(max(c.drainTimeout-drainMargin, 0)); marked.LeaveBy.IsZero() || handoverBy.Before(marked.LeaveBy) {
+		marked.LeaveBy = handoverBy
 	}
 	return &marked
 }
@@ -120,8 +120,10 @@
 
 // applyReportedLimits lowers the capacities in load to the rate limits that
 // owners report, and to backoffCapacity for owners that ask for backoff, so
-// that keys move to owners with spare capacity. It marks the owners that were
-// recently limited, to get keys back.
+// that keys move to owners with spare capacity. In load.Refill it marks the
+// owners that have, or recently had, a rate limit or a backoff: they may have
+// lost keys because of it, and rebalancing moves keys back to them while they
+// have little load.
 func applyReportedLimits(load *ownership.Load, owners []*catalogue.Upstream, reports *feedback.Tracker, now time.Time) {
 	capacities := map[string]float64{}
 	load.Refill = map[string]bool{}
--- a/internal/entryhost/fleet_test.go
+++ b/internal/entryhost/fleet_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// An upstream dies. Once its grants have expired, every host must serve its keys
+// An upstream crashes. Once its grants have expired, every host must serve its keys
 // through other upstreams.
 func TestLostUpstreamsKeysAreServedByOthers(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
@@ -68,7 +68,7 @@
 	})
 }
 
-// The planner's host is stopped as planned. It must report unready at once and
+// The planner's host is shut down gracefully. It must report unready at once and
 // answer the requests in flight. Another host must take over as the planner
 // without any key being unserved.
 func TestGracefulShutdownOfPlanner(t *testing.T) {
@@ -90,7 +90,7 @@
 		for i := range 20 {
 			wg.Go(func() {
 				if status, body := planner.call("POST", "charge.example", fmt.Sprint("stop-", i), i*3000); status != http.StatusOK {
-					t.Errorf("a request in flight at the stop got %d %s", status, body)
+					t.Errorf("a request in flight at the shutdown got %d %s", status, body)
 				}
 			})
 		}
@@ -98,7 +98,7 @@
 		planner.stop()
 		time.Sleep(20 * time.Millisecond)
 		if planner.ready() {
-			t.Error("host is still ready after the stop signal")
+			t.Error("host is still ready after its shutdown began")
 		}
 		wg.Wait()
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
--- a/internal/entryhost/harness_test.go
+++ b/internal/entryhost/harness_test.go
@@ -158,7 +158,7 @@
 	return f
 }
 
-// stopAll ends the upstreams and stops the hosts.
+// stopAll kills the upstreams and stops the hosts.
 func (f *testFleet) stopAll() {
 	close(f.testEnded)
 	f.background.Wait()
@@ -240,7 +240,7 @@
 	restartDelay = time.Second
 )
 
-// crash ends an upstream. Its entry is deleted after entryExpiryDelay, and its
+// crash kills an upstream. Its entry is deleted after entryExpiryDelay, and its
 // server is back under a new ID after restartDelay.
 func (f *testFleet) crash(service string, u *rangeowner.Upstream) {
 	f.mu.Lock()
@@ -295,7 +295,7 @@
 	f.log.Put(metastore.StreamUpstreams, u.ID, data)
 }
 
-// killUpstream ends an upstream. It receives no grants and no requests any more.
+// killUpstream kills an upstream, which receives no grants and no requests any more.
 func (f *testFleet) killUpstream(u *rangeowner.Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -303,11 +303,10 @@
 	u.Kill()
 }
 
-// nonCandidateCPU is the CPU share (in cores) of a host without the capacity to be
-// the planner or a relay.
+// nonCandidateCPU is the CPU share (in cores) of a host that is no candidate.
 const nonCandidateCPU = candidateMinCPU / 2
 
-// startHost starts a host that can be the planner or a relay.
+// startHost starts a host that is a candidate.
 func (f *testFleet) startHost(name string) *testHost { return f.startHostWithCPU(name, 1) }
 
 // startHostWithCPU starts a host with the given CPU share (in cores).
@@ -325,8 +324,8 @@
 	return h
 }
 
-// isolateHost cuts a host off from callers, the other hosts and the log service,
-// to which it then looks as if it had ended.
+// isolateHost disconnects a host from callers, the other hosts and the log service.
+// To them it then looks as if it had crashed.
 func (f *testFleet) isolateHost(h *testHost) {
 	h.log.partitioned.Store(true)
 	for _, addr := range []string{h.cfg.Listen, h.cfg.ReadyListen, h.cfg.PeerListen, h.cfg.MetricsListen} {
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -37,6 +37,7 @@
 
 // Platform holds the platform adapters that an entry host depends on.
 type Platform struct {
+	// Store is the client of the log service.
 	Store     metastore.Store
 	Decoder   Decoder
 	Granter   Granter
@@ -91,8 +92,8 @@
 	readHeaderTimeout = 5 * time.Second
 	maxHeaderBytes    = 64 << 10
 	housekeepInterval = time.Second
-	// gcPercent is below Go's default of 100: memory is priced, and the extra
-	// collections cost little processor time.
+	// gcPercent is below Go's default of 100: memory use is billed, and the extra
+	// collections cost little CPU time.
 	gcPercent = 50
 	// memoryLimitFraction is the part of the host's memory allowance that is set as
 	// Go's soft memory limit, above which the collector runs more often.
@@ -118,7 +119,8 @@
 	peers     *peer.Client
 	logSyncer *logSyncer
 	fleet     *fleet.Fleet
-	// candidate is set if this host has the capacity to be the planner or a relay.
+	// candidate is set if this host's CPU and link suffice for the planner; see
+	// the package comment.
 	candidate          bool
 	loadSampler        *loadSampler
 	inFlightAggregator *inFlightAggregator
@@ -126,12 +128,13 @@
 	callerServer       *http.Server
 	stopping           atomic.Bool
 	inFlight           atomic.Int64
-	// loggedDroppedLines is the number of dropped log lines already logged.
+	// loggedDroppedLines is the number of dropped lines that logDroppedLines has
+	// logged already.
 	loggedDroppedLines int64
 }
 
-// Run serves until ctx ends or a component fails. The end of ctx is a planned
-// stop: the host reports unready, serves until the platform routes no more
+// Run serves until ctx ends or a component fails. The end of ctx starts a graceful
+// shutdown: the host reports unready, serves until the platform routes no more
 // callers to it, and returns once the requests in flight are answered. Each
 // value from reload replaces the settings that can change at run time.
 func Run(ctx context.Context, cfg *settings.EntryHost, plat Platform, reload <-chan *settings.EntryHost, zl *zap.Logger) error {
@@ -139,7 +142,7 @@
 	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	h := newHost(cfg, plat, zl)
 	var g run.Group
-	// workCtx outlives ctx: the host keeps working until the planned stop is done.
+	// workCtx outlives ctx: the host keeps working until the graceful shutdown is done.
 	workCtx, cancel := context.WithCancel(context.Background())
 	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamReport(workCtx, c) }
 	g.Add(func() error { h.controller.run(workCtx); return nil }, func(error) { cancel() })
@@ -273,8 +276,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// awaitStop waits for the end of ctx and performs the planned stop. It returns
-// nil if workCtx ends first.
+// awaitStop waits for the end of ctx and performs the graceful shutdown. It
+// returns nil if workCtx ends first.
 func (h *host) awaitStop(ctx, workCtx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -299,7 +302,7 @@
 
 // housekeep runs once a housekeepInterval until ctx ends: it updates the limits
 // that depend on the fleet size and discards the state of upstreams that are no
-// longer listed. It also applies reloaded settings.
+// longer in the snapshot. It also applies reloaded settings.
 func (h *host) housekeep(ctx context.Context, reload <-chan *settings.EntryHost) {
 	t := time.NewTicker(housekeepInterval)
 	defer t.Stop()
@@ -316,11 +319,11 @@
 			hosts := h.fleet.Size(now)
 			h.dispatch.SetHostCount(hosts, h.fleetSizeKnown(now))
 			h.budget.SetLimits(hostBudgetLimits(current, hosts))
-			listed := knownIn(h.views.Load().Upstreams)
-			h.client.Prune(now, listed)
-			h.picker.Prune(listed)
+			known := knownIn(h.views.Load().Upstreams)
+			h.client.Prune(now, known)
+			h.picker.Prune(known)
 			h.picker.MarkSynced(h.controller.replica.CurrentAt(metastore.StreamUpstreams))
-			h.feedback.Prune(listed, now)
+			h.feedback.Prune(known, now)
 			h.dispatch.Prune()
 		}
 	}
@@ -346,7 +349,8 @@
 	h.loggedDroppedLines = total
 }
 
-// knownIn returns a function that reports whether s contains an upstream ID.
+// knownIn returns a function that reports whether s contains an upstream, which
+// for unlistedRetention it also does after the upstream was unlisted.
 func knownIn(s *catalogue.Snapshot) func(id string) bool {
 	return func(id string) bool { return s.ByID[id] != nil }
 }
--- a/internal/entryhost/inflight.go
+++ b/internal/entryhost/inflight.go
@@ -10,8 +10,8 @@
 	"github.com/papayatide/papayatide/internal/inflight"
 )
 
-// ownReportInterval is how often a host that others follow adds its own load
-// statistics.
+// ownStatsInterval is how often a host that others follow adds its own load
+// statistics (balance.LoadStats) to theirs.
 const ownStatsInterval = 200 * time.Millisecond
 
 // inFlightAggregator sums the in-flight requests at upstreams over the hosts of
@@ -29,8 +29,8 @@
 	return &inFlightAggregator{host: host, dataCentre: dataCentre, picker: picker, aggregator: inflight.New(upstreams, time.Now())}
 }
 
-// recordStats records the load statistics of a follower, and every ownReportInterval
-// those of this host. It ignores hosts of other data centres.
+// recordStats records the load statistics of a follower, and every
+// ownStatsInterval those of this host. It ignores hosts of other data centres.
 func (a *inFlightAggregator) recordStats(caller fleet.Host, stats []balance.LoadStats) {
 	if caller.DataCentre != a.dataCentre {
 		return
@@ -43,7 +43,7 @@
 	}
 }
 
-// ownStatsDue reports whether ownReportInterval has passed, and if so starts it anew.
+// ownStatsDue reports whether ownStatsInterval has passed, and if so starts it anew.
 func (a *inFlightAggregator) ownStatsDue(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -54,9 +54,9 @@
 	return true
 }
 
-// othersInFlight returns, for each of the upstreams, what the other hosts of
-// the caller's data centre have in flight. It returns nil for a caller in
-// another data centre.
+// othersInFlight returns, for each of the upstreams, the load of the other hosts
+// of the caller's data centre: their requests in flight and the work time of a
+// request. It returns nil for a caller in another data centre.
 func (a *inFlightAggregator) othersInFlight(caller fleet.Host, ids []string) []balance.PeerLoad {
 	if caller.DataCentre != a.dataCentre {
 		return nil
--- a/internal/entryhost/loadsampler.go
+++ b/internal/entryhost/loadsampler.go
@@ -13,19 +13,20 @@
 	"github.com/papayatide/papayatide/internal/relay"
 )
 
-// maxReportSamples bounds the samples per service in one load report. Above it,
+// maxSummarySamples bounds the samples per service in one load summary. Above it,
 // requests are sampled at random.
 const maxSummarySamples = 512
 
 // loadSampler collects samples of callers' requests to keyed services for the
-// next load report. It is safe for concurrent use.
+// next load summary, the peer.ServiceLoads that a host sends to the planner or
+// its relay. It is safe for concurrent use.
 type loadSampler struct {
 	mu        sync.Mutex
 	byService map[string]*serviceReservoir
 }
 
-// serviceReservoir is a random sample of a service's requests. requests is the
-// number of requests it represents.
+// serviceReservoir holds random samples of a service's requests. requests is the
+// number of requests that they represent.
 type serviceReservoir struct {
 	samples  []keyload.Sample
 	requests float64
@@ -38,59 +39,59 @@
 	if e.Key < 0 || e.Service == "" {
 		return
 	}
-	request := keyload.Sample{Key: e.Key}
+	sample := keyload.Sample{Key: e.Key}
 	if e.Refusal == nil {
-		request.Upstream, request.Latency = e.Upstream, e.UpstreamTime
+		sample.Upstream, sample.Latency = e.Upstream, e.UpstreamTime
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reservoirFor(e.Service).add(request, 1)
+	s.reservoirFor(e.Service).add(sample, 1)
 }
 
-// merge adds the load reports of this host's followers.
+// merge adds load summaries of this host's followers.
 func (s *loadSampler) merge(loads []peer.ServiceLoad) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range loads {
-		sample := s.reservoirFor(l.Service)
-		for _, request := range l.Samples {
-			sample.add(request, l.Weight)
+		reservoir := s.reservoirFor(l.Service)
+		for _, sample := range l.Samples {
+			reservoir.add(sample, l.Weight)
 		}
 	}
 }
 
-// reservoirFor returns the sample of a service and creates it if needed. The
+// reservoirFor returns the reservoir of a service and creates it if needed. The
 // caller holds mu.
 func (s *loadSampler) reservoirFor(service string) *serviceReservoir {
-	sample := s.byService[service]
-	if sample == nil {
-		sample = &serviceReservoir{}
-		s.byService[service] = sample
+	reservoir := s.byService[service]
+	if reservoir == nil {
+		reservoir = &serviceReservoir{}
+		s.byService[service] = reservoir
 	}
-	return sample
+	return reservoir
 }
 
-// add adds a request that represents weight requests. Once there are
-// maxReportSamples, it replaces a random one, with a probability that gives
+// add adds a sample that represents weight requests. Once there are
+// maxSummarySamples, it replaces a random one, with a probability that gives
 // every request the same chance to be kept (reservoir sampling).
-func (s *serviceReservoir) add(request keyload.Sample, weight float64) {
+func (s *serviceReservoir) add(sample keyload.Sample, weight float64) {
 	s.requests += weight
 	if len(s.samples) < maxSummarySamples {
-		s.samples = append(s.samples, request)
+		s.samples = append(s.samples, sample)
 		return
 	}
 	if rand.Float64()*s.requests < maxSummarySamples*weight {
-		s.samples[rand.IntN(maxSummarySamples)] = request
+		s.samples[rand.IntN(maxSummarySamples)] = sample
 	}
 }
 
-// take returns the collected load and starts a new collection.
+// take returns the load summary and starts a new one.
 func (s *loadSampler) take() []peer.ServiceLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var loads []peer.ServiceLoad
-	for service, sample := range s.byService {
-		loads = append(loads, peer.ServiceLoad{Service: service, Weight: sample.requests / float64(len(sample.samples)), Samples: sample.samples})
+	for service, reservoir := range s.byService {
+		loads = append(loads, peer.ServiceLoad{Service: service, Weight: reservoir.requests / float64(len(reservoir.samples)), Samples: reservoir.samples})
 	}
 	clear(s.byService)
 	return loads
@@ -107,8 +108,8 @@
 	return ""
 }
 
-// receiveKeyLoads handles load reports of followers. The planner uses them; a
-// relay merges them into its own report.
+// receiveKeyLoads handles the load summary of a follower. The planner uses it; a
+// relay merges it into its own.
 func (h *host) receiveKeyLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if h.controller.isPlanner.Load() {
 		h.addKeyLoads(ctx, loads)
@@ -117,7 +118,7 @@
 	h.loadSampler.merge(loads)
 }
 
-// addKeyLoads adds load reports to the planner's load estimate.
+// addKeyLoads adds a load summary to the planner's load estimate.
 func (h *host) addKeyLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if len(loads) == 0 {
 		return
--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -19,8 +19,8 @@
 
 const (
 	// followWait is how long a call to the planner waits for new records. Each
-	// call also reports load, and the planner must react within a second to a
-	// burst on a few keys.
+	// call also carries a load summary, and the planner must react within a
+	// second to a burst on a few keys.
 	followWait = 300 * time.Millisecond
 	// followTimeout bounds such a call. A planner that does not answer in time
 	// counts as lost, and the host reads the log service directly.
@@ -42,22 +42,25 @@
 	// all streams directly, unless it finds the planner again. It leaves 0.5 s
 	// to catch up.
 	directReadAge = 1500 * time.Millisecond
-	// defaultDiscoveryTimeout is how long a host that is no candidate and has read
-	// nothing yet looks for a planner before it reads all streams directly. An
-	// existing planner answers within 0.1 s, and without one callers wait. A
+	// defaultDiscoveryTimeout is how long a host that is no candidate and has
+	// read nothing yet looks for a planner before it reads all streams directly.
+	// An existing planner answers within 0.1 s, and without one callers wait. A
 	// candidate reads at once, because it may have to be the planner.
 	defaultDiscoveryTimeout = 300 * time.Millisecond
-	// firstStartDiscoveryTimeout replaces it at the fleet's first start: there
-	// are no callers yet, and a planner takes one or two seconds to appear.
+	// firstStartDiscoveryTimeout replaces defaultDiscoveryTimeout at the fleet's
+	// first start: there are no callers yet, and a planner takes one or two
+	// seconds to appear. At every start it is also the delay of the crash
+	// stream's first direct read; see crashReadStartDelay.
 	firstStartDiscoveryTimeout = 3 * time.Second
 	// plannerRetryInterval is the pause between calls while no planner is
 	// known, this host is the planner, or the planner does not answer.
 	plannerRetryInterval = 150 * time.Millisecond
 	// While the followed host's replica is too old, the log service usually
-	// fails all hosts. A host that is no candidate first tries one read, as it
-	// may be the only one served. Afterwards all such hosts together make
-	// fleetAttemptsPerSecond reads a second, or each one per maxAttemptInterval
-	// on average if that is more.
+	// fails all hosts. A host that is no candidate then only probes it with
+	// single reads. It sends the first one at once, because the service may
+	// still answer this host. Afterwards all such hosts together send
+	// fleetProbesPerSecond, or each one per maxProbeInterval on average if that
+	// is more.
 	fleetProbesPerSecond = 10
 	maxProbeInterval     = 2500 * time.Millisecond
 )
@@ -86,8 +89,9 @@
 	// plannerAddr returns the planner's peer address (host:port). It is empty
 	// if no planner is known or it is this host.
 	plannerAddr func() string
-	// takeKeyLoads returns the load to report and resets it. applyLoads processes
-	// it locally if this host is the planner or knows none.
+	// takeKeyLoads returns the load summary to send and starts a new one.
+	// applyKeyLoads processes it locally if this host is the planner or knows
+	// none.
 	takeKeyLoads  func() []peer.ServiceLoad
 	applyKeyLoads func([]peer.ServiceLoad)
 	// apply updates this host's state, replica included, from a batch.
@@ -95,13 +99,15 @@
 	// onPlannerFollowed is called after a successful call, with the time for
 	// which the planner has reached the log service without failure.
 	onPlannerFollowed func(logReachableFor time.Duration)
-	// onFollowFailed is called after a failed call, onCandidateSeen while the
-	// followed host answers with too old a replica or none.
+	// onFollowFailed is called after a failed call, also one to a relay or to a
+	// host that answered without a replica. onStaleReplica is called on a host
+	// that is no candidate while the followed host answers with too old a replica
+	// or none.
 	onFollowFailed, onStaleReplica func()
 	zl                             *zap.Logger
 
-	// discoveryTimeout is how long a host that is no candidate looks for a
-	// planner before it reads all streams directly.
+	// discoveryTimeout is defaultDiscoveryTimeout, or at the fleet's first start
+	// firstStartDiscoveryTimeout.
 	discoveryTimeout time.Duration
 	// startedAt is when run began, lastFollowFailed whether the last call
 	// failed.
@@ -110,8 +116,8 @@
 	// followedReplicaStale is set while the followed host answers that its
 	// replica is too old, or that it has none.
 	followedReplicaStale bool
-	// probes schedules this host's single reads while followedReplicaStale is
-	// set.
+	// probes schedules this host's probes of the log service while
+	// followedReplicaStale is set.
 	probes readProbes
 	// wasPlanner is the result of isPlanner at the last iteration of run.
 	wasPlanner bool
@@ -156,9 +162,10 @@
 	s.stopDirectReads()
 }
 
-// updateDirectReads starts direct reads where this host should read the log service.
-// While the followed host's replica is stale, a host that is no candidate reads
-// only after a single attempt has succeeded, and stops when a read fails.
+// updateDirectReads starts or stops the stream readers, or starts a single read
+// (a probe), while this host follows none. While the followed host's replica is
+// stale, a host that is no candidate runs its readers only after a probe has
+// succeeded, and stops them when a read fails.
 func (s *logSyncer) updateDirectReads(ctx context.Context) {
 	if s.self().Candidate || s.isPlanner() || !s.followedReplicaStale || s.replica.NextOffset(metastore.StreamDesired) < 0 {
 		s.startDirectReads(ctx)
@@ -172,7 +179,7 @@
 		s.startDirectReads(ctx) // reads the other streams too once they are too old
 		return
 	}
-	s.onStaleReplica() // the host that answered is a candidate, though its replica is stale
+	s.onStaleReplica() // the relay or planner is alive, so this host does not seek the lease
 	switch s.probes.next(time.Now(), s.fleet.Size(time.Now())) {
 	case probeNow:
 		go func() { s.probes.finish(s.otherReaders[probeReaderIndex].readOnce(ctx)) }()
@@ -301,9 +308,9 @@
 	s.wasPlanner = planning
 }
 
-// startDirectReads starts reading the ownership stream, because it names the
-// planner, and the other streams if shouldReadOtherStreams. It is called again
-// while following fails.
+// startDirectReads starts the reader of the ownership stream, which names the
+// planner, and the other readers if shouldReadOtherStreams, unless they run
+// already. It is called again while following fails.
 func (s *logSyncer) startDirectReads(ctx context.Context) {
 	if s.directReadCtx == nil {
 		s.directReadCtx, s.cancelDirectReads = context.WithCancel(ctx)
@@ -321,9 +328,9 @@
 }
 
 // shouldReadOtherStreams reports whether the streams other than ownership must
-// be read directly. After a change of planner most hosts find the new one
-// before that, so that the change costs one or two calls per host instead of
-// six.
+// be read directly. After a change of planner most hosts find the new one before
+// their replica is older than directReadAge, so that the change costs one or two
+// calls per host instead of six.
 func (s *logSyncer) shouldReadOtherStreams(now time.Time) bool {
 	switch {
 	case s.isPlanner() || s.self().Candidate:
--- a/internal/entryhost/logsyncer_test.go
+++ b/internal/entryhost/logsyncer_test.go
@@ -14,10 +14,10 @@
 // within maxLag.
 func TestReplicaTimeoutsStayWithinMaxLag(t *testing.T) {
 	for name, age := range map[string]time.Duration{
-		"planner":             maxReplicaAge + followTimeout,
-		"relay":               maxRelayedReplicaAge + relayFollowTimeout,
-		"planner not found":   directReadAge + plannerRetryInterval,
-		"log read by the way": defaultLongPoll,
+		"planner":                          maxReplicaAge + followTimeout,
+		"relay":                            maxRelayedReplicaAge + relayFollowTimeout,
+		"planner not found":                directReadAge + plannerRetryInterval,
+		"direct read waiting for a record": defaultLongPoll,
 	} {
 		if age >= maxLag {
 			t.Errorf("%s: a host's replica may be %v old", name, age)
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -21,8 +21,8 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// newMixedFleet starts three candidates, which can be the planner or a relay, and
-// the given number of hosts that can't.
+// newMixedFleet starts three candidates and the given number of hosts that are none:
+// they seek the planner lease only while no candidate seems alive.
 func newMixedFleet(t *testing.T, nonCandidates int) *testFleet {
 	t.Helper()
 	f := newFleet(t, 3, 3)
@@ -135,10 +135,11 @@
 // readTimeoutSlack is how much longer than its wait a read may take.
 const readTimeoutSlack = 1500 * time.Millisecond
 
-// A host is cut off from the log service: its calls hang. An upstream leaves meanwhile.
-// The host went on sending it requests for more than 3 s after the end of the cut: a
-// read begun during the cut delayed the next one by 1.5 s, and upstreams with missing
-// entries stay in use for 2 s. Both must be over within those 3 s.
+// A network partition separates a host from the log service: its calls hang. An
+// upstream leaves meanwhile. If a read begun during the partition delays the next one
+// by 1.5 s, the host sends the upstream requests for more than 3 s after the
+// partition's end, because upstreams with missing entries stay in use for 2 s. Both
+// must be over within those 3 s.
 func TestLeavingUpstreamIsKnownInTimeAfterACut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 20 {
@@ -160,7 +161,7 @@
 			log.partitioned.Store(false)
 			time.Sleep(settleTime)
 			if u := views.Load().Upstreams.ByID["u"]; u != nil && !u.Leaving {
-				t.Errorf("%v after the end of the cut the upstream is not marked as leaving", settleTime)
+				t.Errorf("%v after the end of the partition the upstream is not marked as leaving", settleTime)
 			}
 			cancel()
 			synctest.Wait()
--- a/internal/entryhost/readprobes.go
+++ b/internal/entryhost/readprobes.go
@@ -6,78 +6,80 @@
 	"time"
 )
 
-// attemptStreamIndex is the index of the upstream stream's reader, which makes
-// the attempts, among the other readers that newStreamReaders returns.
+// probeReaderIndex is the index of the upstreams stream's reader, which sends the
+// probes, among the other readers that newStreamReaders returns.
 const probeReaderIndex = 1
 
-// probeDecision is what a host whose followed host has a stale replica does
-// next.
+// probeDecision is what a host does next while the followed host's replica is
+// stale.
 type probeDecision int
 
 const (
 	probeLater   probeDecision = iota // wait
-	probeNow                          // make one read
-	startReaders                      // an attempt succeeded: start the readers
+	probeNow                          // send one probe
+	startReaders                      // a probe has succeeded: start the stream readers
 )
 
-// readProbes schedules a host's single reads of the log service while the
-// followed host's replica is stale. It is safe for concurrent use.
+// readProbes schedules a host's probes while the followed host's replica is
+// stale: single reads that test whether the log service answers this host. It is
+// safe for concurrent use.
 type readProbes struct {
 	mu sync.Mutex
-	// inFlight is set while an attempt is running, succeeded once one has
-	// succeeded.
+	// inFlight is set while a probe is in flight. succeeded is set from a
+	// successful probe until next returns startReaders for it, or reset is called.
 	inFlight, succeeded bool
-	// nextAt is the time of the next attempt; zero before the first.
+	// nextAt is the time of the next probe; zero before the first.
 	nextAt time.Time
-	// failedAt is when an attempt, or a read by a running reader, last failed.
+	// failedAt is when a probe, or a read by a running stream reader, last failed.
 	failedAt time.Time
 }
 
 // next returns what to do now in a fleet of the given number of hosts. On
-// attemptNow the caller must call finish.
-func (a *readProbes) next(now time.Time, hosts int) probeDecision {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// probeNow the caller must send a probe and call finish with its result.
+func (p *readProbes) next(now time.Time, hosts int) probeDecision {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	switch {
-	case a.succeeded:
-		a.succeeded = false
+	case p.succeeded:
+		p.succeeded = false
 		return startReaders
-	case a.inFlight || now.Before(a.nextAt):
+	case p.inFlight || now.Before(p.nextAt):
 		return probeLater
 	}
 	interval := min(time.Duration(hosts)*time.Second/fleetProbesPerSecond, maxProbeInterval)
-	a.nextAt = now.Add(interval/2 + rand.N(interval+1))
-	a.inFlight = true
+	p.nextAt = now.Add(interval/2 + rand.N(interval+1))
+	p.inFlight = true
 	return probeNow
 }
 
-// finish records the result of an attempt.
-func (a *readProbes) finish(err error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.inFlight, a.succeeded = false, err == nil
+// finish records the result of a probe.
+func (p *readProbes) finish(err error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.inFlight, p.succeeded = false, err == nil
 	if err != nil {
-		a.failedAt = time.Now()
+		p.failedAt = time.Now()
 	}
 }
 
-// recordFailure records that a running reader's read failed.
-func (a *readProbes) recordFailure() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.failedAt = time.Now()
+// recordFailure records that a read by a running stream reader failed.
+func (p *readProbes) recordFailure() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.failedAt = time.Now()
 }
 
-// failedSince reports whether a read has failed after the given time.
-func (a *readProbes) failedSince(at time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.failedAt.After(at)
+// failedSince reports whether a probe or another read has failed after the given
+// time.
+func (p *readProbes) failedSince(at time.Time) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.failedAt.After(at)
 }
 
 // reset records that the followed host's replica is recent again.
-func (a *readProbes) reset() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.succeeded, a.nextAt = false, time.Time{}
+func (p *readProbes) reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.succeeded, p.nextAt = false, time.Time{}
 }
--- a/internal/entryhost/records.go
+++ b/internal/entryhost/records.go
@@ -90,22 +90,22 @@
 	}
 }
 
-// applyDeltas applies deltas to this host's ownership tables. If one does not
-// apply, none is applied and the host requests full tables.
+// applyDeltas applies the deltas of a batch to this host's ownership tables. If
+// one does not apply, none is applied and the host requests full tables.
 func (c *controller) applyDeltas(b relay.Batch) {
 	if b.NextOffset <= c.replica.NextOffset(b.Stream) {
 		return // already read from the log service
 	}
 	tables := map[int64]*ownership.Table{}
-	for _, change := range b.Changes {
-		t, err := c.applyDelta(change)
+	for _, encoded := range b.Changes {
+		t, err := c.applyDelta(encoded)
 		if err != nil {
 			c.zl.Info("ownership delta does not apply; requesting full tables", zap.Int("event", events.OwnershipChangeRejected),
-				zap.String("service", change.Key), zap.Int64("offset", change.Offset), ErrorField(err))
+				zap.String("service", encoded.Key), zap.Int64("offset", encoded.Offset), ErrorField(err))
 			c.replica.RequestFullTables()
 			return
 		}
-		tables[change.Offset] = t
+		tables[encoded.Offset] = t
 	}
 	if !c.replica.ApplyTables(b.NextOffset, tables) {
 		return
@@ -116,14 +116,14 @@
 	}
 }
 
-// applyDelta returns the table that results from applying a delta to the
-// current one.
-func (c *controller) applyDelta(change relay.Change) (*ownership.Table, error) {
-	delta, err := ownership.DecodeDelta(change.Data)
+// applyDelta returns the table that results from applying an encoded delta to
+// the current one.
+func (c *controller) applyDelta(encoded relay.Change) (*ownership.Table, error) {
+	delta, err := ownership.DecodeDelta(encoded.Data)
 	if err != nil {
 		return nil, err
 	}
-	return delta.Apply(c.views.Load().Tables[change.Key])
+	return delta.Apply(c.views.Load().Tables[encoded.Key])
 }
 
 // adoptTable publishes t, unless the current table of its service is as new.
@@ -147,8 +147,9 @@
 		zap.String("cause", t.Cause))
 }
 
-// applyUpstreams applies upstream records. After a reset, known servers without
-// a record are missing.
+// applyUpstreams applies records of the upstreams stream, in which the newest
+// record of a server is its entry. After a reset, known servers without an entry
+// are missing.
 func (c *controller) applyUpstreams(recs []metastore.Record, reset bool) {
 	now := time.Now()
 	listed := map[string]bool{}
@@ -191,8 +192,8 @@
 	c.rejectionLoggedAt, c.rejectionsUnlogged = now, 0
 }
 
-// missingGraceUntil returns the time until which an upstream that is missing
-// now does not count as gone. It is in the past unless the log service fails or
+// missingGraceUntil returns the time until which an upstream whose entry is
+// missing now is not unlisted. It is in the past unless the log service fails or
 // has recently recovered.
 func (c *controller) missingGraceUntil(now time.Time) time.Time {
 	if _, lost := c.streamLostSince[metastore.StreamUpstreams]; lost {
@@ -201,7 +202,7 @@
 	return c.logRecoveredAt.Add(relistGracePeriod)
 }
 
-// publishUpstreams publishes the registered upstreams, with the effects of
+// publishUpstreams publishes the registry's upstreams, with the effects of
 // evacuations and of their own reports.
 func (c *controller) publishUpstreams() {
 	upstreams := c.registry.snapshot(func(u *catalogue.Upstream) *catalogue.Upstream {
--- a/internal/entryhost/registry.go
+++ b/internal/entryhost/registry.go
@@ -13,13 +13,14 @@
 	// relistGracePeriod is how long after an outage of the log service
 	// upstreams may take to renew entries that expired during it.
 	relistGracePeriod = 2 * time.Second
-	// unlistedRetention is how long an upstream that is no longer listed is
-	// kept, as leaving, so that its keys can be released.
+	// unlistedRetention is how long an unlisted upstream is kept, as leaving, so
+	// that its keys can be released.
 	unlistedRetention = 20 * time.Second
 )
 
-// upstreamRegistry tracks the upstreams that have an entry in the log, and
-// those whose entry has disappeared.
+// upstreamRegistry tracks the upstreams that have an entry in the log, and those
+// whose entry has disappeared. An upstream's entry is the newest record of its
+// server in the upstreams stream.
 type upstreamRegistry struct {
 	zl        *zap.Logger
 	upstreams map[string]*catalogue.Upstream
@@ -27,9 +28,9 @@
 	// by server ID. The log has one entry per server, which a new incarnation
 	// replaces.
 	incarnations map[string]string
-	// unlisted holds the time at which an upstream was considered gone.
-	// suspects holds the time at which an upstream will be, whose entry may
-	// have expired because of an outage. Both are by upstream ID.
+	// unlisted holds when each upstream was unlisted. suspects holds when an
+	// upstream will be unlisted whose entry may have expired because of an
+	// outage. Both are by upstream ID.
 	unlisted map[string]time.Time
 	suspects map[string]time.Time
 }
@@ -103,7 +104,7 @@
 	}
 }
 
-// unlist marks an upstream as leaving and no longer listed.
+// unlist marks an upstream as leaving and unlisted: it has no entry any more.
 func (r *upstreamRegistry) unlist(id string, now time.Time) {
 	u := *r.upstreams[id]
 	u.Leaving, u.Unlisted = true, true
--- a/internal/entryhost/registry_test.go
+++ b/internal/entryhost/registry_test.go
@@ -72,8 +72,8 @@
 }
 
 // An upstream that was unlisted before an outage is still missing from the list read
-// after it. It must not become a suspect: it was forgotten before the suspicion
-// ended, and the host crashed when it tried to unlist it.
+// after it. It must not become a suspect: it would be forgotten before its grace
+// period ends, and the host would crash when it tries to unlist it.
 func TestUnlistedUpstreamIsNotSuspectedAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := newUpstreamRegistry(zap.NewNop())
@@ -87,10 +87,10 @@
 	wantState(t, r, "u1", "unknown")
 }
 
-// A host was cut off from the log service, which worked all the time. Upstreams
-// that left meanwhile are missing from the list read then, but the host can't tell
-// whether their entries expired in an outage. It must mark them as leaving once the
-// planner reports that it reached the service without failure.
+// A network partition separated a host from the log service, which worked all the
+// time. Upstreams that left meanwhile are missing from the list read afterwards, but
+// the host can't tell whether their entries expired in an outage. It must mark them as
+// leaving once the planner reports that it reached the service without failure.
 func TestPartitionedHostUsesPlannersLogStatus(t *testing.T) {
 	log := memstore.New()
 	views := view.NewPublisher()
@@ -112,8 +112,8 @@
 	}
 }
 
-// A host regains one stream after it was cut off, and the list of upstreams half a
-// second later. The grace period for expired entries must start with the first
+// After a network partition a host can read one stream again, and the list of
+// upstreams half a second later. The grace period for expired entries must start with the first
 // stream, because it proves that the log service is back.
 func TestRelistGracePeriodStartsAtFirstRecoveredStream(t *testing.T) {
 	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
--- a/internal/entryhost/slowstart_test.go
+++ b/internal/entryhost/slowstart_test.go
@@ -43,14 +43,15 @@
 }
 
 // Upstreams restart one after the other, cold and idle, so that every host prefers
-// them. A cold upstream then got several times the rate that it can serve, and crashed
-// with the requests that it was running. All hosts together must stay within its
-// capacity, with and without keys, and also if all upstreams of the service are cold.
+// them. Without a limit on all of them together, a cold upstream gets several times the
+// rate that it can serve, and crashes with the requests that it runs. All hosts together must stay
+// within its capacity, with and without keys, and also if all upstreams of the
+// service are cold.
 func TestColdUpstreamStaysWithinCapacity(t *testing.T) {
 	const coldFor = 3 * time.Second
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
 		for _, warm := range []int{3, 0} {
-			t.Run(fmt.Sprint(c.service, " beside ", warm), func(t *testing.T) {
+			t.Run(fmt.Sprint(c.service, ", warm upstreams: ", warm), func(t *testing.T) {
 				runFleetTest(t, func(t *testing.T) {
 					f := newFleet(t, 8, 0)
 					for i := range warm {
@@ -113,9 +114,9 @@
 	})
 }
 
-// A server ends during an outage of the log service and restarts under its ID. It is
-// cold, but its entry can't be read. Hosts must not send it as much as its earlier
-// incarnation got, not even those that did not see it end.
+// A server crashes during an outage of the log service and restarts under its ID. It
+// is cold, but its entry can't be read. Hosts must not send it as much as its earlier
+// incarnation got, not even those that did not notice the crash.
 func TestRestartedServerIsColdDuringLogOutage(t *testing.T) {
 	for _, c := range []struct {
 		service, route string
--- a/internal/entryhost/status.go
+++ b/internal/entryhost/status.go
@@ -12,8 +12,9 @@
 // maxOwnershipChanges bounds the ownership changes that a host remembers.
 const maxOwnershipChanges = 32
 
-// ownershipChange summarizes an adopted ownership table. It does not keep the
-// table: thirty of them take two megabytes on a large fleet.
+// ownershipChange summarizes an adopted ownership table. The history does not
+// keep the tables themselves: in a large fleet, maxOwnershipChanges of them take
+// some two megabytes.
 type ownershipChange struct {
 	at             time.Time
 	service, cause string
--- a/internal/entryhost/streamreader.go
+++ b/internal/entryhost/streamreader.go
@@ -12,40 +12,44 @@
 )
 
 const (
-	// plannerLongPoll is how long a read by the planner or a candidate waits
-	// for a record. Each read that returns proves the replica current, and all
-	// hosts follow the planner's, so the wait is short. At 0.7 s two streams
-	// cost 2.9 calls a second for the whole fleet.
+	// plannerLongPoll is the longest time that a read by the planner or a
+	// candidate waits for a record; see longPollWait. Each read that returns
+	// proves the replica current, and all hosts follow the planner's, so the wait
+	// is short. While no records arrive, the planner's reads of the desired and
+	// upstreams streams cost the log service 2.9 calls a second; a shorter wait
+	// would cost more.
 	plannerLongPoll = 700 * time.Millisecond
 	// skipCheckInterval is how often a skipped stream is checked. Only the
 	// planner skips a stream: ownership, while no other host writes it.
 	skipCheckInterval = 100 * time.Millisecond
-	// defaultLongPoll is how long a read waits on hosts that can't follow the
-	// planner. It bounds how long a record remains unread if the service does
-	// not wake the reader, which happened right after a cut ended.
+	// defaultLongPoll is how long reads by the other hosts wait, and on all hosts
+	// those of the crash stream. It bounds how long a record remains unread if
+	// the service does not wake the reader, which can happen right after the end
+	// of a network partition.
 	defaultLongPoll = 1500 * time.Millisecond
 	// minReadRetryDelay and maxReadRetryDelay bound the backoff after a failed
-	// read. They are short: within 3 s of the end of a cut a host must have
-	// read what it missed, and 2 s of that pass in telling expired entries from
-	// upstreams that have left.
+	// read. They are short: within 3 s of the end of a network partition a host
+	// must have read what it missed, and for 2 s of that (relistGracePeriod) it
+	// can't tell expired entries from upstreams that have left.
 	minReadRetryDelay = 100 * time.Millisecond
 	maxReadRetryDelay = 300 * time.Millisecond
 	// maxProbeWait is how long the other readers wait for the probing reader to
 	// succeed before they retry themselves.
 	maxProbeWait = 2 * time.Second
 	// immediateReadTimeout bounds a read that does not wait for a record.
-	// Without it, a read sent during a cut would delay the next one until 1.5 s
-	// after the cut's end. A slow service answers within 0.3 s.
+	// Without it, a read sent during a network partition would delay the next one
+	// until 1.5 s after the partition's end. A slow service answers within 0.3 s.
 	immediateReadTimeout = 600 * time.Millisecond
-	// plannerUpstreamBatchDelay and upstreamBatchDelayDirect are the delays
-	// after a read of the upstream stream, on the planner and on other readers.
-	// They let a burst cost one read: at a fleet's start every host reads and
-	// every upstream writes, and 91 hosts with the planner's delay made some
-	// 1,800 calls in 2 s.
+	// plannerUpstreamBatchDelay and defaultUpstreamBatchDelay are the delays after
+	// a read of the upstreams stream that returned records, on the planner and on
+	// the other hosts that read the log service. A delay lets a burst of records
+	// cost one read. The other hosts' is longer, because at a fleet's start every
+	// host reads while every upstream writes: with the planner's delay on each,
+	// 91 hosts make some 1,800 calls in 2 s.
 	plannerUpstreamBatchDelay = 150 * time.Millisecond
 	defaultUpstreamBatchDelay = 600 * time.Millisecond
-	// plannerCrashBatchDelay and crashBatchDelayDirect are the same for the
-	// crash stream.
+	// plannerCrashBatchDelay and defaultCrashBatchDelay are the same for the crash
+	// stream; see crashBatchDelay.
 	plannerCrashBatchDelay = 300 * time.Millisecond
 	defaultCrashBatchDelay = 2 * time.Second
 )
@@ -71,14 +75,14 @@
 	// may follow this host's replica, whose age only drops once a read has
 	// returned.
 	firstReadNoWait bool
-	// isProbe is set on the reader that retries without waiting for another
-	// while the service fails.
+	// isProbe is set on the probing reader. While the service fails, it retries
+	// after its backoff alone; the other readers wait until it succeeds.
 	isProbe bool
 	health  *logHealth
 }
 
-// logHealth tells the readers of one host whether the probing reader reaches
-// the log service. While it does not, the others wait.
+// logHealth shows the readers of one host whether the probing reader reaches the
+// log service. While it does not, the others wait.
 type logHealth struct {
 	mu sync.Mutex
 	// recovered is closed when the service answers again; nil while it is
@@ -100,7 +104,7 @@
 }
 
 // awaitRecovery waits until the probing reader succeeds, ctx ends or d has
-// passed. It returns at once if the last probe succeeded.
+// passed. It returns at once if the probing reader's last read succeeded.
 func (h *logHealth) awaitRecovery(ctx context.Context, d time.Duration) {
 	h.mu.Lock()
 	recovered := h.recovered
