--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -179,7 +179,7 @@
 		s.startDirectReads(ctx) // reads the other streams too once they are too old
 		return
 	}
-	s.onStaleReplica() // the relay or planner is alive, so this host does not seek the lease
+	s.onStaleReplica() // the host that answered is alive, so this host does not seek the lease
 	switch s.probes.next(time.Now(), s.fleet.Size(time.Now())) {
 	case probeNow:
 		go func() { s.probes.finish(s.otherReaders[probeReaderIndex].readOnce(ctx)) }()
--- a/internal/entryhost/streamreader.go
+++ b/internal/entryhost/streamreader.go
@@ -15,9 +15,8 @@
 	// plannerLongPoll is the longest time that a read by the planner or a
 	// candidate waits for a record; see longPollWait. Each read that returns
 	// proves the replica current, and all hosts follow the planner's, so the wait
-	// is short. While no records arrive, the planner's reads of the desired and
-	// upstreams streams cost the log service 2.9 calls a second; a shorter wait
-	// would cost more.
+	// is short. While no records arrive, the planner's reads of the two streams
+	// that it must read cost the log service 2.9 calls a second.
 	plannerLongPoll = 700 * time.Millisecond
 	// skipCheckInterval is how often a skipped stream is checked. Only the
 	// planner skips a stream: ownership, while no other host writes it.
@@ -76,7 +75,8 @@
 	// returned.
 	firstReadNoWait bool
 	// isProbe is set on the probing reader. While the service fails, it retries
-	// after its backoff alone; the other readers wait until it succeeds.
+	// after its backoff alone; before a retry the other readers also wait up to
+	// maxProbeWait for it to succeed.
 	isProbe bool
 	health  *logHealth
 }
