--- a/internal/entryhost/crash_test.go
+++ b/internal/entryhost/crash_test.go
@@ -18,19 +18,20 @@
 	// sent later than settleTime after the third crash.
 	maxLateAttempts = 3
 	// observationTime is how long tests count these attempts. Each time the key's owner
-	// crashes, the key has a new owner within maxHandover.
-	observationTime = 5 * maxHandover
+	// crashes, the key has a new owner within maxFailover.
+	observationTime = 5 * maxFailover
 	// callInterval is the pause between the requests of one caller.
 	callInterval = 50 * time.Millisecond
-	// fatalKey is the key of all requests in these tests.
-	fatalKey = 28264
+	// testKey is the key of all requests in these tests.
+	testKey = 28264
 )
 
-// A request that crashes its server is sent again by its callers, on other hosts and
-// under new request IDs, and crashes the next owner of its key. It crashed seven
-// servers in a row, four of them after the first three, and a range of keys was
-// unserved for seconds each time. Hosts must recognize it by the fingerprint that its
-// broken sends have in common, though each has another request ID.
+// A request that crashes its server is retried by its callers, on other hosts and
+// under new request IDs, and crashes the next owner of its key. If hosts don't
+// recognize it, it can crash seven servers in a row, four of them after the first
+// three, and a range of keys is unserved for seconds each time. Hosts must recognize
+// it by the fingerprint that its broken sends have in common, though each has another
+// request ID.
 func TestCrashingRequestIsSentToFewServers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
@@ -40,9 +41,9 @@
 				for i := range 5 {
 					f.addServiceUpstream(c.service, fmt.Sprint(c.service, i))
 				}
-				f.waitAnswered(c.route, "/x", startupTimeout)
+				f.waitPathServed(c.route, "/x", startupTimeout)
 				stop := f.sendFatalRequests(c.route)
-				thirdCrash := f.waitCrashes(3, 6*maxHandover)
+				thirdCrash := f.waitCrashes(3, 6*maxFailover)
 				time.Sleep(time.Until(thirdCrash.Add(settleTime)))
 				before := f.crashCount()
 				time.Sleep(observationTime)
@@ -51,7 +52,7 @@
 				}
 				stop()
 				t.Logf("%d servers crashed in all", f.crashCount())
-				f.waitAnswered(c.route, "/x", maxHandover)
+				f.waitPathServed(c.route, "/x", maxFailover)
 			})
 		})
 	}
@@ -65,7 +66,7 @@
 	f.background.Go(func() {
 		defer close(done)
 		for n := 0; !stopped.Load() && f.sleep(callInterval); n++ {
-			f.hosts[n%len(f.hosts)].callPath("GET", route, fatalPath, fmt.Sprint("fatal-", n), fatalKey)
+			f.hosts[n%len(f.hosts)].callPath("GET", route, fatalPath, fmt.Sprint("fatal-", n), testKey)
 		}
 	})
 	return func() {
@@ -74,18 +75,18 @@
 	}
 }
 
-// waitAnswered waits until every host answers a request with 200.
-func (f *testFleet) waitAnswered(route, path string, within time.Duration) {
+// waitPathServed waits until every host answers a request for the path with 200.
+func (f *testFleet) waitPathServed(route, path string, within time.Duration) {
 	f.t.Helper()
 	start := time.Now()
 	for _, h := range f.hosts {
 		for n := 0; ; n++ {
-			status, body := h.callPath("GET", route, path, fmt.Sprint(h.cfg.Host, "-", start.UnixNano(), "-", n), fatalKey)
+			status, body := h.callPath("GET", route, path, fmt.Sprint(h.cfg.Host, "-", start.UnixNano(), "-", n), testKey)
 			if status == http.StatusOK {
 				break
 			}
 			if time.Since(start) > within {
-				f.t.Fatalf("%s is not answered through %s after %v: %d %s", path, h.cfg.Host, time.Since(start), status, body)
+				f.t.Fatalf("%s is not served through %s after %v: %d %s", path, h.cfg.Host, time.Since(start), status, body)
 			}
 			time.Sleep(callInterval)
 		}
@@ -114,10 +115,10 @@
 }
 
 // All servers of a service lose power at the same moment, each while it runs a page
-// that most callers request, and are back a second later. The page was refused for a
-// day: three crashes counted against its fingerprint, and nothing was sent any more
-// that could have succeeded. After this and other correlated failures, every host
-// must serve the page again within maxRecoveryTime.
+// that most callers request, and are back a second later. If these crashes count
+// against the page's fingerprint, hosts refuse the page for a day, and send nothing
+// that could show that it is harmless. After this and other correlated failures,
+// every host must serve the page again within maxRecoveryTime.
 func TestPopularPageIsServedAfterCorrelatedFailures(t *testing.T) {
 	crashAll := func(f *testFleet, ups []*rangeowner.Upstream) {
 		for _, u := range ups {
@@ -128,13 +129,13 @@
 		"all at once":  crashAll,
 		"half of them": func(f *testFleet, ups []*rangeowner.Upstream) { crashAll(f, ups[:len(ups)/2]) },
 		"one by one":   func(f *testFleet, ups []*rangeowner.Upstream) { f.crashOneByOne("plain", ups) },
-		"log away": func(f *testFleet, ups []*rangeowner.Upstream) {
+		"during log outage": func(f *testFleet, ups []*rangeowner.Upstream) {
 			f.log.SetDown(true)
 			crashAll(f, ups)
 			time.Sleep(entryExpiryDelay + restartDelay)
 			f.log.SetDown(false)
 		},
-		"hosts restarted": func(f *testFleet, ups []*rangeowner.Upstream) {
+		"hosts replaced": func(f *testFleet, ups []*rangeowner.Upstream) {
 			crashAll(f, ups)
 			time.Sleep(entryExpiryDelay)
 			f.stopHosts()
@@ -151,7 +152,7 @@
 				for i := range 8 {
 					ups = append(ups, f.addServiceUpstream("plain", fmt.Sprint("plain", i)))
 				}
-				f.waitAnswered(unkeyedRoute, "/popular", startupTimeout)
+				f.waitPathServed(unkeyedRoute, "/popular", startupTimeout)
 				interval := callInterval
 				if name == "all at once" {
 					interval = 10 * time.Millisecond
@@ -162,7 +163,7 @@
 				time.Sleep(time.Second)
 				fail(f, ups)
 				time.Sleep(entryExpiryDelay + restartDelay + maxRecoveryTime)
-				f.waitAnswered(unkeyedRoute, "/popular", 0)
+				f.waitPathServed(unkeyedRoute, "/popular", 0)
 			})
 		})
 	}
@@ -179,7 +180,7 @@
 				if n%10 == 0 {
 					path = fmt.Sprint("/", c, n)
 				}
-				h.callPath("GET", unkeyedRoute, path, fmt.Sprint(h.cfg.Host, "-", c, "-", n), fatalKey)
+				h.callPath("GET", unkeyedRoute, path, fmt.Sprint(h.cfg.Host, "-", c, "-", n), testKey)
 			}
 		})
 	}
@@ -195,33 +196,33 @@
 }
 
 // maxRecoveryTime is the longest time from correlated failures until callers are
-// served again: a fingerprint that is refused because of them is tried again once
-// in ten seconds.
+// served again. The first trial request with a fingerprint that is refused because of
+// them is sent ten seconds after the last crash.
 const maxRecoveryTime = 12 * time.Second
 
 // A request has crashed three servers. Then all hosts are replaced by new ones,
 // which have seen none of the crashes. The new hosts must learn of them from the
-// log: within settleTime they must refuse the request, and answer others.
+// log: within settleTime they must refuse the request, and serve others.
 func TestNewHostsRefuseKnownCrashingRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 2, 0)
 		for i := range 5 {
 			f.addServiceUpstream("plain", fmt.Sprint("plain", i))
 		}
-		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		f.waitPathServed(unkeyedRoute, "/x", startupTimeout)
 		stop := f.sendFatalRequests(unkeyedRoute)
-		f.waitCrashes(3, maxHandover)
+		f.waitCrashes(3, maxFailover)
 		time.Sleep(settleTime)
 		stop()
 		f.stopHosts()
 		for i := range 2 {
 			f.startHost(fmt.Sprint("new", i))
 		}
-		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		f.waitPathServed(unkeyedRoute, "/x", startupTimeout)
 		time.Sleep(settleTime)
 		before := f.crashCount()
 		for n := range 20 {
-			if status, body := f.hosts[n%2].callPath("GET", unkeyedRoute, fatalPath, fmt.Sprint("again-", n), fatalKey); status != http.StatusServiceUnavailable {
+			if status, body := f.hosts[n%2].callPath("GET", unkeyedRoute, fatalPath, fmt.Sprint("again-", n), testKey); status != http.StatusServiceUnavailable {
 				t.Errorf("%d %s", status, body)
 			}
 		}
@@ -244,7 +245,7 @@
 		for i := range 8 {
 			f.addServiceUpstream("sheets", fmt.Sprint("sheets", i))
 		}
-		f.waitAnswered("read.example", "/x", startupTimeout)
+		f.waitPathServed("read.example", "/x", startupTimeout)
 		f.mu.Lock()
 		f.fatalDuration = 100 * time.Millisecond
 		f.mu.Unlock()
@@ -252,7 +253,7 @@
 		for range 4 {
 			stops = append(stops, f.sendFatalRequests("read.example"))
 		}
-		f.waitCrashes(3, 6*maxHandover)
+		f.waitCrashes(3, 6*maxFailover)
 		time.Sleep(observationTime)
 		for _, stop := range stops {
 			stop()
--- a/internal/entryhost/fleet_test.go
+++ b/internal/entryhost/fleet_test.go
@@ -13,8 +13,8 @@
 const (
 	testGrantTTL   = time.Second
 	startupTimeout = 5 * time.Second
-	// maxHandover bounds the time until a lost upstream's keys are served by others.
-	maxHandover = testGrantTTL + testGrantTTL/2 + time.Second
+	// maxFailover bounds the time until a lost upstream's keys are served by others.
+	maxFailover = testGrantTTL + testGrantTTL/2 + time.Second
 )
 
 // Every host must serve all keys soon after the fleet starts.
@@ -27,7 +27,7 @@
 	})
 }
 
-// An upstream dies. Once its grants have expired, every host must serve its keys
+// An upstream crashes. Once its grants have expired, every host must serve its keys
 // through other upstreams.
 func TestLostUpstreamsKeysAreServedByOthers(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
@@ -40,7 +40,7 @@
 		}
 		f.killUpstream(lost)
 		for _, h := range f.hosts {
-			t.Logf("served again after %v", f.waitServed(h, maxHandover))
+			t.Logf("served again after %v", f.waitServed(h, maxFailover))
 		}
 	})
 }
@@ -68,10 +68,10 @@
 	})
 }
 
-// The planner's host is stopped as planned. It must report unready at once and
+// The planner's host is shut down gracefully. It must report unready at once and
 // answer the requests in flight. Another host must take over as the planner
 // without any key being unserved.
-func TestPlannedStopOfPlanner(t *testing.T) {
+func TestGracefulShutdownOfPlanner(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 3)
 		f.waitServed(f.hosts[0], startupTimeout)
@@ -90,7 +90,7 @@
 		for i := range 20 {
 			wg.Go(func() {
 				if status, body := planner.call("POST", "charge.example", fmt.Sprint("stop-", i), i*3000); status != http.StatusOK {
-					t.Errorf("a request in flight at the stop got %d %s", status, body)
+					t.Errorf("a request in flight at the shutdown got %d %s", status, body)
 				}
 			})
 		}
@@ -98,7 +98,7 @@
 		planner.stop()
 		time.Sleep(20 * time.Millisecond)
 		if planner.ready() {
-			t.Error("host is still ready after the stop signal")
+			t.Error("host is still ready after its shutdown began")
 		}
 		wg.Wait()
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end); {
@@ -144,7 +144,7 @@
 			}
 		}
 		for _, h := range f.hosts {
-			f.waitServed(h, maxHandover)
+			f.waitServed(h, maxFailover)
 		}
 	})
 }
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -37,6 +37,7 @@
 
 // Platform holds the platform adapters that an entry host depends on.
 type Platform struct {
+	// Store is the client of the log service.
 	Store     metastore.Store
 	Decoder   Decoder
 	Granter   Granter
@@ -91,8 +92,8 @@
 	readHeaderTimeout = 5 * time.Second
 	maxHeaderBytes    = 64 << 10
 	housekeepInterval = time.Second
-	// gcPercent is below Go's default of 100: memory is priced, and the extra
-	// collections cost little processor time.
+	// gcPercent is below Go's default of 100: memory use is billed, and the extra
+	// collections cost little CPU time.
 	gcPercent = 50
 	// memoryLimitFraction is the part of the host's memory allowance that is set as
 	// Go's soft memory limit, above which the collector runs more often.
@@ -118,7 +119,8 @@
 	peers     *peer.Client
 	logSyncer *logSyncer
 	fleet     *fleet.Fleet
-	// candidate is set if this host has the capacity to be the planner or a relay.
+	// candidate is set if this host's CPU and link suffice for the planner; see
+	// the package comment.
 	candidate          bool
 	loadSampler        *loadSampler
 	inFlightAggregator *inFlightAggregator
@@ -126,12 +128,13 @@
 	callerServer       *http.Server
 	stopping           atomic.Bool
 	inFlight           atomic.Int64
-	// reportedDroppedLines is the number of dropped log lines already logged.
-	reportedDroppedLines int64
+	// loggedDroppedLines is the number of dropped lines that logDroppedLines has
+	// logged already.
+	loggedDroppedLines int64
 }
 
-// Run serves until ctx ends or a component fails. The end of ctx is a planned
-// stop: the host reports unready, serves until the platform routes no more
+// Run serves until ctx ends or a component fails. The end of ctx starts a graceful
+// shutdown: the host reports unready, serves until the platform routes no more
 // callers to it, and returns once the requests in flight are answered. Each
 // value from reload replaces the settings that can change at run time.
 func Run(ctx context.Context, cfg *settings.EntryHost, plat Platform, reload <-chan *settings.EntryHost, zl *zap.Logger) error {
@@ -139,7 +142,7 @@
 	debug.SetMemoryLimit(int64(float64(cfg.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	h := newHost(cfg, plat, zl)
 	var g run.Group
-	// workCtx outlives ctx: the host keeps working until the planned stop is done.
+	// workCtx outlives ctx: the host keeps working until the graceful shutdown is done.
 	workCtx, cancel := context.WithCancel(context.Background())
 	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamReport(workCtx, c) }
 	g.Add(func() error { h.controller.run(workCtx); return nil }, func(error) { cancel() })
@@ -186,7 +189,7 @@
 	h.dispatch.SlowStartBounds = ratelimit.Bounds{Factor: cfg.SlowStartFactor, Slack: cfg.SlowStartSlack, Window: slowStartWindow}
 	h.controller.retirer = h.peers
 	h.controller.elector.fleetSize = func() int { return h.fleet.Size(time.Now()) }
-	h.controller.candidateAlive = func() bool { return h.fleet.HasLiveCandidate(time.Now()) }
+	h.controller.hasLiveCandidate = func() bool { return h.fleet.HasLiveCandidate(time.Now()) }
 	return h
 }
 
@@ -219,7 +222,7 @@
 	}
 	peers := http.NewServeMux()
 	ps := peerpb.NewPeerServer(&peer.Server{Copy: h.controller.replica, ReplicaStatus: h.replicaStatus, Fleet: h.fleet, Name: h.cfg.Host, HostStatus: h.status, RetireTermsBefore: h.retire,
-		OnLoads: func(l []peer.ServiceLoad) { h.receiveLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.report, PeerLoads: h.inFlightAggregator.othersInFlight,
+		OnLoads: func(l []peer.ServiceLoad) { h.receiveKeyLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.recordStats, PeerLoads: h.inFlightAggregator.othersInFlight,
 		Feedback: h.feedback, AcquirePermits: h.issuePermits})
 	peers.Handle(ps.PathPrefix(), ps)
 	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.tracker, Log: h.zl})
@@ -273,8 +276,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// awaitStop waits for the end of ctx and performs the planned stop. It returns
-// nil if workCtx ends first.
+// awaitStop waits for the end of ctx and performs the graceful shutdown. It
+// returns nil if workCtx ends first.
 func (h *host) awaitStop(ctx, workCtx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -299,7 +302,7 @@
 
 // housekeep runs once a housekeepInterval until ctx ends: it updates the limits
 // that depend on the fleet size and discards the state of upstreams that are no
-// longer listed. It also applies reloaded settings.
+// longer in the snapshot. It also applies reloaded settings.
 func (h *host) housekeep(ctx context.Context, reload <-chan *settings.EntryHost) {
 	t := time.NewTicker(housekeepInterval)
 	defer t.Stop()
@@ -316,11 +319,11 @@
 			hosts := h.fleet.Size(now)
 			h.dispatch.SetHostCount(hosts, h.fleetSizeKnown(now))
 			h.budget.SetLimits(hostBudgetLimits(current, hosts))
-			listed := listedIn(h.views.Load().Upstreams)
-			h.client.Prune(now, listed)
-			h.picker.Prune(listed)
+			known := knownIn(h.views.Load().Upstreams)
+			h.client.Prune(now, known)
+			h.picker.Prune(known)
 			h.picker.MarkSynced(h.controller.replica.CurrentAt(metastore.StreamUpstreams))
-			h.feedback.Prune(listed, now)
+			h.feedback.Prune(known, now)
 			h.dispatch.Prune()
 		}
 	}
@@ -340,13 +343,14 @@
 // logDroppedLines logs how many log lines were dropped since its last call.
 func (h *host) logDroppedLines() {
 	total := h.plat.LogDropped()
-	if total > h.reportedDroppedLines {
-		h.zl.Warn("log lines dropped", zap.Int("event", events.LogLinesDropped), zap.Int64("dropped", total-h.reportedDroppedLines))
+	if total > h.loggedDroppedLines {
+		h.zl.Warn("log lines dropped", zap.Int("event", events.LogLinesDropped), zap.Int64("dropped", total-h.loggedDroppedLines))
 	}
-	h.reportedDroppedLines = total
+	h.loggedDroppedLines = total
 }
 
-// listedIn returns a function that reports whether s contains an upstream ID.
-func listedIn(s *catalogue.Snapshot) func(id string) bool {
+// knownIn returns a function that reports whether s contains an upstream, which
+// for unlistedRetention it also does after the upstream was unlisted.
+func knownIn(s *catalogue.Snapshot) func(id string) bool {
 	return func(id string) bool { return s.ByID[id] != nil }
 }
--- a/internal/entryhost/loadsampler.go
+++ b/internal/entryhost/loadsampler.go
@@ -13,84 +13,85 @@
 	"github.com/papayatide/papayatide/internal/relay"
 )
 
-// maxReportSamples bounds the samples per service in one load report. Above it,
+// maxSummarySamples bounds the samples per service in one load summary. Above it,
 // requests are sampled at random.
-const maxReportSamples = 512
+const maxSummarySamples = 512
 
 // loadSampler collects samples of callers' requests to keyed services for the
-// next load report. It is safe for concurrent use.
+// next load summary, the peer.ServiceLoads that a host sends to the planner or
+// its relay. It is safe for concurrent use.
 type loadSampler struct {
 	mu        sync.Mutex
-	byService map[string]*serviceSample
+	byService map[string]*serviceReservoir
 }
 
-// serviceSample is a random sample of a service's requests. requests is the
-// number of requests it represents.
-type serviceSample struct {
+// serviceReservoir holds random samples of a service's requests. requests is the
+// number of requests that they represent.
+type serviceReservoir struct {
 	samples  []keyload.Sample
 	requests float64
 }
 
-func newLoadSampler() *loadSampler { return &loadSampler{byService: map[string]*serviceSample{}} }
+func newLoadSampler() *loadSampler { return &loadSampler{byService: map[string]*serviceReservoir{}} }
 
 // add records a finished request.
 func (s *loadSampler) add(e *dispatch.RequestSummary) {
 	if e.Key < 0 || e.Service == "" {
 		return
 	}
-	request := keyload.Sample{Key: e.Key}
+	sample := keyload.Sample{Key: e.Key}
 	if e.Refusal == nil {
-		request.Upstream, request.Latency = e.Upstream, e.UpstreamTime
+		sample.Upstream, sample.Latency = e.Upstream, e.UpstreamTime
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sampleFor(e.Service).add(request, 1)
+	s.reservoirFor(e.Service).add(sample, 1)
 }
 
-// merge adds the load reports of this host's followers.
+// merge adds load summaries of this host's followers.
 func (s *loadSampler) merge(loads []peer.ServiceLoad) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range loads {
-		sample := s.sampleFor(l.Service)
-		for _, request := range l.Samples {
-			sample.add(request, l.Weight)
+		reservoir := s.reservoirFor(l.Service)
+		for _, sample := range l.Samples {
+			reservoir.add(sample, l.Weight)
 		}
 	}
 }
 
-// sampleFor returns the sample of a service and creates it if needed. The
+// reservoirFor returns the reservoir of a service and creates it if needed. The
 // caller holds mu.
-func (s *loadSampler) sampleFor(service string) *serviceSample {
-	sample := s.byService[service]
-	if sample == nil {
-		sample = &serviceSample{}
-		s.byService[service] = sample
+func (s *loadSampler) reservoirFor(service string) *serviceReservoir {
+	reservoir := s.byService[service]
+	if reservoir == nil {
+		reservoir = &serviceReservoir{}
+		s.byService[service] = reservoir
 	}
-	return sample
+	return reservoir
 }
 
-// add adds a request that represents weight requests. Once there are
-// maxReportSamples, it replaces a random one, with a probability that gives
+// add adds a sample that represents weight requests. Once there are
+// maxSummarySamples, it replaces a random one, with a probability that gives
 // every request the same chance to be kept (reservoir sampling).
-func (s *serviceSample) add(request keyload.Sample, weight float64) {
+func (s *serviceReservoir) add(sample keyload.Sample, weight float64) {
 	s.requests += weight
-	if len(s.samples) < maxReportSamples {
-		s.samples = append(s.samples, request)
+	if len(s.samples) < maxSummarySamples {
+		s.samples = append(s.samples, sample)
 		return
 	}
-	if rand.Float64()*s.requests < maxReportSamples*weight {
-		s.samples[rand.IntN(maxReportSamples)] = request
+	if rand.Float64()*s.requests < maxSummarySamples*weight {
+		s.samples[rand.IntN(maxSummarySamples)] = sample
 	}
 }
 
-// take returns the collected load and starts a new collection.
+// take returns the load summary and starts a new one.
 func (s *loadSampler) take() []peer.ServiceLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var loads []peer.ServiceLoad
-	for service, sample := range s.byService {
-		loads = append(loads, peer.ServiceLoad{Service: service, Weight: sample.requests / float64(len(sample.samples)), Samples: sample.samples})
+	for service, reservoir := range s.byService {
+		loads = append(loads, peer.ServiceLoad{Service: service, Weight: reservoir.requests / float64(len(reservoir.samples)), Samples: reservoir.samples})
 	}
 	clear(s.byService)
 	return loads
@@ -107,18 +108,18 @@
 	return ""
 }
 
-// receiveLoads handles load reports of followers. The planner uses them; a
-// relay merges them into its own report.
-func (h *host) receiveLoads(ctx context.Context, loads []peer.ServiceLoad) {
+// receiveKeyLoads handles the load summary of a follower. The planner uses it; a
+// relay merges it into its own.
+func (h *host) receiveKeyLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if h.controller.isPlanner.Load() {
-		h.addLoads(ctx, loads)
+		h.addKeyLoads(ctx, loads)
 		return
 	}
 	h.loadSampler.merge(loads)
 }
 
-// addLoads adds load reports to the planner's load estimate.
-func (h *host) addLoads(ctx context.Context, loads []peer.ServiceLoad) {
+// addKeyLoads adds a load summary to the planner's load estimate.
+func (h *host) addKeyLoads(ctx context.Context, loads []peer.ServiceLoad) {
 	if len(loads) == 0 {
 		return
 	}
@@ -148,16 +149,16 @@
 // readers.
 func (h *host) newLogSyncer(ctx context.Context) *logSyncer {
 	ownershipReader, others := h.controller.newStreamReaders(ctx)
-	timeout := discoveryTimeout
+	timeout := defaultDiscoveryTimeout
 	if h.cfg.FirstStart {
 		timeout = firstStartDiscoveryTimeout
 	}
 	syncer := &logSyncer{discoveryTimeout: timeout, zl: h.zl, peers: h.peers, replica: h.controller.replica, ownershipReader: ownershipReader, otherReaders: others, plannerAddr: h.plannerAddr, isPlanner: h.controller.isPlanner.Load,
 		self: h.self, fleet: h.fleet, picker: h.picker, feedback: h.feedback,
-		takeLoads: h.loadSampler.take, applyLoads: func(l []peer.ServiceLoad) { h.addLoads(ctx, l) },
-		apply:           func(b relay.Batch) { h.controller.applyAndWait(ctx, b) },
-		onPlannerLost:   func() { h.controller.post(ctx, h.controller.planner.PlannerLost) },
-		onCandidateSeen: func() { h.controller.post(ctx, func() { h.controller.planner.PlannerSeen(h.controller.clock()) }) },
+		takeKeyLoads: h.loadSampler.take, applyKeyLoads: func(l []peer.ServiceLoad) { h.addKeyLoads(ctx, l) },
+		apply:          func(b relay.Batch) { h.controller.applyAndWait(ctx, b) },
+		onFollowFailed: func() { h.controller.post(ctx, h.controller.planner.PlannerLost) },
+		onStaleReplica: func() { h.controller.post(ctx, func() { h.controller.planner.PlannerSeen(h.controller.clock()) }) },
 		onPlannerFollowed: func(logReachableFor time.Duration) {
 			h.controller.post(ctx, func() { h.controller.onPlannerFollowed(logReachableFor) })
 		}}
@@ -167,7 +168,7 @@
 		reader.onResult = func(err error) {
 			onResult(err)
 			if err != nil {
-				syncer.attempts.recordFailure()
+				syncer.probes.recordFailure()
 			}
 		}
 	}
--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -19,8 +19,8 @@
 
 const (
 	// followWait is how long a call to the planner waits for new records. Each
-	// call also reports load, and the planner must react within a second to a
-	// burst on a few keys.
+	// call also carries a load summary, and the planner must react within a
+	// second to a burst on a few keys.
 	followWait = 300 * time.Millisecond
 	// followTimeout bounds such a call. A planner that does not answer in time
 	// counts as lost, and the host reads the log service directly.
@@ -42,24 +42,27 @@
 	// all streams directly, unless it finds the planner again. It leaves 0.5 s
 	// to catch up.
 	directReadAge = 1500 * time.Millisecond
-	// discoveryTimeout is how long a host that is no candidate and has read
-	// nothing yet looks for a planner before it reads all streams directly. An
-	// existing planner answers within 0.1 s, and without one callers wait. A
+	// defaultDiscoveryTimeout is how long a host that is no candidate and has
+	// read nothing yet looks for a planner before it reads all streams directly.
+	// An existing planner answers within 0.1 s, and without one callers wait. A
 	// candidate reads at once, because it may have to be the planner.
-	discoveryTimeout = 300 * time.Millisecond
-	// firstStartDiscoveryTimeout replaces it at the fleet's first start: there
-	// are no callers yet, and a planner takes one or two seconds to appear.
+	defaultDiscoveryTimeout = 300 * time.Millisecond
+	// firstStartDiscoveryTimeout replaces defaultDiscoveryTimeout at the fleet's
+	// first start: there are no callers yet, and a planner takes one or two
+	// seconds to appear. At every start it is also the delay of the crash
+	// stream's first direct read; see crashReadStartDelay.
 	firstStartDiscoveryTimeout = 3 * time.Second
 	// plannerRetryInterval is the pause between calls while no planner is
 	// known, this host is the planner, or the planner does not answer.
 	plannerRetryInterval = 150 * time.Millisecond
 	// While the followed host's replica is too old, the log service usually
-	// fails all hosts. A host that is no candidate first tries one read, as it
-	// may be the only one served. Afterwards all such hosts together make
-	// fleetAttemptsPerSecond reads a second, or each one per maxAttemptInterval
-	// on average if that is more.
-	fleetAttemptsPerSecond = 10
-	maxAttemptInterval     = 2500 * time.Millisecond
+	// fails all hosts. A host that is no candidate then only probes it with
+	// single reads. It sends the first one at once, because the service may
+	// still answer this host. Afterwards all such hosts together send
+	// fleetProbesPerSecond, or each one per maxProbeInterval on average if that
+	// is more.
+	fleetProbesPerSecond = 10
+	maxProbeInterval     = 2500 * time.Millisecond
 )
 
 // logSyncer keeps this host's replica of the log current. It follows the
@@ -86,22 +89,25 @@
 	// plannerAddr returns the planner's peer address (host:port). It is empty
 	// if no planner is known or it is this host.
 	plannerAddr func() string
-	// takeLoads returns the load to report and resets it. applyLoads processes
-	// it locally if this host is the planner or knows none.
-	takeLoads  func() []peer.ServiceLoad
-	applyLoads func([]peer.ServiceLoad)
+	// takeKeyLoads returns the load summary to send and starts a new one.
+	// applyKeyLoads processes it locally if this host is the planner or knows
+	// none.
+	takeKeyLoads  func() []peer.ServiceLoad
+	applyKeyLoads func([]peer.ServiceLoad)
 	// apply updates this host's state, replica included, from a batch.
 	apply func(relay.Batch)
 	// onPlannerFollowed is called after a successful call, with the time for
 	// which the planner has reached the log service without failure.
 	onPlannerFollowed func(logReachableFor time.Duration)
-	// onPlannerLost is called after a failed call, onCandidateSeen while the
-	// followed host answers with too old a replica or none.
-	onPlannerLost, onCandidateSeen func()
+	// onFollowFailed is called after a failed call, also one to a relay or to a
+	// host that answered without a replica. onStaleReplica is called on a host
+	// that is no candidate while the followed host answers with too old a replica
+	// or none.
+	onFollowFailed, onStaleReplica func()
 	zl                             *zap.Logger
 
-	// discoveryTimeout is how long a host that is no candidate looks for a
-	// planner before it reads all streams directly.
+	// discoveryTimeout is defaultDiscoveryTimeout, or at the fleet's first start
+	// firstStartDiscoveryTimeout.
 	discoveryTimeout time.Duration
 	// startedAt is when run began, lastFollowFailed whether the last call
 	// failed.
@@ -110,9 +116,9 @@
 	// followedReplicaStale is set while the followed host answers that its
 	// replica is too old, or that it has none.
 	followedReplicaStale bool
-	// attempts schedules this host's single reads while followedReplicaStale is
-	// set.
-	attempts readAttempts
+	// probes schedules this host's probes of the log service while
+	// followedReplicaStale is set.
+	probes readProbes
 	// wasPlanner is the result of isPlanner at the last iteration of run.
 	wasPlanner bool
 	// directReadCtx is the context of the running readers; nil while none runs.
@@ -150,21 +156,22 @@
 			s.stopDirectReads()
 			continue
 		}
-		s.readFromLog(ctx)
+		s.updateDirectReads(ctx)
 		sleep(ctx, plannerRetryInterval)
 	}
 	s.stopDirectReads()
 }
 
-// readFromLog starts direct reads where this host should read the log service.
-// While the followed host's replica is stale, a host that is no candidate reads
-// only after a single attempt has succeeded, and stops when a read fails.
-func (s *logSyncer) readFromLog(ctx context.Context) {
+// updateDirectReads starts or stops the stream readers, or starts a single read
+// (a probe), while this host follows none. While the followed host's replica is
+// stale, a host that is no candidate runs its readers only after a probe has
+// succeeded, and stops them when a read fails.
+func (s *logSyncer) updateDirectReads(ctx context.Context) {
 	if s.self().Candidate || s.isPlanner() || !s.followedReplicaStale || s.replica.NextOffset(metastore.StreamDesired) < 0 {
 		s.startDirectReads(ctx)
 		return
 	}
-	if s.directReadCtx != nil && s.attempts.failedSince(s.directReadsStartedAt) {
+	if s.directReadCtx != nil && s.probes.failedSince(s.directReadsStartedAt) {
 		s.stopDirectReads()
 		return
 	}
@@ -172,11 +179,11 @@
 		s.startDirectReads(ctx) // reads the other streams too once they are too old
 		return
 	}
-	s.onCandidateSeen() // the host that answered is a candidate, though its replica is stale
-	switch s.attempts.next(time.Now(), s.fleet.Size(time.Now())) {
-	case attemptNow:
-		go func() { s.attempts.finish(s.otherReaders[attemptStreamIndex].readOnce(ctx)) }()
-	case attemptSucceeded:
+	s.onStaleReplica() // the host that answered is alive, so this host does not seek the lease
+	switch s.probes.next(time.Now(), s.fleet.Size(time.Now())) {
+	case probeNow:
+		go func() { s.probes.finish(s.otherReaders[probeReaderIndex].readOnce(ctx)) }()
+	case startReaders:
 		s.startDirectReads(ctx)
 	}
 }
@@ -186,9 +193,9 @@
 // replica is now recent enough.
 func (s *logSyncer) follow(ctx context.Context) bool {
 	planner := s.plannerAddr()
-	loads := s.takeLoads()
+	loads := s.takeKeyLoads()
 	if planner == "" {
-		s.applyLoads(loads)
+		s.applyKeyLoads(loads)
 		s.setFollowed("", 0, nil)
 		return false
 	}
@@ -222,7 +229,7 @@
 	s.lastFollowFailed = err != nil
 	if err != nil {
 		s.followedReplicaStale = errors.Is(err, peer.ErrNoReplica)
-		s.onPlannerLost()
+		s.onFollowFailed()
 		s.setFollowed("", 0, err)
 		return false
 	}
@@ -246,7 +253,7 @@
 		return false
 	}
 	s.setFollowed(addr, reply.Age, nil)
-	s.attempts.reset()
+	s.probes.reset()
 	s.onPlannerFollowed(reply.LogReachableFor)
 	return true
 }
@@ -301,9 +308,9 @@
 	s.wasPlanner = planning
 }
 
-// startDirectReads starts reading the ownership stream, because it names the
-// planner, and the other streams if shouldReadOtherStreams. It is called again
-// while following fails.
+// startDirectReads starts the reader of the ownership stream, which names the
+// planner, and the other readers if shouldReadOtherStreams, unless they run
+// already. It is called again while following fails.
 func (s *logSyncer) startDirectReads(ctx context.Context) {
 	if s.directReadCtx == nil {
 		s.directReadCtx, s.cancelDirectReads = context.WithCancel(ctx)
@@ -321,9 +328,9 @@
 }
 
 // shouldReadOtherStreams reports whether the streams other than ownership must
-// be read directly. After a change of planner most hosts find the new one
-// before that, so that the change costs one or two calls per host instead of
-// six.
+// be read directly. After a change of planner most hosts find the new one before
+// their replica is older than directReadAge, so that the change costs one or two
+// calls per host instead of six.
 func (s *logSyncer) shouldReadOtherStreams(now time.Time) bool {
 	switch {
 	case s.isPlanner() || s.self().Candidate:
--- a/internal/entryhost/slowstart_test.go
+++ b/internal/entryhost/slowstart_test.go
@@ -43,21 +43,22 @@
 }
 
 // Upstreams restart one after the other, cold and idle, so that every host prefers
-// them. A cold upstream then got several times the rate that it can serve, and crashed
-// with the requests that it was running. All hosts together must stay within its
-// capacity, with and without keys, and also if all upstreams of the service are cold.
+// them. Without a limit on all of them together, a cold upstream gets several times the
+// rate that it can serve, and crashes with the requests that it runs. All hosts together must stay
+// within its capacity, with and without keys, and also if all upstreams of the
+// service are cold.
 func TestColdUpstreamStaysWithinCapacity(t *testing.T) {
 	const coldFor = 3 * time.Second
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
 		for _, warm := range []int{3, 0} {
-			t.Run(fmt.Sprint(c.service, " beside ", warm), func(t *testing.T) {
+			t.Run(fmt.Sprint(c.service, ", warm upstreams: ", warm), func(t *testing.T) {
 				runFleetTest(t, func(t *testing.T) {
 					f := newFleet(t, 8, 0)
 					for i := range warm {
 						f.addServiceUpstream(c.service, fmt.Sprint("warm", i))
 					}
 					if warm > 0 {
-						f.waitAnswered(c.route, "/x", startupTimeout)
+						f.waitPathServed(c.route, "/x", startupTimeout)
 					}
 					time.Sleep(4 * time.Second)
 					from := time.Now() // upstreams started from now on are cold for at least coldFor
@@ -72,7 +73,7 @@
 						}
 					}
 					time.Sleep(time.Second)
-					f.waitAnswered(c.route, "/x", maxHandover)
+					f.waitPathServed(c.route, "/x", maxFailover)
 				})
 			})
 		}
@@ -89,7 +90,7 @@
 		far := f.startUpstream("plain", "far")
 		entry := catalogue.Upstream{Service: "plain", DataCentre: "far", Slots: 30}
 		f.putEntry(far, entry)
-		f.waitAnswered(unkeyedRoute, "/x", startupTimeout)
+		f.waitPathServed(unkeyedRoute, "/x", startupTimeout)
 		time.Sleep(4 * time.Second)
 		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
 		time.Sleep(testEvacuationTimeout + time.Second)
@@ -113,9 +114,9 @@
 	})
 }
 
-// A server ends during an outage of the log service and restarts under its ID. It is
-// cold, but its entry can't be read. Hosts must not send it as much as its earlier
-// incarnation got, not even those that did not see it end.
+// A server crashes during an outage of the log service and restarts under its ID. It
+// is cold, but its entry can't be read. Hosts must not send it as much as its earlier
+// incarnation got, not even those that did not notice the crash.
 func TestRestartedServerIsColdDuringLogOutage(t *testing.T) {
 	for _, c := range []struct {
 		service, route string
@@ -126,7 +127,7 @@
 				f := newFleet(t, 4, 0)
 				old := f.addServiceUpstream(c.service, "server")
 				f.addServiceUpstream(c.service, "other")
-				f.waitAnswered(c.route, "/x", startupTimeout)
+				f.waitPathServed(c.route, "/x", startupTimeout)
 				f.generateLoad(c.route, 4*time.Second)
 				f.log.SetDown(true)
 				f.killUpstream(old)
