--- a/internal/feedback/report.go
+++ b/internal/feedback/report.go
@@ -15,8 +15,8 @@
 	// RateLimit is the upstream's limit for all hosts together, in requests per
 	// second; 0 if the response has none.
 	RateLimit float64
-	// LimitUnreadable is set if a rate limit header is malformed.
-	LimitUnreadable bool
+	// RateLimitMalformed is set if a rate limit header is malformed.
+	RateLimitMalformed bool
 	// Leaving is set if the upstream is about to shut down and wants no new
 	// requests.
 	Leaving bool
@@ -43,7 +43,7 @@
 	for _, v := range h.Values(names.RateLimit) {
 		limit, ok := parseNonNegative(v)
 		if !ok {
-			r.LimitUnreadable = true
+			r.RateLimitMalformed = true
 			continue
 		}
 		limit = min(max(limit, minRateLimit), maxRateLimit)
--- a/internal/feedback/tracker.go
+++ b/internal/feedback/tracker.go
@@ -51,9 +51,9 @@
 	return hosts, remaining
 }
 
-// hasInfo reports whether the state differs from that of an upstream that has
+// hasRecentState reports whether the state differs from that of an upstream that has
 // never reported anything.
-func (s *upstreamState) hasInfo(now time.Time) bool {
+func (s *upstreamState) hasRecentState(now time.Time) bool {
 	return !s.leavingSince.IsZero() || s.recentlyThrottled(now) || s.recentlyCrashed(now)
 }
 
@@ -140,7 +140,7 @@
 	switch {
 	case r.RateLimit > 0:
 		s.rateLimit, s.rateLimitAt = r.RateLimit, now
-	case !r.LimitUnreadable && s.rateLimit > 0 && sent.After(s.rateLimitAt):
+	case !r.RateLimitMalformed && s.rateLimit > 0 && sent.After(s.rateLimitAt):
 		s.rateLimit, s.rateLimitAt = 0, now
 	}
 	if c.RateLimit = s.rateLimit; r.Leaving && s.leavingSince.IsZero() {
@@ -358,7 +358,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, s := range t.upstreams {
-		if !keep(id) || !s.hasInfo(now) {
+		if !keep(id) || !s.hasRecentState(now) {
 			delete(t.upstreams, id)
 		}
 	}
--- a/internal/feedback/tracker_test.go
+++ b/internal/feedback/tracker_test.go
@@ -15,7 +15,7 @@
 	if got := tr.RateLimit("u"); got != 2 {
 		t.Errorf("rate limit %v after a response to an earlier request, want 2", got)
 	}
-	tr.Record("u", Report{LimitUnreadable: true}, now.Add(2*time.Second), now.Add(3*time.Second))
+	tr.Record("u", Report{RateLimitMalformed: true}, now.Add(2*time.Second), now.Add(3*time.Second))
 	if got := tr.RateLimit("u"); got != 2 {
 		t.Errorf("rate limit %v after a malformed one, want 2", got)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -53,9 +53,9 @@
 	hosts map[string]hostEntry
 	// relays holds the name of the current relay of each data centre.
 	relays map[string]string
-	// plannerSize is the planner's count of the fleet, received from the planner or a
+	// plannerFleetSize is the planner's count of the fleet, received from the planner or a
 	// relay; 0 if none was received.
-	plannerSize int
+	plannerFleetSize int
 }
 
 // New returns a fleet without known hosts, for a host in localDataCentre.
@@ -63,8 +63,8 @@
 	return &Fleet{localDataCentre: localDataCentre, hosts: map[string]hostEntry{}, relays: map[string]string{}}
 }
 
-// RecordHeartbeat records a call from h.
-func (f *Fleet) RecordHeartbeat(h Host, now time.Time) {
+// RecordCall records a call from h.
+func (f *Fleet) RecordCall(h Host, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts[h.Name] = hostEntry{Host: h, lastCall: now}
@@ -74,14 +74,14 @@
 func (f *Fleet) SetPlannerSize(size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.plannerSize = size
+	f.plannerFleetSize = size
 }
 
 // HasPlannerSize reports whether the planner's count of the fleet is known.
 func (f *Fleet) HasPlannerSize() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.plannerSize > 0
+	return f.plannerFleetSize > 0
 }
 
 // Size returns the number of hosts including this one: the planner's count or that
@@ -89,7 +89,7 @@
 func (f *Fleet) Size(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return max(f.followers(now)+1, f.plannerSize)
+	return max(f.followers(now)+1, f.plannerFleetSize)
 }
 
 // Followers returns how many hosts follow this one, directly or through a relay.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// heartbeat records a call of host i of the data centre and returns the address of the
+// recordCall records a call of host i of the data centre and returns the address of the
 // relay to which it is redirected.
-func heartbeat(f *Fleet, dc string, i int, candidate bool, now time.Time) string {
+func recordCall(f *Fleet, dc string, i int, candidate bool, now time.Time) string {
 	h := Host{Name: fmt.Sprintf("%s-%02d", dc, i), DataCentre: dc, PeerAddr: fmt.Sprintf("%s:%d", dc, i), Candidate: candidate}
-	f.RecordHeartbeat(h, now)
+	f.RecordCall(h, now)
 	return f.RelayFor(h, now)
 }
 
@@ -20,19 +20,19 @@
 func TestRelayInLargeDataCentre(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	for i := range minLocalHostsForRelay - 1 {
-		if to := heartbeat(f, "home", i, true, now); to != "" {
+		if to := recordCall(f, "home", i, true, now); to != "" {
 			t.Errorf("host of the planner's small data centre is redirected to %s", to)
 		}
 	}
 	for i := range 12 {
-		heartbeat(f, "large", i, i >= 3, now)
+		recordCall(f, "large", i, i >= 3, now)
 	}
 	for i := range 12 {
 		want := "large:3"
 		if i == 3 {
 			want = ""
 		}
-		if to := heartbeat(f, "large", i, i >= 3, now); to != want {
+		if to := recordCall(f, "large", i, i >= 3, now); to != want {
 			t.Errorf("host %d is redirected to %q, want %q", i, to, want)
 		}
 	}
@@ -43,10 +43,10 @@
 func TestRelayInSmallRemoteDataCentre(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	for i := range 3 {
-		heartbeat(f, "away", i, true, now)
+		recordCall(f, "away", i, true, now)
 	}
 	for i, want := range []string{"", "away:0", "away:0"} {
-		if to := heartbeat(f, "away", i, true, now); to != want {
+		if to := recordCall(f, "away", i, true, now); to != want {
 			t.Errorf("host %d is redirected to %q, want %q", i, to, want)
 		}
 	}
@@ -57,13 +57,13 @@
 func TestDeadRelayIsReplaced(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	for i := range 12 {
-		heartbeat(f, "dc", i, i == 3 || i == 7, now)
+		recordCall(f, "dc", i, i == 3 || i == 7, now)
 	}
 	later := now.Add(livenessTimeout + time.Second)
 	got := ""
 	for i := range 12 {
 		if i != 3 {
-			got = heartbeat(f, "dc", i, i == 7, later)
+			got = recordCall(f, "dc", i, i == 7, later)
 		}
 	}
 	if got != "dc:7" {
@@ -71,7 +71,7 @@
 	}
 	noCandidates := New("home")
 	for i := range 12 {
-		if to := heartbeat(noCandidates, "dc", i, false, now); to != "" {
+		if to := recordCall(noCandidates, "dc", i, false, now); to != "" {
 			t.Errorf("redirected to %s, which is no candidate", to)
 		}
 	}
@@ -85,8 +85,8 @@
 	if f.Size(now) != 1 {
 		t.Errorf("%d hosts without any call, want 1", f.Size(now))
 	}
-	f.RecordHeartbeat(Host{Name: "a"}, now)
-	f.RecordHeartbeat(Host{Name: "relay", Followers: 30}, now)
+	f.RecordCall(Host{Name: "a"}, now)
+	f.RecordCall(Host{Name: "relay", Followers: 30}, now)
 	if got := f.Size(now.Add(sizeRetention / 2)); got != 33 {
 		t.Errorf("%d hosts, want 33: this one, two callers and 30 followers of one of them", got)
 	}
@@ -103,11 +103,11 @@
 // do so for a candidate that has stopped calling.
 func TestHasLiveCandidate(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
-	f.RecordHeartbeat(Host{Name: "weak"}, now)
+	f.RecordCall(Host{Name: "weak"}, now)
 	if f.HasLiveCandidate(now) {
 		t.Error("a host that is no candidate counts as one")
 	}
-	f.RecordHeartbeat(Host{Name: "strong", Candidate: true}, now)
+	f.RecordCall(Host{Name: "strong", Candidate: true}, now)
 	if !f.HasLiveCandidate(now) || f.HasLiveCandidate(now.Add(livenessTimeout+time.Second)) {
 		t.Error("a candidate must count exactly while it calls")
 	}
--- a/internal/inflight/aggregator.go
+++ b/internal/inflight/aggregator.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// reportTTL is how long a host's report counts. Healthy hosts report three times a
+	// loadStatsTTL is how long a host's report counts. Healthy hosts report three times a
 	// second; the requests of a crashed host end soon after it.
-	reportTTL = 1200 * time.Millisecond
+	loadStatsTTL = 1200 * time.Millisecond
 	// workTimeInterval is how often work times are estimated anew. An estimate covers
 	// seconds of responses and hardly changes in less time.
 	workTimeInterval = 250 * time.Millisecond
 )
 
-// hostReport is the latest report of a host.
-type hostReport struct {
+// hostLoadStats is the latest report of a host.
+type hostLoadStats struct {
 	receivedAt time.Time
 	loads      []balance.LoadStats
 }
@@ -40,7 +40,7 @@
 
 	mu sync.Mutex
 	// hosts holds each host's latest report, by host name.
-	hosts map[string]hostReport
+	hosts map[string]hostLoadStats
 	// inFlight is the sum over all hosts, by upstream ID.
 	inFlight  map[string]int
 	estimator *worktime.Estimator
@@ -52,14 +52,14 @@
 
 // New returns an aggregator without reports. upstreams returns the listed upstreams.
 func New(upstreams func() *catalogue.Snapshot, now time.Time) *Aggregator {
-	return &Aggregator{upstreams: upstreams, hosts: map[string]hostReport{}, inFlight: map[string]int{}, estimator: worktime.New(now)}
+	return &Aggregator{upstreams: upstreams, hosts: map[string]hostLoadStats{}, inFlight: map[string]int{}, estimator: worktime.New(now)}
 }
 
 // Record replaces the host's previous report with loads.
 func (a *Aggregator) Record(host string, loads []balance.LoadStats, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.replaceReport(host, hostReport{now, loads})
+	a.replaceLoadStats(host, hostLoadStats{now, loads})
 	for _, l := range loads {
 		if l.Answered > 0 {
 			a.estimator.Add(l.ID, float64(l.Answered), l.Latency.Seconds(), now)
@@ -67,8 +67,8 @@
 	}
 }
 
-// replaceReport replaces a host's report and adjusts the sums.
-func (a *Aggregator) replaceReport(host string, next hostReport) {
+// replaceLoadStats replaces a host's report and adjusts the sums.
+func (a *Aggregator) replaceLoadStats(host string, next hostLoadStats) {
 	for _, l := range a.hosts[host].loads {
 		a.inFlight[l.ID] -= l.InFlight
 	}
@@ -105,8 +105,8 @@
 	}
 	a.updatedAt = now
 	for host, r := range a.hosts {
-		if now.Sub(r.receivedAt) > reportTTL {
-			a.replaceReport(host, hostReport{})
+		if now.Sub(r.receivedAt) > loadStatsTTL {
+			a.replaceLoadStats(host, hostLoadStats{})
 			delete(a.hosts, host)
 		}
 	}
--- a/internal/inflight/aggregator_test.go
+++ b/internal/inflight/aggregator_test.go
@@ -16,7 +16,7 @@
 // A host receives the sum of the other hosts' latest reports, without its own.
 // Reports of hosts that stopped reporting, and upstreams that are no longer listed,
 // must be dropped: otherwise hosts would avoid an idle upstream.
-func TestPeerLoadsSumLatestReportsOfOtherHosts(t *testing.T) {
+func TestPeerLoadsSumLatestLoadStatsOfOtherHosts(t *testing.T) {
 	listed := catalogue.NewSnapshot(map[string]*catalogue.Upstream{"a": {ID: "a", Service: "s", Slots: 3}, "b": {ID: "b", Service: "s", Slots: 3}})
 	now := time.Unix(1000, 0)
 	a := New(func() *catalogue.Snapshot { return listed }, now)
@@ -31,7 +31,7 @@
 			t.Errorf("%s receives %d in flight from other hosts at %s, want %d", c.host, got, c.id, c.want)
 		}
 	}
-	later := now.Add(reportTTL + time.Millisecond)
+	later := now.Add(loadStatsTTL + time.Millisecond)
 	a.Record("h2", []balance.LoadStats{{ID: "a", InFlight: 4}}, later)
 	if got := peerLoad(a, "h3", "a", later).InFlight; got != 4 {
 		t.Errorf("%d in flight at a after the report of h1 expired, want h2's 4", got)
@@ -44,7 +44,7 @@
 
 // Twenty hosts each receive one response from a slow and one from a fast upstream.
 // Their reports together must yield different work times.
-func TestWorkTimesCombineReportsOfHosts(t *testing.T) {
+func TestWorkTimesCombineLoadStatsOfHosts(t *testing.T) {
 	listed := catalogue.NewSnapshot(map[string]*catalogue.Upstream{"slow": {ID: "slow", Service: "s", Slots: 3}, "fast": {ID: "fast", Service: "s", Slots: 3}})
 	now := time.Unix(1000, 0)
 	a := New(func() *catalogue.Snapshot { return listed }, now)
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -22,8 +22,8 @@
 	slots      int
 	queueLimit int
 	speed      float64
-	// rejected is how many requests found the queue full.
-	rejected int
+	// queueFull is how many requests found the queue full.
+	queueFull int
 }
 
 // serve processes a request, after queueing for a slot if need be. It returns false
@@ -35,7 +35,7 @@
 		s.busy++
 		s.mu.Unlock()
 	case len(s.queue) >= s.queueLimit:
-		s.rejected++
+		s.queueFull++
 		s.mu.Unlock()
 		return false
 	default:
@@ -59,10 +59,10 @@
 // simulation describes one data centre: hosts that share the upstreams of one
 // service.
 type simulation struct {
-	hosts, upstreams    int
-	slots               int
-	speeds              []float64
-	workTime, objective time.Duration
+	hosts, upstreams           int
+	slots                      int
+	speeds                     []float64
+	workTime, latencyObjective time.Duration
 	// load is the request rate as a fraction of the capacity of all upstreams.
 	load     float64
 	duration time.Duration
@@ -75,8 +75,8 @@
 // results counts requests by outcome; rejected counts attempts that found an
 // upstream's queue full.
 type results struct {
-	inTime, late, refused, rejected int
-	earlyInTime, early              int
+	inTime, late, refused, queueFull int
+	earlyInTime, early               int
 }
 
 // maxAttempts is how many upstreams a request may be sent to.
@@ -120,14 +120,14 @@
 			switch {
 			case !ok:
 				res.refused++
-			case took > s.objective:
+			case took > s.latencyObjective:
 				res.late++
 			default:
 				res.inTime++
 			}
 			if early {
 				res.early++
-				if ok && took <= s.objective {
+				if ok && took <= s.latencyObjective {
 					res.earlyInTime++
 				}
 			}
@@ -135,13 +135,13 @@
 	}
 	wg.Wait()
 	for _, srv := range servers {
-		res.rejected += srv.rejected
+		res.queueFull += srv.queueFull
 	}
 	return res
 }
 
 // reportInterval is how often a host reports its load and receives the others'.
-const reportInterval = 300 * time.Millisecond
+const exchangeInterval = 300 * time.Millisecond
 
 // exchangeLoads makes the hosts report one after another, each once per
 // reportInterval.
@@ -157,7 +157,7 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(reportInterval / time.Duration(len(pickers))):
+			case <-time.After(exchangeInterval / time.Duration(len(pickers))):
 			}
 			name := fmt.Sprint(i)
 			agg.Record(name, b.FlushLoadStats(), time.Now())
@@ -170,13 +170,13 @@
 // request was served and how long that took.
 func (s simulation) sendRequest(b *balance.Picker, upstreams []*catalogue.Upstream, servers map[string]*simServer, work time.Duration) (bool, time.Duration) {
 	start := time.Now()
-	c := balance.Criteria{LocalDataCentre: "dc", FarPenalty: s.objective / 4}
+	c := balance.Criteria{LocalDataCentre: "dc", FarPenalty: s.latencyObjective / 4}
 	for range maxAttempts {
 		u := b.Pick(upstreams, c, time.Now())
-		if b.ExpectedLatency(u, time.Now()) > s.objective {
+		if b.ExpectedLatency(u, time.Now()) > s.latencyObjective {
 			return false, time.Since(start) // the dispatcher refuses it, too
 		}
-		maxWait := max(s.objective/2-time.Since(start), 0)
+		maxWait := max(s.latencyObjective/2-time.Since(start), 0)
 		ticket := b.Limiter(u.ID).Acquire(context.Background(), maxWait, admission.ShareOf(u.Slots, 0, s.hosts))
 		if ticket == nil {
 			return false, time.Since(start)
@@ -187,7 +187,7 @@
 		signal, outcome := admission.InTime, balance.Served
 		if !ok {
 			signal, outcome = admission.Full, balance.Overloaded
-		} else if took > s.objective*8/10 {
+		} else if took > s.latencyObjective*8/10 {
 			signal = admission.Late
 		}
 		b.Done(u.ID, outcome, took, time.Now())
@@ -201,12 +201,12 @@
 }
 
 var (
-	// largeFleet is one of the five data centres of a fleet of 300 hosts, smallFleet
+	// largeFleetDataCentre is one of the five data centres of a fleet of 300 hosts, smallFleet
 	// one of the three of a fleet of 12.
-	largeFleet = simulation{hosts: 59, upstreams: 52, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 350 * time.Millisecond,
-		objective: time.Second, load: 0.7, duration: 20 * time.Second, earlyPeriod: 3 * time.Second}
-	smallFleet = simulation{hosts: 4, upstreams: 4, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 290 * time.Millisecond,
-		objective: 800 * time.Millisecond, load: 0.7, duration: time.Minute, earlyPeriod: 3 * time.Second}
+	largeFleetDataCentre = simulation{hosts: 59, upstreams: 52, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 350 * time.Millisecond,
+		latencyObjective: time.Second, load: 0.7, duration: 20 * time.Second, earlyPeriod: 3 * time.Second}
+	smallFleetDataCentre = simulation{hosts: 4, upstreams: 4, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 290 * time.Millisecond,
+		latencyObjective: 800 * time.Millisecond, load: 0.7, duration: time.Minute, earlyPeriod: 3 * time.Second}
 )
 
 // runSeeds runs the simulation with three seeds and adds up the results.
@@ -224,7 +224,7 @@
 // requests would be in time. They must spread out, even without shared loads.
 func TestLargeFleetSpreadsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := largeFleet
+		s := largeFleetDataCentre
 		unshared := s.runSeeds()
 		s.shareLoads = true
 		shared := s.runSeeds()
@@ -245,17 +245,17 @@
 // hosts forward all of them, every queue fills up and only 32% of the responses are
 // in time. Hosts must refuse at once the requests that the loads of all hosts show to
 // be late, so that upstreams serve the others in time and rarely reject one.
-func TestOverloadedLargeFleetServesItsCapacityInTime(t *testing.T) {
+func TestOverloadedLargeFleetRefusesExcessRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := largeFleet
+		s := largeFleetDataCentre
 		s.shareLoads, s.load = true, 1.2
 		r := s.runSeeds()
 		t.Logf("%s", r)
 		if r.inTime < r.total()*60/100 {
 			t.Errorf("%d of %d in time", r.inTime, r.total())
 		}
-		if r.rejected > r.total()*4/100 {
-			t.Errorf("%d rejected by full upstreams", r.rejected)
+		if r.queueFull > r.total()*4/100 {
+			t.Errorf("%d rejected by full upstreams", r.queueFull)
 		}
 	})
 }
@@ -265,7 +265,7 @@
 // requests are in time at 70% load, and 71% at 120%.
 func TestSharedLoadsDoNotHarmSmallFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := smallFleet
+		s := smallFleetDataCentre
 		s.shareLoads = true
 		normal := s.runSeeds()
 		s.load = 1.2
@@ -283,14 +283,14 @@
 func (r *results) total() int { return r.inTime + r.late + r.refused }
 
 func (r *results) String() string {
-	return fmt.Sprintf("%d in time, %d late, %d refused, %d rejected by full upstreams", r.inTime, r.late, r.refused, r.rejected)
+	return fmt.Sprintf("%d in time, %d late, %d refused, %d rejected by full upstreams", r.inTime, r.late, r.refused, r.queueFull)
 }
 
 func (r *results) add(o results) {
 	r.inTime += o.inTime
 	r.late += o.late
 	r.refused += o.refused
-	r.rejected += o.rejected
+	r.queueFull += o.queueFull
 	r.early += o.early
 	r.earlyInTime += o.earlyInTime
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -292,7 +292,7 @@
 	}
 	s.OnLoads(loads)
 	caller := fleet.Host{Name: m.Host, DataCentre: m.DataCentre, PeerAddr: m.PeerAddr, Candidate: m.Eager, Followers: int(m.Followers)}
-	s.Fleet.RecordHeartbeat(caller, time.Now())
+	s.Fleet.RecordCall(caller, time.Now())
 	positions := map[metastore.Stream]int64{}
 	for _, p := range m.Positions {
 		positions[metastore.Stream(p.Stream)] = p.Next
