--- a/internal/feedback/bench_test.go
+++ b/internal/feedback/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkAnswer measures the cost per response and per upstream selection if
-// the upstream reports nothing.
+// BenchmarkAnswer measures decoding and recording a response without a report, and
+// the two look-ups for an upstream selection.
 func BenchmarkAnswer(b *testing.B) {
 	t, h := NewTracker(), http.Header{"Content-Length": {"5"}, "X-Id": {"7"}, "X-Signature": {"s"}}
 	now := time.Now()
--- a/internal/feedback/report.go
+++ b/internal/feedback/report.go
@@ -15,12 +15,12 @@
 	// RateLimit is the upstream's limit for all hosts together, in requests per
 	// second; 0 if the response has none.
 	RateLimit float64
-	// RateLimitMalformed is set if a rate limit header is malformed.
+	// RateLimitMalformed is set if a rate limit header has a malformed value.
 	RateLimitMalformed bool
 	// Leaving is set if the upstream is about to shut down and wants no new
 	// requests.
 	Leaving bool
-	// Backoff is how long this host must send the upstream no requests; 0 if the
+	// Backoff is how long this host must not send requests to the upstream; 0 if the
 	// response has no Retry-After.
 	Backoff time.Duration
 }
--- a/internal/feedback/tracker.go
+++ b/internal/feedback/tracker.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// upstreamState is the reported state of one upstream incarnation.
+// upstreamState is what this host knows of one upstream incarnation from its reports,
+// from notices and from observed crashes.
 type upstreamState struct {
 	// rateLimit is in requests per second, 0 for none. rateLimitAt is when this or
 	// another host received the newest response that set or ended the limit.
@@ -19,17 +20,18 @@
 	// leaving; zero if none did.
 	leavingSince time.Time
 	// backoffUntil is the end of this host's own backoff. followerBackoffs holds
-	// the backoffs reported by hosts that follow this one, by host name.
+	// the backoffs in the notices of hosts that follow this one, by host name.
 	backoffUntil     time.Time
 	followerBackoffs map[string]followerBackoff
-	// lastBackoffEnd is the latest end, past or future, of any known backoff.
+	// lastBackoffEnd is the end, past or future, of the last known backoff. A new
+	// backoff of this host sets it even if a follower's ends later.
 	lastBackoffEnd time.Time
 	// crashedAt is when a host last observed a crash of the upstream.
 	crashedAt time.Time
 }
 
-// followerBackoff is the backoff reported by a follower, for itself and its own
-// followers. hosts is how many of them are backing off.
+// followerBackoff is the latest backoff in a follower's notices, for itself and its
+// own followers. hosts is how many of them are backing off.
 type followerBackoff struct {
 	hosts int
 	until time.Time
@@ -51,8 +53,8 @@
 	return hosts, remaining
 }
 
-// hasRecentState reports whether the state differs from that of an upstream that has
-// never reported anything.
+// hasRecentState reports whether the upstream is leaving, is throttled, or was
+// throttled or crashed recently.
 func (s *upstreamState) hasRecentState(now time.Time) bool {
 	return !s.leavingSince.IsZero() || s.recentlyThrottled(now) || s.recentlyCrashed(now)
 }
@@ -63,8 +65,8 @@
 	return now.Sub(s.crashedAt) < crashNoticeTTL
 }
 
-// crashDedupWindow is how much later than the last known crash a reported one must
-// be to count as another. Hosts observe the same crash at different times, and
+// crashDedupWindow is how much later than the last known crash the crash in a notice
+// must be to count as a new one. Hosts observe the same crash at different times, and
 // message delays shift the ages in notices.
 const crashDedupWindow = time.Second
 
@@ -79,11 +81,12 @@
 }
 
 // throttleRetention is how long the end of a rate limit or a backoff is remembered.
-// Older reports from other hosts must not restore it, and the upstream may have lost
-// its keys because of it.
+// Without it an older notice from another host would restore the limit, and key
+// placement would not know that keys may have been moved away from the upstream
+// because of the throttling (Status.RecentlyThrottled).
 const throttleRetention = time.Minute
 
-// Change describes a change in the reported state of an upstream.
+// Change describes a change in the tracked state of an upstream.
 type Change struct {
 	Upstream string
 	// From is the host whose notice brought the change; empty for a response that
@@ -101,7 +104,7 @@
 	CrashedAt time.Time
 }
 
-// Tracker keeps the reported state of all upstreams. It is safe for concurrent use.
+// Tracker keeps the state of all upstreams. It is safe for concurrent use.
 type Tracker struct {
 	// OnChange is called for each change, without holding the lock. Set it before
 	// the first use.
@@ -176,7 +179,7 @@
 	return 0
 }
 
-// Backoff returns how much longer this host must send the upstream no requests.
+// Backoff returns how much longer this host must not send requests to the upstream.
 func (t *Tracker) Backoff(id string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,7 +189,7 @@
 	return 0
 }
 
-// Status is the reported state that key placement takes into account.
+// Status is the state of an upstream that key placement takes into account.
 type Status struct {
 	// RateLimit is in requests per second, 0 for none. RateLimitAge is how long ago a
 	// host received the newest response that set or ended the limit.
@@ -353,7 +356,7 @@
 }
 
 // Prune deletes the state of upstreams for which keep returns false, and of those
-// without a current or recent report.
+// that are neither leaving nor were throttled or crashed recently.
 func (t *Tracker) Prune(keep func(id string) bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/feedback/tracker_test.go
+++ b/internal/feedback/tracker_test.go
@@ -26,7 +26,8 @@
 }
 
 // Hosts that receive reports in different orders must agree on the newest rate limit.
-// A notice from a host with an older state must not undo that an upstream is leaving.
+// A notice from a host with an older state must not clear the leaving state of an
+// upstream.
 func TestNewestReportWinsAcrossHosts(t *testing.T) {
 	a, b, now := NewTracker(), NewTracker(), time.Unix(1000, 0)
 	a.Record("u", Report{RateLimit: 2, Leaving: true}, now, now)
@@ -40,7 +41,7 @@
 	b.Record("u", Report{}, now.Add(2*time.Second), now.Add(3*time.Second))
 	b.Merge("a", a.Notices(now.Add(4*time.Second)), now.Add(4*time.Second))
 	if b.RateLimit("u") != 0 {
-		t.Errorf("rate limit %v restored by an older report", b.RateLimit("u"))
+		t.Errorf("rate limit %v restored by an older notice", b.RateLimit("u"))
 	}
 	a.Merge("b", b.Notices(now.Add(5*time.Second)), now.Add(5*time.Second))
 	if a.RateLimit("u") != 0 {
@@ -75,8 +76,8 @@
 	}
 }
 
-// Prune must bound the tracked upstreams to those that are listed and have something
-// to report; maxNotices must bound the notices in a message.
+// Prune must bound the tracked upstreams to those that keep accepts and that have
+// recent state; maxNotices must bound the notices in a message.
 func TestTrackerIsBounded(t *testing.T) {
 	tr, now := NewTracker(), time.Unix(1000, 0)
 	for i := range 3 * maxNotices {
@@ -93,6 +94,6 @@
 	tr.Record("u1", Report{}, now.Add(time.Hour), now.Add(time.Hour))
 	tr.Prune(func(string) bool { return true }, now.Add(time.Hour+2*throttleRetention))
 	if len(tr.upstreams) != 0 {
-		t.Errorf("%d upstreams kept without any report", len(tr.upstreams))
+		t.Errorf("%d upstreams kept without recent state", len(tr.upstreams))
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,17 +12,17 @@
 	// livenessTimeout is how long after its last call a host counts as running.
 	// Healthy hosts call three times a second.
 	livenessTimeout = 1500 * time.Millisecond
-	// sizeRetention is how long after its last call a host counts in the fleet's size.
-	// A host cut off from the planner continues to serve, with its connections to
-	// upstreams and its retries.
+	// sizeRetention is how long after its last call a host counts in the fleet's size,
+	// by which hosts divide shared limits. A host that is cut off from the planner
+	// still serves requests and uses its share of connections and retries.
 	sizeRetention = time.Minute
 	// minLocalHostsForRelay is the least number of hosts in the planner's own data
 	// centre for which one of them relays. Replies to fewer cost the planner little.
 	minLocalHostsForRelay = 8
-	// minRemoteHostsForRelay is the same number in other data centres. Traffic between
-	// data centres is charged, and each ownership change goes to every follower: in a
-	// fleet of twelve hosts without relays, replies to followers made up 2.2 of the
-	// 8.3 MB between data centres on a quiet day.
+	// minRemoteHostsForRelay is the corresponding minimum in other data centres.
+	// Traffic between data centres is charged, and each ownership change goes to every
+	// follower: without relays, replies to followers can be a quarter of that traffic
+	// even in a fleet of twelve hosts.
 	minRemoteHostsForRelay = 2
 )
 
@@ -32,7 +32,8 @@
 	// DataCentre is where it runs. PeerAddr (host:port) is its address for calls from
 	// other hosts.
 	DataCentre, PeerAddr string
-	// Candidate is set if the host may become the planner or a relay.
+	// Candidate is set if the host has the capacity to be the planner or a relay. Other
+	// hosts become the planner only if there is none for a while, and never a relay.
 	Candidate bool
 	// Followers is how many hosts follow this one.
 	Followers int
@@ -53,8 +54,8 @@
 	hosts map[string]hostEntry
 	// relays holds the name of the current relay of each data centre.
 	relays map[string]string
-	// plannerFleetSize is the planner's count of the fleet, received from the planner or a
-	// relay; 0 if none was received.
+	// plannerFleetSize is the number of hosts in the fleet as counted by the planner,
+	// received from the planner or a relay; 0 if none was received.
 	plannerFleetSize int
 }
 
@@ -70,22 +71,22 @@
 	f.hosts[h.Name] = hostEntry{Host: h, lastCall: now}
 }
 
-// SetPlannerSize sets the fleet's size as counted by the planner.
+// SetPlannerSize sets the number of hosts in the fleet as counted by the planner.
 func (f *Fleet) SetPlannerSize(size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plannerFleetSize = size
 }
 
-// HasPlannerSize reports whether the planner's count of the fleet is known.
+// HasPlannerSize reports whether the planner's count of the fleet's hosts is known.
 func (f *Fleet) HasPlannerSize() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.plannerFleetSize > 0
 }
 
-// Size returns the number of hosts including this one: the planner's count or that
-// of this host, whichever is higher.
+// Size returns the number of hosts in the fleet, including this one: the planner's
+// count or that of this host, whichever is higher.
 func (f *Fleet) Size(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -53,7 +53,7 @@
 }
 
 // The relay crashes. Its followers call the planner again, which must redirect them to
-// another candidate. A host that is no candidate must never become the relay.
+// another candidate. A host that is not a candidate must never become the relay.
 func TestDeadRelayIsReplaced(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	for i := range 12 {
@@ -72,14 +72,15 @@
 	noCandidates := New("home")
 	for i := range 12 {
 		if to := recordCall(noCandidates, "dc", i, false, now); to != "" {
-			t.Errorf("redirected to %s, which is no candidate", to)
+			t.Errorf("redirected to %s, which is not a candidate", to)
 		}
 	}
 }
 
 // Hosts divide shared limits by the fleet's size. It must include hosts behind a relay
 // and, for a while, hosts that stopped calling: they may be cut off from the planner
-// and still serve. A host that follows the planner must use the planner's count.
+// and still serve. A host that follows the planner must count at least as many hosts
+// as the planner.
 func TestSizeCountsSilentAndIndirectHosts(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	if f.Size(now) != 1 {
@@ -99,13 +100,13 @@
 	}
 }
 
-// A planner that is no candidate hands over to a candidate that calls it. It must not
+// A planner that is not a candidate steps down when a candidate calls it. It must not
 // do so for a candidate that has stopped calling.
 func TestHasLiveCandidate(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	f.RecordCall(Host{Name: "weak"}, now)
 	if f.HasLiveCandidate(now) {
-		t.Error("a host that is no candidate counts as one")
+		t.Error("a host that is not a candidate counts as one")
 	}
 	f.RecordCall(Host{Name: "strong", Candidate: true}, now)
 	if !f.HasLiveCandidate(now) || f.HasLiveCandidate(now.Add(livenessTimeout+time.Second)) {
--- a/internal/inflight/aggregator.go
+++ b/internal/inflight/aggregator.go
@@ -1,11 +1,12 @@
-// Package inflight adds up the requests that the hosts of a data centre have in
-// flight at upstreams that any of them may choose.
+// Package inflight combines the load statistics of a data centre's hosts on upstreams
+// of services without keys. It sums the hosts' requests in flight at each upstream and
+// estimates the upstream's work time: how long it takes to process a request, without
+// queueing.
 //
-// In a fleet of sixty hosts, each sends an upstream about one request in ten
-// seconds. From that alone a host cannot infer whether the upstream is busy or slow;
-// the sum over all hosts shows it. Hosts report their load statistics in the calls by
-// which they follow the planner, and receive the sums of the other hosts in the
-// replies.
+// Among sixty hosts, one host may send an upstream only one request in ten seconds.
+// From that alone it cannot infer whether the upstream is busy or slow; the load
+// statistics of all hosts show it. Hosts send theirs in the calls by which they follow
+// the planner or a relay, and receive the load of the other hosts in the replies.
 package inflight
 
 import (
@@ -18,30 +19,29 @@
 )
 
 const (
-	// loadStatsTTL is how long a host's report counts. Healthy hosts report three times a
-	// second; the requests of a crashed host end soon after it.
+	// loadStatsTTL is how long a host's load statistics count. Healthy hosts send them
+	// three times a second; the requests of a host end soon after it crashes.
 	loadStatsTTL = 1200 * time.Millisecond
-	// workTimeInterval is how often work times are estimated anew. An estimate covers
-	// seconds of responses and hardly changes in less time.
+	// workTimeInterval is how often work times are re-estimated. An estimate covers the
+	// responses of several seconds and hardly changes within one interval.
 	workTimeInterval = 250 * time.Millisecond
 )
 
-// hostLoadStats is the latest report of a host.
+// hostLoadStats holds the latest load statistics of a host, one per upstream.
 type hostLoadStats struct {
 	receivedAt time.Time
 	loads      []balance.LoadStats
 }
 
-// Aggregator sums the load statistics that hosts report. It is safe for concurrent
-// use.
+// Aggregator combines the load statistics of hosts. It is safe for concurrent use.
 type Aggregator struct {
-	// upstreams returns the listed upstreams.
+	// upstreams returns the upstreams in the catalogue.
 	upstreams func() *catalogue.Snapshot
 
 	mu sync.Mutex
-	// hosts holds each host's latest report, by host name.
+	// hosts holds each host's latest load statistics, by host name.
 	hosts map[string]hostLoadStats
-	// inFlight is the sum over all hosts, by upstream ID.
+	// inFlight is the number of requests in flight from all hosts, by upstream ID.
 	inFlight  map[string]int
 	estimator *worktime.Estimator
 	// workTimes holds the estimates of the last update, made at updatedAt, by
@@ -50,12 +50,13 @@
 	updatedAt time.Time
 }
 
-// New returns an aggregator without reports. upstreams returns the listed upstreams.
+// New returns an aggregator without load statistics. upstreams returns the upstreams in
+// the catalogue.
 func New(upstreams func() *catalogue.Snapshot, now time.Time) *Aggregator {
 	return &Aggregator{upstreams: upstreams, hosts: map[string]hostLoadStats{}, inFlight: map[string]int{}, estimator: worktime.New(now)}
 }
 
-// Record replaces the host's previous report with loads.
+// Record replaces the host's previous load statistics with loads.
 func (a *Aggregator) Record(host string, loads []balance.LoadStats, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// replaceLoadStats replaces a host's report and adjusts the sums.
+// replaceLoadStats replaces a host's load statistics and adjusts the sums.
 func (a *Aggregator) replaceLoadStats(host string, next hostLoadStats) {
 	for _, l := range a.hosts[host].loads {
 		a.inFlight[l.ID] -= l.InFlight
@@ -97,8 +98,8 @@
 	return out
 }
 
-// update drops expired reports and estimates the work times anew, at most once per
-// workTimeInterval.
+// update drops expired load statistics and re-estimates the work times, at most once
+// per workTimeInterval.
 func (a *Aggregator) update(now time.Time) {
 	if now.Sub(a.updatedAt) < workTimeInterval {
 		return
@@ -110,20 +111,20 @@
 			delete(a.hosts, host)
 		}
 	}
-	listed := a.upstreams()
-	keep := func(id string) bool { return listed.ByID[id] != nil }
+	snapshot := a.upstreams()
+	keep := func(id string) bool { return snapshot.ByID[id] != nil }
 	a.estimator.Prune(keep)
 	a.workTimes = map[string]time.Duration{}
-	typical := map[string]float64{}
+	medians := map[string]float64{}
 	for id := range a.inFlight {
-		u := listed.ByID[id]
+		u := snapshot.ByID[id]
 		if u == nil {
 			delete(a.inFlight, id)
 			continue
 		}
-		if _, ok := typical[u.Service]; !ok {
-			typical[u.Service] = a.estimator.Median(listed.ForService(u.Service), now)
+		if _, ok := medians[u.Service]; !ok {
+			medians[u.Service] = a.estimator.Median(snapshot.ForService(u.Service), now)
 		}
-		a.workTimes[id] = time.Duration(a.estimator.Estimate(u, typical[u.Service], now) * float64(time.Second))
+		a.workTimes[id] = time.Duration(a.estimator.Estimate(u, medians[u.Service], now) * float64(time.Second))
 	}
 }
--- a/internal/inflight/aggregator_test.go
+++ b/internal/inflight/aggregator_test.go
@@ -13,13 +13,13 @@
 	return a.PeerLoads(host, []string{id}, now)[0]
 }
 
-// A host receives the sum of the other hosts' latest reports, without its own.
-// Reports of hosts that stopped reporting, and upstreams that are no longer listed,
-// must be dropped: otherwise hosts would avoid an idle upstream.
+// A host receives the sum of the other hosts' latest load statistics, without its own.
+// Those of hosts that stopped sending them, and upstreams that are no longer in the
+// catalogue, must be dropped: otherwise hosts would avoid an idle upstream.
 func TestPeerLoadsSumLatestLoadStatsOfOtherHosts(t *testing.T) {
-	listed := catalogue.NewSnapshot(map[string]*catalogue.Upstream{"a": {ID: "a", Service: "s", Slots: 3}, "b": {ID: "b", Service: "s", Slots: 3}})
+	snapshot := catalogue.NewSnapshot(map[string]*catalogue.Upstream{"a": {ID: "a", Service: "s", Slots: 3}, "b": {ID: "b", Service: "s", Slots: 3}})
 	now := time.Unix(1000, 0)
-	a := New(func() *catalogue.Snapshot { return listed }, now)
+	a := New(func() *catalogue.Snapshot { return snapshot }, now)
 	a.Record("h1", []balance.LoadStats{{ID: "a", InFlight: 9}}, now)
 	a.Record("h1", []balance.LoadStats{{ID: "a", InFlight: 2}, {ID: "b", InFlight: 1}}, now)
 	a.Record("h2", []balance.LoadStats{{ID: "a", InFlight: 3}}, now)
@@ -34,20 +34,20 @@
 	later := now.Add(loadStatsTTL + time.Millisecond)
 	a.Record("h2", []balance.LoadStats{{ID: "a", InFlight: 4}}, later)
 	if got := peerLoad(a, "h3", "a", later).InFlight; got != 4 {
-		t.Errorf("%d in flight at a after the report of h1 expired, want h2's 4", got)
+		t.Errorf("%d in flight at a after the load statistics of h1 expired, want h2's 4", got)
 	}
-	listed = catalogue.NewSnapshot(map[string]*catalogue.Upstream{"b": listed.ByID["b"]})
+	snapshot = catalogue.NewSnapshot(map[string]*catalogue.Upstream{"b": snapshot.ByID["b"]})
 	if got := peerLoad(a, "h3", "a", later.Add(workTimeInterval)); got.ID != "" {
-		t.Errorf("received the load at an upstream that is no longer listed: %+v", got)
+		t.Errorf("received the load on an upstream that is no longer in the catalogue: %+v", got)
 	}
 }
 
 // Twenty hosts each receive one response from a slow and one from a fast upstream.
-// Their reports together must yield different work times.
+// Their load statistics together must yield different work times.
 func TestWorkTimesCombineLoadStatsOfHosts(t *testing.T) {
-	listed := catalogue.NewSnapshot(map[string]*catalogue.Upstream{"slow": {ID: "slow", Service: "s", Slots: 3}, "fast": {ID: "fast", Service: "s", Slots: 3}})
+	snapshot := catalogue.NewSnapshot(map[string]*catalogue.Upstream{"slow": {ID: "slow", Service: "s", Slots: 3}, "fast": {ID: "fast", Service: "s", Slots: 3}})
 	now := time.Unix(1000, 0)
-	a := New(func() *catalogue.Snapshot { return listed }, now)
+	a := New(func() *catalogue.Snapshot { return snapshot }, now)
 	for i := range 20 {
 		now = now.Add(200 * time.Millisecond)
 		a.Record(string(rune('a'+i)), []balance.LoadStats{{ID: "slow", Answered: 1, Latency: 500 * time.Millisecond},
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -22,7 +22,7 @@
 	slots      int
 	queueLimit int
 	speed      float64
-	// queueFull is how many requests found the queue full.
+	// queueFull is how many requests were not served because the queue was full.
 	queueFull int
 }
 
@@ -66,14 +66,14 @@
 	// load is the request rate as a fraction of the capacity of all upstreams.
 	load     float64
 	duration time.Duration
-	// shareLoads makes the hosts exchange their requests in flight.
+	// shareLoads makes the hosts exchange their load statistics.
 	shareLoads bool
 	// earlyPeriod is the time from the start in which requests also count as early.
 	earlyPeriod time.Duration
 }
 
-// results counts requests by outcome; rejected counts attempts that found an
-// upstream's queue full.
+// results counts requests by outcome. queueFull counts the attempts that failed because
+// an upstream's queue was full; a request may have several.
 type results struct {
 	inTime, late, refused, queueFull int
 	earlyInTime, early               int
@@ -140,18 +140,19 @@
 	return res
 }
 
-// reportInterval is how often a host reports its load and receives the others'.
+// exchangeInterval is how often a host sends its load statistics and receives the load
+// of the others.
 const exchangeInterval = 300 * time.Millisecond
 
-// exchangeLoads makes the hosts report one after another, each once per
-// reportInterval.
+// exchangeLoads makes the hosts send their load statistics one after another, each once
+// per exchangeInterval.
 func exchangeLoads(pickers []*balance.Picker, upstreams []*catalogue.Upstream, done chan struct{}) {
 	byID := map[string]*catalogue.Upstream{}
 	for _, u := range upstreams {
 		byID[u.ID] = u
 	}
-	listed := catalogue.NewSnapshot(byID)
-	agg := New(func() *catalogue.Snapshot { return listed }, time.Now())
+	snapshot := catalogue.NewSnapshot(byID)
+	agg := New(func() *catalogue.Snapshot { return snapshot }, time.Now())
 	for {
 		for i, b := range pickers {
 			select {
@@ -174,7 +175,7 @@
 	for range maxAttempts {
 		u := b.Pick(upstreams, c, time.Now())
 		if b.ExpectedLatency(u, time.Now()) > s.latencyObjective {
-			return false, time.Since(start) // the dispatcher refuses it, too
+			return false, time.Since(start) // the dispatcher refuses it if this is the first attempt
 		}
 		maxWait := max(s.latencyObjective/2-time.Since(start), 0)
 		ticket := b.Limiter(u.ID).Acquire(context.Background(), maxWait, admission.ShareOf(u.Slots, 0, s.hosts))
@@ -201,8 +202,8 @@
 }
 
 var (
-	// largeFleetDataCentre is one of the five data centres of a fleet of 300 hosts, smallFleet
-	// one of the three of a fleet of 12.
+	// largeFleetDataCentre is one of the five data centres of a fleet of 300 hosts,
+	// smallFleetDataCentre one of the three of a fleet of 12.
 	largeFleetDataCentre = simulation{hosts: 59, upstreams: 52, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 350 * time.Millisecond,
 		latencyObjective: time.Second, load: 0.7, duration: 20 * time.Second, earlyPeriod: 3 * time.Second}
 	smallFleetDataCentre = simulation{hosts: 4, upstreams: 4, slots: 3, speeds: []float64{0.7, 0.7, 1.6}, workTime: 290 * time.Millisecond,
@@ -218,10 +219,10 @@
 	return sum
 }
 
-// 59 hosts share 52 upstreams at 70% load, some of them more than twice as fast as
-// others; each host sends an upstream about one request in ten seconds. If all hosts
-// picked the best-looking upstream, they would pick the same one, and only 55% of the
-// requests would be in time. They must spread out, even without shared loads.
+// 59 hosts share 52 upstreams, some more than twice as fast as others, at 70% load; each
+// host sends an upstream about one request in ten seconds. Hosts must spread out, even
+// without shared loads. If all picked the upstream with the lowest expected latency, it
+// would be the same one, and little more than half of the requests would be in time.
 func TestLargeFleetSpreadsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := largeFleetDataCentre
@@ -241,10 +242,10 @@
 	})
 }
 
-// The same fleet receives 20% more requests than its upstreams have capacity for. If
-// hosts forward all of them, every queue fills up and only 32% of the responses are
-// in time. Hosts must refuse at once the requests that the loads of all hosts show to
-// be late, so that upstreams serve the others in time and rarely reject one.
+// The same data centre receives 20% more requests than its upstreams have capacity for.
+// If hosts forward all of them, every queue fills up and only about a third of the
+// responses are in time. Hosts must immediately refuse requests that would be late, given
+// the load of all hosts, so that most others are in time and few find a full queue.
 func TestOverloadedLargeFleetRefusesExcessRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := largeFleetDataCentre
@@ -255,14 +256,14 @@
 			t.Errorf("%d of %d in time", r.inTime, r.total())
 		}
 		if r.queueFull > r.total()*4/100 {
-			t.Errorf("%d rejected by full upstreams", r.queueFull)
+			t.Errorf("%d attempts found a full queue", r.queueFull)
 		}
 	})
 }
 
 // In a small fleet each host sends every upstream many requests and infers its load
-// from those. Shared loads must not make its choice worse: without them 99% of the
-// requests are in time at 70% load, and 71% at 120%.
+// from those. Exchanged load statistics must not make its choice worse: each bound is
+// one percentage point below the fraction of requests in time without them.
 func TestSharedLoadsDoNotHarmSmallFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := smallFleetDataCentre
@@ -283,7 +284,7 @@
 func (r *results) total() int { return r.inTime + r.late + r.refused }
 
 func (r *results) String() string {
-	return fmt.Sprintf("%d in time, %d late, %d refused, %d rejected by full upstreams", r.inTime, r.late, r.refused, r.queueFull)
+	return fmt.Sprintf("%d in time, %d late, %d refused, %d attempts found a full queue", r.inTime, r.late, r.refused, r.queueFull)
 }
 
 func (r *results) add(o results) {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,18 @@
 // Package peer implements the RPCs between entry hosts.
+//
+// The names in peerpb and the texts of the errors that a server returns are fixed.
+// Some names differ from the terms of this package:
+//
+//	Admit                          acquire permits (a host), issue permits (the planner)
+//	Retire                         retire the terms before the given one
+//	Eager                          fleet.Host.Candidate
+//	Planning                       the host is the planner
+//	SteadyMs                       FollowReply.LogReachableFor
+//	Using, UsingToken              balance.Subset.IDs, balance.Subset.Hash
+//	Uses, UpstreamUse              balance.LoadStats
+//	UnderWay                       InFlight in LoadStats and PeerLoad
+//	RestHosts, RestLeftMs          feedback.Notice.BackoffHosts, BackoffLeft
+//	Ended, EndedAgeMs              feedback.Notice.Crashed, CrashAge
 package peer
 
 import (
@@ -50,11 +64,11 @@
 	Positions map[metastore.Stream]int64
 	// Loads samples the requests that it received since its last call.
 	Loads []ServiceLoad
-	// LoadStats describes its requests at upstreams that any host may choose.
+	// LoadStats holds its load on upstreams of services without keys.
 	LoadStats []balance.LoadStats
 	// Subset lists the upstreams for which it wants the load of the other hosts.
 	Subset balance.Subset
-	// Notices holds the state that upstreams have reported.
+	// Notices holds what it knows of upstreams from reports and crashes.
 	Notices []feedback.Notice
 	// Wait is how long the callee may wait for new records before it replies.
 	Wait time.Duration
@@ -74,16 +88,16 @@
 	// Relay is the host to follow from now on (host:port); empty to stay with the
 	// callee.
 	Relay string
-	// PeerLoads is the load of the other hosts of the data centre at the requested
+	// PeerLoads is the load of the other hosts of the data centre on the requested
 	// upstreams; empty if the callee is in another data centre.
 	PeerLoads []balance.PeerLoad
-	// Notices holds the state that upstreams have reported to other hosts.
+	// Notices holds what the callee knows of upstreams beyond the notices in the request.
 	Notices []feedback.Notice
 }
 
-// ErrNoReplica means that the callee has no log replica that others can follow: it
-// reaches neither the planner nor the log service.
-var ErrNoReplica = errors.New("no log replica to follow")
+// ErrNoReplica means that the callee's log replica is not current: it is not the
+// planner, has not followed it recently and has not read the log service recently.
+var ErrNoReplica = errors.New("log replica is not current")
 
 // Follow sends this host's state to the host at addr (host:port), the planner or a
 // relay, and returns the log records that this host lacks.
@@ -159,8 +173,8 @@
 const maxKnownSubsets = 16
 
 // Retire requests that the host at addr (host:port), a previous planner, send no more
-// grants of a service in terms before the given one. It returns the name of that host
-// and whether no such grant is in flight any more.
+// grants of a service in terms before the given one. The host itself keeps running. It
+// returns the name of that host and whether no such grant is in flight any more.
 func (c *Client) Retire(ctx context.Context, addr, service string, term int64) (host string, retired bool, err error) {
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Retire(ctx, &peerpb.RetireRequest{Service: service, Term: term})
 	if err != nil {
@@ -229,7 +243,7 @@
 
 // ReplicaStatus says how current a host's log replica is.
 type ReplicaStatus struct {
-	// Planning is set on the planner, whose replica the others follow.
+	// Planning is set if the host is the planner, whose replica the others follow.
 	Planning bool
 	// Age and LogReachableFor are as in FollowReply.
 	Age, LogReachableFor time.Duration
@@ -237,23 +251,23 @@
 
 // Server handles calls from other hosts.
 type Server struct {
-	// Copy is this host's log replica.
+	// Copy is this host's replica of the log, which callers follow.
 	Copy *relay.Replica
 	// ReplicaStatus returns the status of the replica; false if this host is not the
-	// planner, has not followed it recently and does not read the log service itself.
+	// planner, has not followed it recently and has not read the log service recently.
 	ReplicaStatus func(now time.Time) (ReplicaStatus, bool)
 	// Fleet records each call.
 	Fleet *fleet.Fleet
 	// OnLoads receives the loads of each call.
 	OnLoads func([]ServiceLoad)
-	// OnLoadStats receives the caller's requests at upstreams. PeerLoads returns the
-	// load of the other hosts in the caller's data centre at each of the given upstreams.
+	// OnLoadStats receives the caller's load on upstreams. PeerLoads returns the load of
+	// the other hosts in the caller's data centre on each of the given upstreams.
 	OnLoadStats func(caller fleet.Host, loads []balance.LoadStats)
 	PeerLoads   func(caller fleet.Host, ids []string) []balance.PeerLoad
-	// Feedback tracks the state that upstreams have reported.
+	// Feedback tracks reports and crashes of upstreams.
 	Feedback *feedback.Tracker
-	// AcquirePermits issues permits for requests to an upstream with a rate limit; false
-	// if this host is not the planner.
+	// AcquirePermits issues permits to callers, for requests to an upstream with a rate
+	// limit; false if this host is not the planner.
 	AcquirePermits func(upstream string, perSecond float64, want int) (ratelimit.Permit, bool)
 	// Name is this host's name.
 	Name string
@@ -284,7 +298,7 @@
 // Follow implements peerpb.Peer.
 func (s *Server) Follow(ctx context.Context, m *peerpb.FollowRequest) (*peerpb.FollowReply, error) {
 	if _, ok := s.ReplicaStatus(time.Now()); !ok {
-		return nil, twirp.NewError(twirp.Unavailable, "this host is not the planner and does not follow it")
+		return nil, twirp.NewError(twirp.Unavailable, "this host is neither the planner nor does it follow one")
 	}
 	loads, err := decodeLoads(m.Loads)
 	if err != nil {
@@ -314,7 +328,8 @@
 	return reply, s.setReplyStatus(reply, caller)
 }
 
-// maxSubsets bounds the stored subsets, far above the number of hosts that follow one.
+// maxSubsets bounds the stored subsets; at the bound all are dropped, and callers send
+// theirs again. It is far above the number of hosts that follow the same host.
 const maxSubsets = 1024
 
 // subsetOf returns the upstreams for which the caller wants loads: those in the request,
@@ -341,7 +356,7 @@
 	now := time.Now()
 	status, ok := s.ReplicaStatus(now)
 	if !ok {
-		return twirp.NewError(twirp.Unavailable, "this host no longer follows the planner")
+		return twirp.NewError(twirp.Unavailable, "this host has lost the planner")
 	}
 	reply.AgeMs = uint32(status.Age.Milliseconds())
 	reply.SteadyMs = uint32(status.LogReachableFor.Milliseconds())
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -16,8 +16,8 @@
 	"github.com/papayatide/papayatide/rpc/peerpb"
 )
 
-// startServer starts a server that replies as the planner. Its load at an upstream is the
-// length of the upstream's ID; it has no data for the ID unknown.
+// startServer starts a server that replies as the planner. Its load on an upstream is the
+// length of the upstream's ID; it has no data for the ID "unknown".
 func startServer(t *testing.T) (addr string, s *Server) {
 	t.Helper()
 	s = &Server{Copy: relay.NewReplica(), Feedback: feedback.NewTracker(), Fleet: fleet.New("dc"), OnLoads: func([]ServiceLoad) {}, OnLoadStats: func(fleet.Host, []balance.LoadStats) {},
@@ -76,7 +76,7 @@
 	}
 }
 
-// Encoding and decoding must not change the load samples that a host reports, nor mix
+// Encoding and decoding must not change the load samples that a host sends, nor mix
 // up samples with and without an upstream.
 func TestFollowDeliversLoadsUnchanged(t *testing.T) {
 	addr, s := startServer(t)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -25,7 +25,7 @@
 // Target is the upstream that a request is sent to.
 type Target struct {
 	// ID is the upstream's ID, which identifies one incarnation. A different server at
-	// the same address refuses the request.
+	// the same address responds 421 Misdirected Request and does not run the request.
 	ID string
 	// Addr is the upstream's address (host:port).
 	Addr string
@@ -76,8 +76,8 @@
 	NewConn bool
 	// ConnectTime is how long opening the connection took.
 	ConnectTime time.Duration
-	// ConnRejected is set if the upstream reset or closed a new connection before
-	// anything was sent, usually because it has too many.
+	// ConnRejected is set if a new connection was reset or closed, or received data,
+	// before the request was sent; usually the upstream has too many connections.
 	ConnRejected bool
 	// Report is the state that the upstream reports in the response headers.
 	Report feedback.Report
@@ -85,8 +85,8 @@
 	Err error
 }
 
-// Misdirected reports whether the upstream refused the request because it is not the
-// expected one or does not own the request's key.
+// Misdirected reports whether the response is 421 Misdirected Request: the server is
+// not the expected upstream or does not own the request's key.
 func (r *Result) Misdirected() bool { return r.Status == http.StatusMisdirectedRequest }
 
 // Client sends requests to upstreams over persistent connections. It is safe for
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -17,8 +17,9 @@
 
 // Timings of connections to upstreams.
 const (
-	// dialTimeout bounds connecting. Hosts and upstreams are within 2 ms of each other
-	// and connecting takes 1 ms; the kernel retransmits a lost SYN only after a second.
+	// dialTimeout bounds connecting, which normally takes a few milliseconds at most.
+	// Waiting longer would help little: the kernel retransmits a lost SYN only after a
+	// second.
 	dialTimeout = 300 * time.Millisecond
 	// tcpUserTimeout is how long sent bytes may stay unacknowledged before the kernel
 	// closes the connection. Without it a network partition would block the request
@@ -116,8 +117,8 @@
 
 // checkRejected returns an error if the upstream resets or closes a new connection, or
 // sends data, within rejectionWindow. The request has not been sent by then and can be
-// retried. Written at once, its outcome would be unknown, and a request that is not
-// idempotent could not be retried.
+// retried. If the request were sent immediately, its outcome would be unknown, and a
+// request that is not idempotent could not be retried.
 func (c *conn) checkRejected() error {
 	if err := c.SetReadDeadline(time.Now().Add(rejectionWindow)); err != nil {
 		return err
@@ -135,8 +136,8 @@
 var errUnexpectedBytes = errors.New("received data before sending a request")
 
 // abort resets the connection. After an orderly close the kernel would still send a
-// request that is queued behind a network partition, and the upstream would run it
-// long after its caller received an outcome.
+// request that a network partition holds in the socket's send buffer, and the upstream
+// would run it long after its caller received an outcome.
 func (c *conn) abort() {
 	if tc, ok := c.Conn.(*net.TCPConn); ok {
 		// On failure, Close below still closes the connection.
