--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -27,10 +27,10 @@
 	header     http.Header
 	// err is set if no complete response arrived.
 	err error
-	// canceled is set if the caller may have canceled the request. Fatal requests
+	// responseOptional is set if the caller may have canceled the request. Fatal requests
 	// set it, too: no check expects a response to them.
-	canceled     bool
-	began, ended time.Time
+	responseOptional bool
+	began, ended     time.Time
 }
 
 const (
@@ -113,7 +113,7 @@
 		hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: callerTimeout}
 		for range requestsPerConnection {
 			o := c.sendRequest(ctx, hc, h, r)
-			o.canceled = o.canceled || ctx.Err() != nil
+			o.responseOptional = o.responseOptional || ctx.Err() != nil
 			c.record(o)
 			if o.err != nil || strings.EqualFold(o.header.Get("Connection"), "close") {
 				break
@@ -142,15 +142,15 @@
 // sendRequest sends a random request through the host and returns its outcome.
 func (c *callers) sendRequest(ctx context.Context, hc *http.Client, h *Host, r *rand.Rand) *outcome {
 	o := &outcome{id: fmt.Sprint("q-", c.lastID.Add(1)), host: h, began: time.Now()}
-	method, vhost := http.MethodPost, plainHost
+	method, vhost := http.MethodPost, unkeyedVHost
 	switch x := r.Float64(); {
 	case x < readShare:
-		method, vhost, o.idempotent = http.MethodGet, readHost, true
+		method, vhost, o.idempotent = http.MethodGet, readVHost, true
 	case x < readShare+chargeShare:
-		vhost = chargeHost
+		vhost = chargeVHost
 	}
 	if r.IntN(cancelOneIn) == 0 {
-		o.canceled = true
+		o.responseOptional = true
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(r.IntN(int(2*workTime))))
 		defer cancel()
@@ -181,7 +181,7 @@
 	}
 	req.Host = vhost
 	req.Header.Set(platform.Headers.RequestID, o.id)
-	if vhost != plainHost {
+	if vhost != unkeyedVHost {
 		req.Header.Set(platform.Headers.Key, strconv.Itoa(key))
 	}
 	resp, err := hc.Do(req)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -16,20 +16,20 @@
 	timeoutSlack = 500 * time.Millisecond
 )
 
-// execution is how often one request ran, and the upstream at which it ran last.
-type execution struct {
+// requestRuns is how often one request ran, and the upstream at which it ran last.
+type requestRuns struct {
 	count      int
 	upstreamID string
 }
 
-// executions returns the executions of every request that ran, by request ID.
-func (env *Environment) executions() map[string]execution {
+// runsByRequest returns the executions of every request that ran, by request ID.
+func (env *Environment) runsByRequest() map[string]requestRuns {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	out := map[string]execution{}
+	out := map[string]requestRuns{}
 	for _, inc := range env.incarnations {
 		for id, n := range inc.Runs() {
-			out[id] = execution{out[id].count + n, inc.ID}
+			out[id] = requestRuns{out[id].count + n, inc.ID}
 		}
 	}
 	return out
@@ -37,12 +37,12 @@
 
 // checkOutcomes returns the violations that single outcomes show, late responses and
 // requests that ran without being sent.
-func checkOutcomes(outcomes []*outcome, runs map[string]execution, in *injector) []string {
+func checkOutcomes(outcomes []*outcome, runs map[string]requestRuns, in *injector) []string {
 	var bad []string
 	sent := map[string]bool{}
 	// Of responses slower than the timeout, due counts those without a fault
 	// nearby, late those of them beyond timeoutSlack.
-	late, due := 0, 0
+	late, slow := 0, 0
 	for _, o := range outcomes {
 		sent[o.id] = true
 		r := runs[o.id]
@@ -53,14 +53,14 @@
 			bad = append(bad, fmt.Sprintf("%s: LOST: %s, forwarded by %s, which stopped as planned, has no response: %v", o.began.Format(timestampFormat), o.id, o.host.Name, o.err))
 		}
 		if took := o.ended.Sub(o.began); took > routeTimeout && in.faultFree(o.host, o.began.Add(-settleTime), o.ended, "") {
-			due++
+			slow++
 			if took > routeTimeout+timeoutSlack {
 				late++
 			}
 		}
 	}
-	if late >= 8 && late > due/4 {
-		bad = append(bad, fmt.Sprintf("TIMEOUT: %d of %d requests had no response %v after their timeout", late, due, timeoutSlack))
+	if late >= 8 && late > slow/4 {
+		bad = append(bad, fmt.Sprintf("TIMEOUT: %d of %d requests had no response %v after their timeout", late, slow, timeoutSlack))
 	}
 	for id := range runs {
 		if !sent[id] && strings.HasPrefix(id, "q-") {
@@ -72,7 +72,7 @@
 
 // violations returns the guarantees that the outcome of a request violates, given
 // its executions.
-func (o *outcome) violations(r execution) []string {
+func (o *outcome) violations(r requestRuns) []string {
 	var bad []string
 	if !o.idempotent && r.count > 1 {
 		bad = append(bad, fmt.Sprintf("TWICE: ran %d times", r.count))
@@ -104,9 +104,9 @@
 
 // interruptedByStop reports whether the host forwarded the request and broke it off
 // because of a planned stop, with no other fault nearby.
-func (o *outcome) interruptedByStop(r execution, in *injector) bool {
+func (o *outcome) interruptedByStop(r requestRuns, in *injector) bool {
 	stop := "stop " + o.host.Name
-	if o.err == nil || o.canceled || r.count == 0 || !in.faultFree(o.host, o.began.Add(-settleTime), o.ended, stop) {
+	if o.err == nil || o.responseOptional || r.count == 0 || !in.faultFree(o.host, o.began.Add(-settleTime), o.ended, stop) {
 		return false
 	}
 	return !in.faultFree(o.host, o.began, o.ended, "")
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -24,17 +24,17 @@
 const nearDC, farDC = "dc", "far"
 
 const (
-	keyedService, plainService = "keyed", "plain"
-	readHost, chargeHost       = "read.example", "charge.example"
-	plainHost                  = "plain.example"
+	keyedService, unkeyedService = "keyed", "plain"
+	readVHost, chargeVHost       = "read.example", "charge.example"
+	unkeyedVHost                 = "plain.example"
 	// routeTimeout is the request timeout of every route. Latency objectives are
 	// half of it.
 	routeTimeout = time.Second
 	// workTime is how long an upstream takes to run a request.
 	workTime = 20 * time.Millisecond
-	// clockSkew is the factor by which an upstream exceeds the TTL of each grant:
+	// clockDriftFactor is the factor by which an upstream exceeds the TTL of each grant:
 	// its clock may run 2% slow.
-	clockSkew = 1.02
+	clockDriftFactor = 1.02
 	// resumeGrace is how long after the resume of any host a conflicting grant counts
 	// as decided by that host before its pause, and not as a violation.
 	resumeGrace = 300 * time.Millisecond
@@ -92,7 +92,7 @@
 
 // newEnvironment starts the log service and the given numbers of keyed and plain
 // upstreams, every other one in farDC, and publishes the first desired state.
-func newEnvironment(keyed, plain int, slow desired.SlowStart) (*Environment, error) {
+func newEnvironment(keyed, unkeyed int, slow desired.SlowStart) (*Environment, error) {
 	env := &Environment{log: memstore.New(), slowStart: slow}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -101,10 +101,10 @@
 	env.logAddr = ln.Addr().String()
 	env.logSrv = &http.Server{Handler: standin.Log{Log: env.log}}
 	go func() { _ = env.logSrv.Serve(ln) }()
-	for i := range keyed + plain {
+	for i := range keyed + unkeyed {
 		service := keyedService
 		if i >= keyed {
-			service = plainService
+			service = unkeyedService
 		}
 		if err := env.addEndpoint(service); err != nil {
 			return nil, err
@@ -150,8 +150,8 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.version++
-	doc, err := standin.DesiredRecord(env.version, []standin.Route{{Host: readHost, Service: keyedService, Idempotent: true},
-		{Host: chargeHost, Service: keyedService}, {Host: plainHost, Service: plainService}}, map[string]bool{keyedService: true}, routeTimeout, env.slowStart)
+	doc, err := standin.DesiredRecord(env.version, []standin.Route{{Host: readVHost, Service: keyedService, Idempotent: true},
+		{Host: chargeVHost, Service: keyedService}, {Host: unkeyedVHost, Service: unkeyedService}}, map[string]bool{keyedService: true}, routeTimeout, env.slowStart)
 	if err != nil {
 		return eris.Wrap(err, "desired state")
 	}
@@ -182,7 +182,7 @@
 	go func() { _ = inc.srv.Serve(ln) }()
 	ep.current = inc
 	env.incarnations = append(env.incarnations, inc)
-	ep.proxy.SetTarget(ln.Addr().String())
+	ep.proxy.SetServer(ln.Addr().String())
 	env.writeEntry(inc, false)
 	return nil
 }
@@ -280,7 +280,7 @@
 		a.env.violations = append(a.env.violations, fmt.Sprintf("%s: OWNER: keys %d to %d granted to %s (token %d) while %s holds some of them",
 			time.Now().Format(timestampFormat), r.From, r.To, a.inc.ID, r.FencingToken, other.ID))
 	}
-	return a.inc.Upstream.Grant(r, time.Duration(clockSkew*float64(d)))
+	return a.inc.Upstream.Grant(r, time.Duration(clockDriftFactor*float64(d)))
 }
 
 // Release implements standin.Grantee.
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -31,7 +31,7 @@
 // Host header, by which hosts choose the route.
 type crash struct {
 	at               time.Time
-	requestID, route string
+	requestID, vhost string
 }
 
 // crashUpstream kills the upstream if the request is fatal, starts it again after its
@@ -68,10 +68,10 @@
 	r := rand.New(rand.NewPCG(seed, 7))
 	hc := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callerTimeout}
 	for ctx.Err() == nil {
-		o := &outcome{id: fmt.Sprint("q-", c.lastID.Add(1)), host: c.pickHost(r), began: time.Now(), canceled: true}
-		method, vhost := http.MethodPost, plainHost
+		o := &outcome{id: fmt.Sprint("q-", c.lastID.Add(1)), host: c.pickHost(r), began: time.Now(), responseOptional: true}
+		method, vhost := http.MethodPost, unkeyedVHost
 		if o.idempotent = r.IntN(2) == 0; o.idempotent {
-			method, vhost = http.MethodGet, readHost
+			method, vhost = http.MethodGet, readVHost
 		}
 		var body io.Reader
 		if method == http.MethodPost {
@@ -86,27 +86,27 @@
 
 // checkFatalRequests returns the fatal requests that crashed too many upstreams.
 func (in *injector) checkFatalRequests(outcomes []*outcome) []string {
-	through := map[string]*Host{}
+	hostOf := map[string]*Host{}
 	for _, o := range outcomes {
-		through[o.id] = o.host
+		hostOf[o.id] = o.host
 	}
-	byRoute := map[string][]crash{}
-	for _, e := range in.crashes {
-		byRoute[e.route] = append(byRoute[e.route], e)
+	byVHost := map[string][]crash{}
+	for _, c := range in.crashes {
+		byVHost[c.vhost] = append(byVHost[c.vhost], c)
 	}
 	var bad []string
-	for route, crashes := range byRoute {
+	for vhost, crashes := range byVHost {
 		if len(crashes) <= maxFatalCrashes {
 			continue
 		}
 		limitReached, late := crashes[maxFatalCrashes-1].at, 0
-		for _, e := range crashes[maxFatalCrashes:] {
-			if e.at.Sub(limitReached) > settleTime && in.hostAndLogFaultFree(through[e.requestID], e.at.Add(-settleTime), e.at) {
+		for _, c := range crashes[maxFatalCrashes:] {
+			if c.at.Sub(limitReached) > settleTime && in.hostAndLogFaultFree(hostOf[c.requestID], c.at.Add(-settleTime), c.at) {
 				late++
 			}
 		}
 		if late > maxLateCrashes {
-			bad = append(bad, fmt.Sprintf("BUDGET: the fatal request to %s had crashed %d upstreams and crashed %d more", route, maxFatalCrashes, late))
+			bad = append(bad, fmt.Sprintf("BUDGET: the fatal request to %s had crashed %d upstreams and crashed %d more", vhost, maxFatalCrashes, late))
 		}
 	}
 	return bad
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -68,7 +68,7 @@
 	{"front link", (*injector).frontLink},
 	{"log link", (*injector).logLink},
 	{"upstream link", (*injector).upstreamLink},
-	{"log outage", (*injector).logOutage},
+	{"log outage", (*injector).faultLogService},
 	{"new desired state", (*injector).publishDesired},
 }
 
@@ -243,17 +243,17 @@
 		delay := in.randomDuration(5*time.Millisecond, 80*time.Millisecond)
 		in.runFault("delay "+name, h, p, d, func() { p.SetDelay(delay) }, func() { p.SetDelay(0) })
 	case 2:
-		in.runFault("silence "+name, h, p, d, func() { p.Cut(toTarget, toCaller) }, heal)
+		in.runFault("silence "+name, h, p, d, func() { p.Cut(toServer, toClient) }, heal)
 	case 3:
-		in.runFault("cut to caller "+name, h, p, d, func() { p.Cut(toCaller) }, heal)
+		in.runFault("cut to caller "+name, h, p, d, func() { p.Cut(toClient) }, heal)
 	case 4:
-		in.runFault("cut to target "+name, h, p, d, func() { p.Cut(toTarget) }, heal)
+		in.runFault("cut to target "+name, h, p, d, func() { p.Cut(toServer) }, heal)
 	}
 }
 
-// logOutage compacts the log or makes the log service fail for a while. During an
+// faultLogService compacts the log or makes the log service fail for a while. During an
 // outage all entries of upstreams expire; they are written again soon after its end.
-func (in *injector) logOutage(context.Context) {
+func (in *injector) faultLogService(context.Context) {
 	log := in.env.log
 	restoreAfter := in.randomDuration(200*time.Millisecond, 1800*time.Millisecond)
 	switch in.rng.IntN(3) {
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -16,9 +16,9 @@
 type Proxy struct {
 	ln net.Listener
 
-	mu     sync.Mutex
-	target string
-	delay  time.Duration
+	mu         sync.Mutex
+	serverAddr string
+	delay      time.Duration
 	// cut holds the directions whose data is dropped.
 	cut   map[direction]bool
 	conns map[*proxyConn]bool
@@ -27,32 +27,32 @@
 type direction int
 
 const (
-	toTarget direction = iota
-	toCaller
+	toServer direction = iota
+	toClient
 )
 
 // proxyConn is one connection through the proxy. Once data of it was dropped it is
 // broken: the proxy delivers no more of it and resets it when the cut ends.
 type proxyConn struct {
-	caller, target *net.TCPConn
+	client, server *net.TCPConn
 	broken         bool
 }
 
 // reset closes both sides with a TCP reset.
 func (conn *proxyConn) reset() {
-	for _, c := range []*net.TCPConn{conn.caller, conn.target} {
+	for _, c := range []*net.TCPConn{conn.client, conn.server} {
 		_ = c.SetLinger(0)
 		_ = c.Close()
 	}
 }
 
 // NewProxy starts a proxy that listens at addr and forwards to target.
-func NewProxy(addr, target string) (*Proxy, error) {
+func NewProxy(addr, serverAddr string) (*Proxy, error) {
 	ln, err := ports.Listen(addr)
 	if err != nil {
 		return nil, eris.Wrap(err, "proxy")
 	}
-	p := &Proxy{ln: ln, target: target, cut: map[direction]bool{}, conns: map[*proxyConn]bool{}}
+	p := &Proxy{ln: ln, serverAddr: serverAddr, cut: map[direction]bool{}, conns: map[*proxyConn]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -60,10 +60,10 @@
 // Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// SetTarget forwards new connections to addr and resets the existing ones.
-func (p *Proxy) SetTarget(addr string) {
+// SetServer forwards new connections to addr and resets the existing ones.
+func (p *Proxy) SetServer(addr string) {
 	p.mu.Lock()
-	p.target = addr
+	p.serverAddr = addr
 	p.mu.Unlock()
 	p.Reset()
 }
@@ -119,24 +119,24 @@
 	}
 }
 
-func (p *Proxy) serve(caller *net.TCPConn) {
+func (p *Proxy) serve(client *net.TCPConn) {
 	p.mu.Lock()
-	addr := p.target
+	addr := p.serverAddr
 	p.mu.Unlock()
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
 		// A port without a listener resets a connection, and so does the proxy.
-		_ = caller.SetLinger(0)
-		_ = caller.Close()
+		_ = client.SetLinger(0)
+		_ = client.Close()
 		return
 	}
-	conn := &proxyConn{caller: caller, target: c.(*net.TCPConn)}
+	conn := &proxyConn{client: client, server: c.(*net.TCPConn)}
 	p.mu.Lock()
 	p.conns[conn] = true
 	p.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pump(conn, caller, conn.target, toTarget) })
-	wg.Go(func() { p.pump(conn, conn.target, caller, toCaller) })
+	wg.Go(func() { p.pump(conn, client, conn.server, toServer) })
+	wg.Go(func() { p.pump(conn, conn.server, client, toClient) })
 	wg.Wait()
 	p.mu.Lock()
 	delete(p.conns, conn)
@@ -158,8 +158,8 @@
 			}
 		}
 		if errors.Is(err, io.EOF) && !p.isBroken(conn) {
-			_ = conn.caller.Close()
-			_ = conn.target.Close()
+			_ = conn.client.Close()
+			_ = conn.server.Close()
 			return
 		}
 		if err != nil {
--- a/internal/soak/reports.go
+++ b/internal/soak/reports.go
@@ -65,11 +65,11 @@
 // reportLeaving has the endpoint's current incarnation report that it is leaving, kills
 // it after leavingTime and starts the next one. If listed is set, its entry is marked
 // as leaving, too.
-func (in *injector) reportLeaving(ep *endpoint, listed bool) {
+func (in *injector) reportLeaving(ep *endpoint, markEntry bool) {
 	in.runFault("upstream "+ep.proxy.Addr()+" reports that it leaves", nil, ep, leavingTime,
 		func() {
 			inc := in.startReport(ep, rangeowner.Report{Leaving: true})
-			if listed {
+			if markEntry {
 				in.env.writeEntry(inc, true)
 			}
 		},
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -23,10 +23,10 @@
 	Dir string
 	// Seed seeds the random generators of faults and requests.
 	Seed uint64
-	// Faults is how long faults are injected.
-	Faults time.Duration
-	// CrashRequests adds fatal requests: each crashes the upstream that runs it.
-	CrashRequests bool
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
+	// FatalRequests adds fatal requests: each crashes the upstream that runs it.
+	FatalRequests bool
 	// Evacuate adds evacuations of the far data centre, whose upstreams become
 	// cold meanwhile, and slow starts of upstreams that restart.
 	Evacuate bool
@@ -34,11 +34,11 @@
 	Reports bool
 	// Hosts, Keyed, Plain and Callers are the numbers of entry hosts, keyed
 	// upstreams, other upstreams and callers.
-	Hosts, Keyed, Plain, Callers int
+	Hosts, Keyed, Unkeyed, Callers int
 }
 
-// Report is the result of a run.
-type Report struct {
+// Result is the result of a run.
+type Result struct {
 	// Violations describe the guarantees that did not hold.
 	Violations []string
 	// Faults describe the injected faults in the order in which they began.
@@ -63,12 +63,12 @@
 
 // Run starts the hosts and the environment, makes one run with the given options and
 // stops everything. An error means that the run could not start.
-func Run(ctx context.Context, opts Options) (*Report, error) {
+func Run(ctx context.Context, opts Options) (*Result, error) {
 	slow := desired.SlowStart{}
 	if opts.Evacuate {
 		slow = slowStart
 	}
-	env, err := newEnvironment(opts.Keyed, opts.Plain, slow)
+	env, err := newEnvironment(opts.Keyed, opts.Unkeyed, slow)
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 
 // runScenario runs callers and faults, waits for the recovery, lets the callers run on
 // for quietPeriod and checks the outcomes.
-func runScenario(ctx context.Context, opts Options, env *Environment, hosts []*Host) *Report {
+func runScenario(ctx context.Context, opts Options, env *Environment, hosts []*Host) *Result {
 	cctx, stopCallers := context.WithCancel(ctx)
 	defer stopCallers()
 	c := &callers{hosts: hosts}
@@ -114,8 +114,8 @@
 	}
 	in := &injector{env: env, hosts: hosts, rng: rand.New(rand.NewPCG(opts.Seed, 1)), forgeSeed: opts.Seed,
 		downtimeRNG: rand.New(rand.NewPCG(opts.Seed, 3)), busy: map[any]bool{}}
-	fctx, cancel := context.WithTimeout(ctx, opts.Faults)
-	if opts.CrashRequests {
+	fctx, cancel := context.WithTimeout(ctx, opts.FaultDuration)
+	if opts.FatalRequests {
 		// The crashes count as faults, so the requests stop when the faults stop.
 		env.setCrashOn(in.crashUpstream)
 		in.wg.Go(func() { c.sendFatalRequests(fctx, opts.Seed) })
@@ -131,7 +131,7 @@
 	if opts.Evacuate {
 		sleep(ctx, slowStart.Duration+heartbeatInterval) // the upstreams that became cold last are warm then
 	}
-	r := &Report{}
+	r := &Result{}
 	took, key := awaitServed(hosts, recoveryTimeout)
 	r.Recovered = took
 	if key >= 0 {
@@ -146,7 +146,7 @@
 }
 
 // summarize counts and checks the outcomes and adds the results to the report.
-func (r *Report) summarize(c *callers, env *Environment, in *injector, quietFrom time.Time) {
+func (r *Result) summarize(c *callers, env *Environment, in *injector, quietFrom time.Time) {
 	quiet, quietServed := 0, 0
 	for _, o := range c.outcomes {
 		r.Requests++
@@ -154,7 +154,7 @@
 		if ok {
 			r.Served++
 		}
-		if o.began.After(quietFrom) && !o.canceled {
+		if o.began.After(quietFrom) && !o.responseOptional {
 			quiet++
 			if ok {
 				quietServed++
@@ -164,7 +164,7 @@
 	if float64(quietServed) < minServedShare*float64(quiet) {
 		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: %d of %d requests served in the quiet period after the faults", quietServed, quiet))
 	}
-	r.Violations = append(r.Violations, checkOutcomes(c.outcomes, env.executions(), in)...)
+	r.Violations = append(r.Violations, checkOutcomes(c.outcomes, env.runsByRequest(), in)...)
 	r.Violations = append(r.Violations, in.checkFatalRequests(c.outcomes)...)
 	r.Violations = append(r.Violations, in.checkColdUpstreams()...)
 	r.Violations = append(r.Violations, in.checkReports(c.outcomes)...)
@@ -193,7 +193,7 @@
 	for i := 0; i < probedKeys*len(hosts); {
 		o := &outcome{id: fmt.Sprint("probe-", time.Now().UnixNano()), host: hosts[i%len(hosts)]}
 		key := i / len(hosts) * (ownership.KeySpaceSize / probedKeys)
-		o.roundTrip(context.Background(), hc, http.MethodGet, readHost, normalPath, nil, key)
+		o.roundTrip(context.Background(), hc, http.MethodGet, readVHost, normalPath, nil, key)
 		if o.err == nil && o.status == http.StatusOK {
 			i++
 			continue
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -106,7 +106,7 @@
 			t.Fatal(err)
 		}
 	}
-	r, err := Run(context.Background(), Options{Binary: binary, Dir: dir, Seed: cfg.seed, CrashRequests: cfg.fatal, Evacuate: cfg.evacuate, Reports: cfg.reports, Faults: *faultTime, Hosts: 4, Keyed: 4, Plain: 2, Callers: 12})
+	r, err := Run(context.Background(), Options{Binary: binary, Dir: dir, Seed: cfg.seed, FatalRequests: cfg.fatal, Evacuate: cfg.evacuate, Reports: cfg.reports, FaultDuration: *faultTime, Hosts: 4, Keyed: 4, Unkeyed: 2, Callers: 12})
 	if err != nil {
 		t.Fatal(err)
 	}
