--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -27,8 +27,8 @@
 	header     http.Header
 	// err is set if no complete response arrived.
 	err error
-	// responseOptional is set if the caller may have canceled the request. Fatal requests
-	// set it, too: no check expects a response to them.
+	// responseOptional is set if no check requires a response: the caller may have
+	// canceled the request, or the request is fatal.
 	responseOptional bool
 	began, ended     time.Time
 }
@@ -132,7 +132,7 @@
 }
 
 // readShare and chargeShare are the shares of reads, which are idempotent, and of
-// charges, which are not; the rest goes to the plain service. One request in
+// charges, which are not; the rest goes to the service without keys. One request in
 // cancelOneIn is canceled early.
 const (
 	readShare, chargeShare = 0.5, 0.3
@@ -172,7 +172,7 @@
 const normalPath = "/x"
 
 // roundTrip sends the request once and stores its result in o. The request has a key
-// unless it goes to the plain service.
+// unless it goes to unkeyedService.
 func (o *outcome) roundTrip(ctx context.Context, hc *http.Client, method, vhost, path string, body io.Reader, key int) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+o.host.Front.Addr()+path, body)
 	if err != nil {
@@ -192,7 +192,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		o.err = errors.Join(errors.New("response broke off"), err)
+		o.err = errors.Join(errors.New("response body interrupted"), err)
 		return
 	}
 	o.status, o.header, o.body = resp.StatusCode, resp.Header, string(data)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -16,13 +16,14 @@
 	timeoutSlack = 500 * time.Millisecond
 )
 
-// requestRuns is how often one request ran, and the upstream at which it ran last.
+// requestRuns is how often one request ran, and the ID of the upstream that ran it;
+// if several incarnations ran it, of the one that started last.
 type requestRuns struct {
 	count      int
 	upstreamID string
 }
 
-// runsByRequest returns the executions of every request that ran, by request ID.
+// runsByRequest returns the runs of every request that ran, by request ID.
 func (env *Environment) runsByRequest() map[string]requestRuns {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -40,8 +41,8 @@
 func checkOutcomes(outcomes []*outcome, runs map[string]requestRuns, in *injector) []string {
 	var bad []string
 	sent := map[string]bool{}
-	// Of responses slower than the timeout, due counts those without a fault
-	// nearby, late those of them beyond timeoutSlack.
+	// slow counts the requests that took longer than the timeout without a fault
+	// nearby, late those of them that took over timeoutSlack longer.
 	late, slow := 0, 0
 	for _, o := range outcomes {
 		sent[o.id] = true
@@ -50,7 +51,7 @@
 			bad = append(bad, fmt.Sprintf("%s: %s: %s through %s", o.began.Format(timestampFormat), b, o.id, o.host.Name))
 		}
 		if o.interruptedByStop(r, in) {
-			bad = append(bad, fmt.Sprintf("%s: LOST: %s, forwarded by %s, which stopped as planned, has no response: %v", o.began.Format(timestampFormat), o.id, o.host.Name, o.err))
+			bad = append(bad, fmt.Sprintf("%s: LOST: %s, forwarded by %s, which was shutting down gracefully, has no response: %v", o.began.Format(timestampFormat), o.id, o.host.Name, o.err))
 		}
 		if took := o.ended.Sub(o.began); took > routeTimeout && in.faultFree(o.host, o.began.Add(-settleTime), o.ended, "") {
 			slow++
@@ -60,7 +61,7 @@
 		}
 	}
 	if late >= 8 && late > slow/4 {
-		bad = append(bad, fmt.Sprintf("TIMEOUT: %d of %d requests had no response %v after their timeout", late, slow, timeoutSlack))
+		bad = append(bad, fmt.Sprintf("TIMEOUT: %d of %d requests that exceeded the timeout without a fault nearby exceeded it by over %v", late, slow, timeoutSlack))
 	}
 	for id := range runs {
 		if !sent[id] && strings.HasPrefix(id, "q-") {
@@ -71,7 +72,7 @@
 }
 
 // violations returns the guarantees that the outcome of a request violates, given
-// its executions.
+// how often it ran.
 func (o *outcome) violations(r requestRuns) []string {
 	var bad []string
 	if !o.idempotent && r.count > 1 {
@@ -90,7 +91,7 @@
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		if !o.idempotent && r.count > 0 {
-			bad = append(bad, fmt.Sprintf("REFUSED: refused as not run, but ran at %s: %q", r.upstreamID, o.body))
+			bad = append(bad, fmt.Sprintf("REFUSED: refused, but ran at %s: %q", r.upstreamID, o.body))
 		}
 		if o.header.Get("Retry-After") == "" {
 			bad = append(bad, "refused without Retry-After")
@@ -102,8 +103,8 @@
 	return bad
 }
 
-// interruptedByStop reports whether the host forwarded the request and broke it off
-// because of a planned stop, with no other fault nearby.
+// interruptedByStop reports whether the host forwarded the request and interrupted it by
+// a graceful shutdown, with no other fault nearby.
 func (o *outcome) interruptedByStop(r requestRuns, in *injector) bool {
 	stop := "stop " + o.host.Name
 	if o.err == nil || o.responseOptional || r.count == 0 || !in.faultFree(o.host, o.began.Add(-settleTime), o.ended, stop) {
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,8 +1,8 @@
 // Package soak tests entry hosts under random faults. It runs them as separate
-// processes and injects faults from outside: loopback proxies delay, reset and cut
-// connections or silently drop their data, signals stop, pause and kill the
-// processes, upstreams crash and restart, and the log service fails. Faults are
-// drawn from a seed; they follow one another and overlap.
+// processes and injects faults from outside: loopback proxies delay or reset
+// connections or silently drop their data in one or both directions, signals stop,
+// pause and kill the processes, upstreams crash and restart, and the log service
+// fails. Faults are drawn from a seed; they follow one another and overlap.
 //
 // Callers send requests throughout. During the run and after it the package checks
 // their responses and the requests that upstreams received against the guarantees of
@@ -14,15 +14,20 @@
 //	OWNER     two upstreams hold a key at once
 //	TWICE     a non-idempotent request ran more than once
 //	REFUSED   a refused non-idempotent request ran
-//	MIXED     a response belongs to another request, or a success is unsigned or did
-//	          not run
-//	DENIED    a response has a status that no host or upstream should have sent
-//	LOST      a planned stop of a host broke off a request that it had forwarded
+//	MIXED     a response has the ID of another request, or has status 200 although its
+//	          body is that of another request, it is unsigned or the request did not
+//	          run
+//	DENIED    a response has a status that no host or upstream should send
+//	LOST      the graceful shutdown of a host interrupted a request that it had
+//	          forwarded
 //	TIMEOUT   too many responses come long after the request timeout
 //	UNASKED   an upstream ran a request that no caller sent
 //	EVAC      a request reached an evacuated data centre
-//	FAILBACK  a cold upstream received too many requests in a second
+//	FAILBACK  a cold upstream received too many requests in a second; upstreams are
+//	          cold after a restart and after a long evacuation of their data centre
 //	LIMIT     an upstream received more requests than the rate limit that it reports
-//	DRAIN     a request reached an upstream that had reported that it is leaving
-//	BUDGET    a fatal request crashed too many upstreams, or a host ignored a backoff
+//	DRAIN     a request reached an upstream through a host that had received its report
+//	          of leaving more than rangeowner.DrainGrace before the request began
+//	BUDGET    a fatal request crashed too many upstreams, or a host sent too many
+//	          requests to an upstream during its backoff
 package soak
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -24,11 +24,15 @@
 const nearDC, farDC = "dc", "far"
 
 const (
+	// Requests to keyedService have a key, those to unkeyedService have none.
+	// readVHost and chargeVHost are the Host headers of the idempotent and the
+	// non-idempotent route to keyedService, unkeyedVHost is that of the only route
+	// to unkeyedService.
 	keyedService, unkeyedService = "keyed", "plain"
 	readVHost, chargeVHost       = "read.example", "charge.example"
 	unkeyedVHost                 = "plain.example"
-	// routeTimeout is the request timeout of every route. Latency objectives are
-	// half of it.
+	// routeTimeout is the request timeout of every route. standin.DesiredRecord
+	// sets the latency objectives to half of it.
 	routeTimeout = time.Second
 	// workTime is how long an upstream takes to run a request.
 	workTime = 20 * time.Millisecond
@@ -83,15 +87,16 @@
 	// slowStart applies to upstreams that start or become cold during the run.
 	slowStart desired.SlowStart
 	// crashOn, if set, is called when an upstream begins to run a request. It
-	// returns true if the request crashed the upstream.
+	// returns true if it has crashed the upstream.
 	crashOn func(*incarnation, *http.Request) bool
 	// lastResume is when a host was last resumed after a pause.
 	lastResume time.Time
 	violations []string
 }
 
-// newEnvironment starts the log service and the given numbers of keyed and plain
-// upstreams, every other one in farDC, and publishes the first desired state.
+// newEnvironment starts the log service and the given numbers of upstreams of
+// keyedService and unkeyedService, every other one in farDC, and publishes the first
+// desired state.
 func newEnvironment(keyed, unkeyed int, slow desired.SlowStart) (*Environment, error) {
 	env := &Environment{log: memstore.New(), slowStart: slow}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -130,14 +135,16 @@
 	return env.startUpstream(ep)
 }
 
-// setCrashOn sets the function that decides whether a request crashes its upstream.
+// setCrashOn sets the function that is called when an upstream begins to run a request.
+// The function may crash the upstream and then returns true.
 func (env *Environment) setCrashOn(f func(*incarnation, *http.Request) bool) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.crashOn = f
 }
 
-// crashedBy reports whether the request crashed the upstream that began to run it.
+// crashedBy calls crashOn, if it is set, when the upstream begins to run the request. It
+// reports whether that crashed the upstream.
 func (env *Environment) crashedBy(inc *incarnation, r *http.Request) bool {
 	env.mu.Lock()
 	f := env.crashOn
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// awaitLog returns when the log service is up. After an outage it returns up to one
-// heartbeatInterval late, in which the hosts read the records that they missed.
+// awaitLog waits until the log service is up. It polls every heartbeatInterval, so after
+// an outage the hosts usually have time to read the records that they missed.
 func (in *injector) awaitLog(ctx context.Context) {
 	for ctx.Err() == nil && in.env.log.Down() {
 		sleep(ctx, heartbeatInterval)
--- a/internal/soak/fatal.go
+++ b/internal/soak/fatal.go
@@ -13,29 +13,31 @@
 
 const (
 	// fatalPath and fatalKey are the path and key of the fatal requests, which crash
-	// the upstream that runs them. There are two: one to the keyed service, one to
-	// the plain service.
+	// the upstream that runs them. They have one of two fingerprints: a GET with
+	// fatalKey to keyedService, and a POST without a key to unkeyedService.
 	fatalPath = "/ends-its-server"
 	fatalKey  = 28264
 	// fatalRequestPause is the pause between two fatal requests.
 	fatalRequestPause = 150 * time.Millisecond
-	// After a fatal request has crashed maxFatalCrashes upstreams, it may crash at
-	// most maxLateCrashes more. Crashes within settleTime after that, and crashes
-	// within settleTime of a fault of the host or the log service, do not count.
+	// After fatal requests of one fingerprint have crashed maxFatalCrashes upstreams,
+	// they may crash at most maxLateCrashes more. Not counted are crashes within
+	// settleTime after crash number maxFatalCrashes, and crashes during or within
+	// settleTime after a fault of the request's host or of the log service.
 	maxFatalCrashes, maxLateCrashes = 3, 3
-	// minDowntime and maxDowntime bound how long an upstream is down after it.
+	// minDowntime and maxDowntime bound how long an upstream is down after a crash.
 	minDowntime, maxDowntime = time.Second, 2 * time.Second
 )
 
-// crash is the crash of an upstream under a fatal request. route is the request's
+// crash is the crash of an upstream caused by a fatal request. vhost is the request's
 // Host header, by which hosts choose the route.
 type crash struct {
 	at               time.Time
 	requestID, vhost string
 }
 
-// crashUpstream kills the upstream if the request is fatal, starts it again after its
-// downtime and reports whether it did. It does nothing once fault injection is over.
+// crashUpstream kills the upstream and returns true if the request is fatal. It starts
+// the upstream again after a random downtime. It does nothing and returns false once
+// fault injection is over.
 func (in *injector) crashUpstream(inc *incarnation, r *http.Request) bool {
 	if r.URL.Path != fatalPath {
 		return false
@@ -48,7 +50,7 @@
 	}
 	in.env.kill(inc.endpoint)
 	in.crashes = append(in.crashes, crash{now, r.Header.Get(platform.Headers.RequestID), r.Host})
-	f := &fault{from: now, description: "request ends upstream " + inc.endpoint.proxy.Addr()}
+	f := &fault{from: now, description: "fatal request crashes upstream " + inc.endpoint.proxy.Addr()}
 	in.faults = append(in.faults, f)
 	down := minDowntime + time.Duration(in.downtimeRNG.Int64N(int64(maxDowntime-minDowntime)))
 	time.AfterFunc(down/2, func() { in.env.expireEntry(inc) })
@@ -63,7 +65,7 @@
 }
 
 // sendFatalRequests sends fatal requests through random hosts until ctx ends, each
-// with a new request ID and the same content.
+// with a new request ID and one of the two fingerprints.
 func (c *callers) sendFatalRequests(ctx context.Context, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 7))
 	hc := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callerTimeout}
@@ -84,7 +86,8 @@
 	}
 }
 
-// checkFatalRequests returns the fatal requests that crashed too many upstreams.
+// checkFatalRequests returns a violation for each fingerprint whose fatal requests
+// crashed too many upstreams.
 func (in *injector) checkFatalRequests(outcomes []*outcome) []string {
 	hostOf := map[string]*Host{}
 	for _, o := range outcomes {
@@ -106,7 +109,7 @@
 			}
 		}
 		if late > maxLateCrashes {
-			bad = append(bad, fmt.Sprintf("BUDGET: the fatal request to %s had crashed %d upstreams and crashed %d more", vhost, maxFatalCrashes, late))
+			bad = append(bad, fmt.Sprintf("BUDGET: fatal requests to %s had crashed %d upstreams and crashed %d more", vhost, maxFatalCrashes, late))
 		}
 	}
 	return bad
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -32,10 +32,10 @@
 	faults []*fault
 	// stopped is set when no more faults may begin.
 	stopped bool
-	// downtimeRNG draws the downtimes after crashes under fatal requests. It is
+	// downtimeRNG draws the downtimes after crashes caused by fatal requests. It is
 	// separate from rng, so the other faults of a seed do not depend on them.
 	downtimeRNG *rand.Rand
-	// crashes are the crashes of upstreams under fatal requests, in order.
+	// crashes are the crashes of upstreams caused by fatal requests, in order.
 	crashes []crash
 	// reports are the reports that upstreams began to send with their responses.
 	reports []report
@@ -125,7 +125,8 @@
 	in.runFault("kill "+h.Name, h, h, in.randomDuration(100*time.Millisecond, 3*time.Second), h.Kill, func() { in.restart(h) })
 }
 
-// stopHost stops a host's process as planned and starts it again at once.
+// stopHost shuts a host's process down gracefully, kills it if it has not exited within
+// stopGrace, and starts it again.
 func (in *injector) stopHost(context.Context) {
 	h := in.randomHost()
 	in.runFault("stop "+h.Name, h, h, 0, h.Stop, func() {
@@ -202,7 +203,8 @@
 }
 
 // drainUpstream marks an upstream's entry as leaving, kills the upstream 4 s later and
-// starts the next incarnation.
+// starts the next incarnation. The violation DRAIN does not cover this fault: it is about
+// upstreams that report in responses that they are leaving.
 func (in *injector) drainUpstream(context.Context) {
 	ep := in.randomEndpoint()
 	in.runFault("drain upstream "+ep.proxy.Addr(), nil, ep, 4*time.Second,
@@ -231,8 +233,10 @@
 	in.faultLink("link of upstream "+ep.proxy.Addr(), nil, ep.proxy)
 }
 
-// faultLink resets, delays, silences or cuts the connections of a proxy. name describes
-// the link; h is its host, or nil for an upstream's.
+// faultLink resets or delays the connections of a proxy or drops their data in one or
+// both directions. name describes the link; h is its host, or nil for an upstream's. In
+// the descriptions, "silence" is a cut in both directions, and caller and target are the
+// client and the server of the link.
 func (in *injector) faultLink(name string, h *Host, p *Proxy) {
 	d := in.randomDuration(200*time.Millisecond, 5*time.Second)
 	heal := func() { p.Cut() }
@@ -251,8 +255,9 @@
 	}
 }
 
-// faultLogService compacts the log or makes the log service fail for a while. During an
-// outage all entries of upstreams expire; they are written again soon after its end.
+// faultLogService compacts the log, which drops all but the newest record of each key, or
+// makes the log service fail for a while. During an outage all entries of
+// upstreams expire; they are written again soon after its end.
 func (in *injector) faultLogService(context.Context) {
 	log := in.env.log
 	restoreAfter := in.randomDuration(200*time.Millisecond, 1800*time.Millisecond)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -122,7 +122,8 @@
 
 // awaitProcess waits for the process to exit and records a failure if the exit is
 // unexpected. Expected are, after a signal, status 0 and death by SIGKILL, and death by
-// SIGTERM before the first line of output, when no handler may be installed yet.
+// SIGTERM before the first line of output, when the signal handler may not be installed
+// yet.
 func (h *Host) awaitProcess(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	h.mu.Lock()
@@ -174,7 +175,7 @@
 // Kill kills the process at once.
 func (h *Host) Kill() { h.signal(syscall.SIGKILL) }
 
-// Stop requests a planned stop of the process.
+// Stop requests a graceful shutdown of the process.
 func (h *Host) Stop() { h.signal(syscall.SIGTERM) }
 
 // Pause suspends the process until Resume.
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -12,7 +12,8 @@
 	"github.com/papayatide/papayatide/internal/standin/ports"
 )
 
-// Proxy forwards TCP connections to a target and can delay, reset or cut them.
+// Proxy forwards TCP connections from clients to a server. It can delay or reset them, or
+// silently drop their data in one or both directions.
 type Proxy struct {
 	ln net.Listener
 
@@ -46,7 +47,7 @@
 	}
 }
 
-// NewProxy starts a proxy that listens at addr and forwards to target.
+// NewProxy starts a proxy that listens at addr and forwards to serverAddr.
 func NewProxy(addr, serverAddr string) (*Proxy, error) {
 	ln, err := ports.Listen(addr)
 	if err != nil {
--- a/internal/soak/reports.go
+++ b/internal/soak/reports.go
@@ -63,8 +63,8 @@
 }
 
 // reportLeaving has the endpoint's current incarnation report that it is leaving, kills
-// it after leavingTime and starts the next one. If listed is set, its entry is marked
-// as leaving, too.
+// it after leavingTime and starts the next one. If markEntry is set, its entry in the
+// log is marked as leaving, too.
 func (in *injector) reportLeaving(ep *endpoint, markEntry bool) {
 	in.runFault("upstream "+ep.proxy.Addr()+" reports that it leaves", nil, ep, leavingTime,
 		func() {
@@ -91,8 +91,8 @@
 	return inc
 }
 
-// checkReports returns the requests that hosts sent to upstreams against the reports
-// that they had received from them.
+// checkReports returns the requests that hosts sent to upstreams in violation of the
+// reports that they had received from them.
 func (in *injector) checkReports(outcomes []*outcome) (bad []string) {
 	byID := map[string]*outcome{}
 	for _, o := range outcomes {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -32,8 +32,8 @@
 	Evacuate bool
 	// Reports adds upstreams that report rate limits, backoffs and that they are leaving.
 	Reports bool
-	// Hosts, Keyed, Plain and Callers are the numbers of entry hosts, keyed
-	// upstreams, other upstreams and callers.
+	// Hosts, Keyed, Unkeyed and Callers are the numbers of entry hosts, upstreams
+	// of the service with keys, upstreams of the service without keys, and callers.
 	Hosts, Keyed, Unkeyed, Callers int
 }
 
@@ -45,14 +45,16 @@
 	Faults []string
 	// Requests counts the callers' requests, Served those with status 200.
 	Requests, Served int
-	// Recovered is the time from the end of the last fault until every probed
-	// key was served through every host.
+	// Recovered is how long the run waited until every probed key was served through
+	// every host, or until recoveryTimeout had passed. The wait begins at the end of
+	// the last fault, with Options.Evacuate at the end of the slow starts after it.
 	Recovered time.Duration
 }
 
 const (
 	// startTimeout and recoveryTimeout bound the time until every probed key is
-	// served through every host, from the start and from the end of the last fault.
+	// served through every host, from the start and from the beginning of the wait
+	// that Result.Recovered measures.
 	startTimeout    = 15 * time.Second
 	recoveryTimeout = 15 * time.Second
 	// quietPeriod is how long callers go on without faults after the recovery.
@@ -135,7 +137,7 @@
 	took, key := awaitServed(hosts, recoveryTimeout)
 	r.Recovered = took
 	if key >= 0 {
-		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: key %d is not served %v after the last fault", key, took))
+		r.Violations = append(r.Violations, fmt.Sprintf("RECOVER: key %d is not served %v after the last fault and any slow starts after it", key, took))
 	}
 	quietFrom := time.Now()
 	sleep(ctx, quietPeriod)
@@ -145,7 +147,7 @@
 	return r
 }
 
-// summarize counts and checks the outcomes and adds the results to the report.
+// summarize counts and checks the outcomes and adds them to the result.
 func (r *Result) summarize(c *callers, env *Environment, in *injector, quietFrom time.Time) {
 	quiet, quietServed := 0, 0
 	for _, o := range c.outcomes {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -24,7 +24,7 @@
 // ciRuns are the runs of TestSoak in CI, each with the failure that it guards against or
 // the feature that it covers.
 var ciRuns = []run{
-	{seed: 1},                // a planner took over again after a cut, with an outdated proof of its lease
+	{seed: 1},                // after a cut, the previous planner started a term on a lease renewal from before the new planner's term
 	{seed: 125},              // a host that was paused during an outage took expired entries for removed upstreams
 	{seed: 9, reports: true}, // upstreams report rate limits, backoffs and that they are leaving
 }
@@ -49,8 +49,9 @@
 
 // TestSoak runs entry hosts as processes while links are cut, processes and upstreams
 // stop, pause and restart, and the log service fails, also at the same time. Callers
-// receive complete responses to their own requests or correct refusals, no charge runs
-// twice, no key has two owners, and every key is served again soon after the last fault.
+// receive complete responses to their own requests or correct refusals, no
+// non-idempotent request runs twice, no key has two owners, and every key is served again
+// soon after the last fault.
 func TestSoak(t *testing.T) {
 	binary := buildDaemon(t)
 	list := ciRuns
@@ -110,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d requests, %d served, %d faults, all keys served again after %v", r.Requests, r.Served, len(r.Faults), r.Recovered.Round(time.Millisecond))
+	t.Logf("%d requests, %d served, %d faults, waited %v for the probed keys", r.Requests, r.Served, len(r.Faults), r.Recovered.Round(time.Millisecond))
 	if len(r.Violations) == 0 {
 		if *keepDir != "" {
 			_ = os.RemoveAll(dir)
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Measures on loopback how an entry host's control cost grows with the number of
-# upstreams in its data centre. For each size N it starts the log stand-in, N target
-# stand-ins (one service, one data centre) and the entry hosts, publishes a manifest and
-# waits until they are steady. Over a window without requests it then measures the CPU
-# time (utime+stime) and resident memory of all hosts and the control messages of the
-# first. Prints one line per size; docs/CAPACITY.md is derived from them.
+# Measures on loopback how the cost of an entry host without requests (CPU, memory and
+# control messages) grows with the number of upstreams in its data centre. For each size
+# N it starts the log stand-in, N target stand-ins (one service, one data centre) and the
+# entry hosts, publishes a manifest and waits a fixed time for the hosts to settle. Over
+# a window without requests it then measures the CPU time (utime+stime) and resident
+# memory of all hosts and the control messages of the first host. Prints one line per
+# size; docs/CAPACITY.md is derived from them.
 #   usage: scripts/capacity.sh [window_seconds] [hosts] [sizes...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -2,8 +2,8 @@
 # Runs an example manifest (default siam-sludge) on loopback, with a stand-in for the
 # log service, a target stand-in per upstream and an entry host per data centre.
 # Publishes the manifest, sends keyed requests, kills a key's owner and measures the
-# time until the key is served again, and shows that a publish from a stale base is
-# refused. Stops all processes at the end.
+# time until the key is served again, and shows that a manifest is rejected if another
+# one was published since its --base. Stops all processes at the end.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 example=${1:-siam-sludge}
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -14,13 +14,15 @@
 fi
 go vet ./...
 go run "$staticcheck" ./...
-# Tests of faults that are not mended yet are passed over and printed.
+# Tests listed in KNOWN-RED.txt have known failures that are not fixed yet. They are
+# skipped, and the list is printed.
 known_red=$(awk -F ' [|] ' 'NF > 1 { print $1 }' KNOWN-RED.txt | paste -sd '|')
 if [ -n "$known_red" ]; then
   echo "known red, passed over:"; cat KNOWN-RED.txt
 fi
-# The race detector's runtime has ended itself under many fleets on fake clocks at
-# once, so that package runs few of its tests at a time.
+# The race detector's runtime has aborted when many tests of internal/entryhost, each
+# with several hosts on a fake clock, ran in parallel. That package therefore runs few
+# of its tests at a time.
 go test -race -count=1 ${known_red:+-skip "^($known_red)\$"} $(go list ./... | grep -v /internal/entryhost$)
 go test -race -count=1 -parallel 2 ${known_red:+-skip "^($known_red)\$"} ./internal/entryhost
 for target in internal/ownership:FuzzDecode internal/explain:FuzzRead platform:FuzzDecodeBatch platform:FuzzDesired platform:FuzzUpstream internal/settings:FuzzParseEntry internal/dispatch:FuzzRequest internal/feedback:FuzzDecode; do
