--- a/cmd/papayatided/entry.go
+++ b/cmd/papayatided/entry.go
@@ -49,9 +49,9 @@
 	defer stop()
 	reload := make(chan *settings.EntryHost)
 	go watchSettings(ctx, path, reload, logger)
-	deps := entryhost.Platform{Store: platform.NewStore(cfg.LogAddr, platform.NewHTTPClient(logServiceConns)), Decoder: platform.Decoder{},
+	deps := entryhost.Platform{Store: platform.NewStore(cfg.LogServiceAddr, platform.NewHTTPClient(logServiceConns)), Decoder: platform.Decoder{},
 		Granter: platform.NewGranter(grantConns), Headers: platform.Headers, ReadyPath: platform.PathReady,
-		LogDropped: sink.Dropped}
+		DroppedLogLines: sink.Dropped}
 	return entryhost.Run(ctx, cfg, deps, reload, logger)
 }
 
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -55,9 +55,9 @@
 	// Late means that the response arrived too close to its latency objective
 	// or after it.
 	Late
-	// Full means that the upstream had no room for the request or rejected the
+	// Overloaded means that the upstream had no room for the request or rejected the
 	// connection.
-	Full
+	Overloaded
 	// NoSignal means that the outcome indicates nothing about the upstream's load.
 	NoSignal
 )
@@ -67,7 +67,7 @@
 type Limiter struct {
 	mu         sync.Mutex
 	limit      float64
-	limitRange Share
+	limitRange LimitRange
 	// firstStart is when the first request started; recentStarts counts the
 	// starts since then, decaying with startRateTau.
 	firstStart   time.Time
@@ -87,12 +87,12 @@
 
 // NewLimiter returns a limiter for an upstream of which nothing is known.
 func NewLimiter() *Limiter {
-	return &Limiter{limit: initialLimit, limitRange: Share{MaxLimit: maxLimit, MinLimit: minLimit}, latency: initialLatency}
+	return &Limiter{limit: initialLimit, limitRange: LimitRange{MaxLimit: maxLimit, MinLimit: minLimit}, latency: initialLatency}
 }
 
-// Share is the range of a host's limit for an upstream that all hosts of a
+// LimitRange is the range of a host's limit for an upstream that all hosts of a
 // fleet send to.
-type Share struct {
+type LimitRange struct {
 	// MaxLimit is the host's maximum number of requests in flight; MinLimit is
 	// the value below which the adaptive limit does not decrease.
 	MaxLimit, MinLimit float64
@@ -110,7 +110,7 @@
 // several seconds.
 const maxMinLimitSumPerSlot = 8
 
-// ShareOf returns the range of a host's limit for an upstream with the given
+// HostLimitRange returns the range of a host's limit for an upstream with the given
 // number of slots that accepts at most maxConnections connections from all hosts
 // together; 0 means that their number is unlimited.
 //
@@ -124,8 +124,8 @@
 //
 // The sum of all hosts' minimum limits is at most maxMinLimitSumPerSlot times
 // the slots, whatever the size of the fleet.
-func ShareOf(slots, maxConnections, hosts int) Share {
-	r := Share{MaxLimit: maxLimit, MinLimit: min(minLimit, maxMinLimitSumPerSlot*float64(slots)/float64(hosts))}
+func HostLimitRange(slots, maxConnections, hosts int) LimitRange {
+	r := LimitRange{MaxLimit: maxLimit, MinLimit: min(minLimit, maxMinLimitSumPerSlot*float64(slots)/float64(hosts))}
 	if maxConnections > 0 {
 		r.MaxLimit = min(r.MaxLimit, max(float64(connectionSkew*maxConnections/hosts), 1))
 	}
@@ -142,7 +142,7 @@
 // Acquire returns a ticket, or nil if the request would wait longer than
 // maxWait or ctx ends. It returns nil without waiting if the expected wait is
 // longer than maxWait.
-func (l *Limiter) Acquire(ctx context.Context, maxWait time.Duration, limitRange Share) *Ticket {
+func (l *Limiter) Acquire(ctx context.Context, maxWait time.Duration, limitRange LimitRange) *Ticket {
 	now := time.Now()
 	l.mu.Lock()
 	l.setLimitRange(limitRange)
@@ -189,7 +189,7 @@
 
 // setLimitRange sets the range of the limit. Before the first request it also
 // scales the initial limit, so that each host of a large fleet starts with less.
-func (l *Limiter) setLimitRange(r Share) {
+func (l *Limiter) setLimitRange(r LimitRange) {
 	if l.firstStart.IsZero() {
 		l.limit = max(initialLimit*r.scale(), 1)
 	}
@@ -197,7 +197,7 @@
 }
 
 // scale is the ratio of MinLimit to its highest value, minLimit.
-func (r Share) scale() float64 { return r.MinLimit / minLimit }
+func (r LimitRange) scale() float64 { return r.MinLimit / minLimit }
 
 // InFlight returns the number of requests in flight.
 func (l *Limiter) InFlight() int {
@@ -307,7 +307,7 @@
 	case Late:
 		l.observeLatency(elapsed)
 		l.decrease(lateFactor, t.limitInUse, now)
-	case Full:
+	case Overloaded:
 		l.decrease(fullFactor, t.limitInUse, now)
 	case NoSignal:
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -71,14 +71,14 @@
 	for start := time.Now(); time.Since(start) < d; {
 		time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 		l := limiters[rng.IntN(hosts)]
-		wg.Go(func() { simulateRequest(l, s, admit, ShareOf(s.slots, 0, hosts), res) })
+		wg.Go(func() { simulateRequest(l, s, admit, HostLimitRange(s.slots, 0, hosts), res) })
 	}
 	wg.Wait()
 	return res
 }
 
 // simulateRequest sends one request through l and records its outcome.
-func simulateRequest(l *Limiter, s *simUpstream, admit bool, limitRange Share, res *simResult) {
+func simulateRequest(l *Limiter, s *simUpstream, admit bool, limitRange LimitRange, res *simResult) {
 	start := time.Now()
 	var t *Ticket
 	if admit {
@@ -97,7 +97,7 @@
 	signal := InTime
 	switch {
 	case !ok:
-		signal = Full
+		signal = Overloaded
 	case elapsed > latencyObjective*8/10:
 		signal = Late
 	}
@@ -180,16 +180,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter()
 		for range 20 {
-			ticket := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
+			ticket := l.Acquire(context.Background(), time.Second, HostLimitRange(3, 0, 1))
 			time.Sleep(minDecreaseInterval)
-			ticket.Done(Full, 0)
+			ticket.Done(Overloaded, 0)
 		}
 		if l.limit != minLimit {
 			t.Fatalf("limit %v after 20 Full signals, want the minimum", l.limit)
 		}
 		start := time.Now()
 		for l.limit < 2 {
-			ticket := l.Acquire(context.Background(), 10*time.Second, ShareOf(3, 0, 1))
+			ticket := l.Acquire(context.Background(), 10*time.Second, HostLimitRange(3, 0, 1))
 			time.Sleep(100 * time.Millisecond)
 			ticket.Done(InTime, 100*time.Millisecond)
 		}
@@ -204,17 +204,17 @@
 func TestCancelledWaiterPassesOnItsTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLimiter()
-		first := l.Acquire(context.Background(), time.Second, ShareOf(3, 0, 1))
+		first := l.Acquire(context.Background(), time.Second, HostLimitRange(3, 0, 1))
 		l.limit = 1
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
-			if l.Acquire(ctx, time.Minute, ShareOf(3, 0, 1)) != nil {
+			if l.Acquire(ctx, time.Minute, HostLimitRange(3, 0, 1)) != nil {
 				t.Error("a cancelled caller got a ticket")
 			}
 		}()
 		time.Sleep(time.Millisecond)
 		got := make(chan *Ticket)
-		go func() { got <- l.Acquire(context.Background(), time.Minute, ShareOf(3, 0, 1)) }()
+		go func() { got <- l.Acquire(context.Background(), time.Minute, HostLimitRange(3, 0, 1)) }()
 		time.Sleep(time.Millisecond)
 		cancel()
 		synctest.Wait()
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -227,7 +227,7 @@
 	// LocalDataCentre is this host's data centre. Traffic between data centres is
 	// expensive, so a remote upstream must be faster than a local one by FarPenalty.
 	LocalDataCentre string
-	FarPenalty      time.Duration
+	RemotePenalty   time.Duration
 	// Excluded lists the IDs of upstreams that were already attempted.
 	Excluded []string
 	// SlowStart is the slow start of the service's upstreams. Cold upstreams at this
@@ -281,7 +281,7 @@
 		}
 		cost := st.cost(u, now)
 		if u.DataCentre != c.LocalDataCentre {
-			cost += c.FarPenalty
+			cost += c.RemotePenalty
 		}
 		if now.Before(st.ejectedUntil) || now.Before(st.overloadedUntil) {
 			fallback.consider(u, cost)
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -19,10 +19,10 @@
 // in flight the first looks idle, but its limiter would delay or refuse the request.
 func TestPickAvoidsUpstreamAtItsAdmissionLimit(t *testing.T) {
 	p, ups := NewPicker("h"), twoUpstreams()
-	share := admission.ShareOf(3, 0, 100)
+	share := admission.HostLimitRange(3, 0, 100)
 	for range 40 {
 		if tk := p.Limiter("a").Acquire(context.Background(), 0, share); tk != nil {
-			tk.Done(admission.Full, time.Millisecond)
+			tk.Done(admission.Overloaded, time.Millisecond)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -41,7 +41,7 @@
 	now := time.Now()
 	p, ups := NewPicker("h"), twoUpstreams()
 	ups[0].DataCentre = "far"
-	c := Criteria{LocalDataCentre: "dc", FarPenalty: 100 * time.Millisecond}
+	c := Criteria{LocalDataCentre: "dc", RemotePenalty: 100 * time.Millisecond}
 	if u := p.Pick(ups, c, now); u.ID != "b" {
 		t.Errorf("picked the remote upstream though both are idle")
 	}
@@ -73,7 +73,7 @@
 			for i := range ups {
 				ups[i] = &catalogue.Upstream{ID: fmt.Sprint("u", i), Service: "s", Slots: 3, DataCentre: fmt.Sprint("dc", i%3)}
 			}
-			c := Criteria{LocalDataCentre: "dc0", FarPenalty: 100 * time.Millisecond}
+			c := Criteria{LocalDataCentre: "dc0", RemotePenalty: 100 * time.Millisecond}
 			now := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -13,10 +13,10 @@
 	ID string
 	// InFlight is the host's number of requests in flight.
 	InFlight int
-	// Answered is the number of responses (outcome Served) since the host's last
+	// Responses is the number of responses (outcome Served) since the host's last
 	// FlushLoadStats, Latency the sum of their latencies.
-	Answered int
-	Latency  time.Duration
+	Responses    int
+	TotalLatency time.Duration
 }
 
 // PeerLoad is the load of the data centre's other hosts on an upstream.
@@ -36,8 +36,8 @@
 	defer p.mu.Unlock()
 	var out []LoadStats
 	for id, st := range p.states {
-		stats := LoadStats{ID: id, InFlight: st.limiter.InFlight(), Answered: st.responses, Latency: st.totalLatency}
-		if !st.picked || (stats.InFlight == 0 && stats.Answered == 0) {
+		stats := LoadStats{ID: id, InFlight: st.limiter.InFlight(), Responses: st.responses, TotalLatency: st.totalLatency}
+		if !st.picked || (stats.InFlight == 0 && stats.Responses == 0) {
 			continue
 		}
 		out = append(out, stats)
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -26,17 +26,17 @@
 	Unlisted bool
 	// SlowUntil is the end of its slow start.
 	SlowUntil time.Time
-	// LeaveBy is set while operators evacuate its data centre, and after it has
+	// HandoverBy is set while operators evacuate its data centre, and after it has
 	// reported in its responses that it is leaving. Before LeaveBy it gets only
 	// requests for keys that it still owns, after that none.
-	LeaveBy time.Time
+	HandoverBy time.Time
 	// ReportedLeaving is set after it has reported in its responses that it is
 	// leaving; Leaving may not be set yet.
 	ReportedLeaving bool
 }
 
 // HandingOver reports whether its keys must move to other owners by LeaveBy.
-func (u *Upstream) HandingOver() bool { return !u.LeaveBy.IsZero() }
+func (u *Upstream) HandingOver() bool { return !u.HandoverBy.IsZero() }
 
 // Draining reports whether its keys must move to other owners. It gets at most
 // requests for keys that it still owns.
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -52,9 +52,9 @@
 // host's control traffic. While fewer live hosts are known, e.g. at start, this host
 // is responsible for all upstreams.
 func (l *Loop) isResponsibleFor(upstream string) bool {
-	if l.opts.RenewersPerUpstream <= 0 {
+	if l.opts.HostsPerUpstream <= 0 {
 		return true
 	}
 	alive := l.liveHosts.Alive(l.opts.DataCentre, l.opts.Host)
-	return slices.Contains(placement.Pick(upstream, alive, l.opts.RenewersPerUpstream), l.opts.Host)
+	return slices.Contains(placement.Pick(upstream, alive, l.opts.HostsPerUpstream), l.opts.Host)
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -45,9 +45,9 @@
 	HeartbeatInterval time.Duration
 	// HeartbeatTimeout is how long a host counts as alive after its last heartbeat.
 	HeartbeatTimeout time.Duration
-	// RenewersPerUpstream is how many of a data centre's live entry hosts send
+	// HostsPerUpstream is how many of a data centre's live entry hosts send
 	// grants and probes to each upstream; 0 means all of them.
-	RenewersPerUpstream int
+	HostsPerUpstream int
 	// HostList, if set, is read every HostListInterval. An upstream that it
 	// lists as leaving is removed from placement like one that is down.
 	HostList         *hostlist.Client
@@ -234,7 +234,7 @@
 		if *next == 0 {
 			return // a host that starts expects the oldest records to have expired
 		}
-		l.logger.Warn("records expired before they were read", zap.Int("event", events.RecordsGap),
+		l.logger.Warn("records expired before they were read", zap.Int("event", events.RecordsExpired),
 			zap.String("stream", stream), zap.Int64("from", *next), zap.Int64("first", first))
 	}
 	var err error
--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -206,11 +206,11 @@
 	offset, err := l.logClient.AppendAt(ctx, logservice.StreamPlacement, data, l.nextPlacementOffset)
 	switch {
 	case err == nil:
-		l.logger.Info("placement record appended", zap.Int("event", events.PlacementProposed), zap.String("kind", rec.Kind), zap.Int64("offset", offset))
+		l.logger.Info("placement record appended", zap.Int("event", events.PlacementAppended), zap.String("kind", rec.Kind), zap.Int64("offset", offset))
 	case isConflict(err):
 		l.logger.Info("placement record not appended: lost to a concurrent append", zap.Int("event", events.PlacementConflict), zap.Error(err))
 	default:
-		l.logger.Warn("placement record append outcome unknown", zap.Int("event", events.PlacementUnknown), zap.Error(err))
+		l.logger.Warn("placement record append outcome unknown", zap.Int("event", events.PlacementOutcomeUnknown), zap.Error(err))
 	}
 }
 
--- a/internal/crashes/bound_test.go
+++ b/internal/crashes/bound_test.go
@@ -10,7 +10,7 @@
 // bound nor evict a refused fingerprint.
 func TestTrackerBoundsItsFingerprints(t *testing.T) {
 	tracker, now := NewTracker(nil), time.Now()
-	for i := range Limit {
+	for i := range RefusalThreshold {
 		tracker.RecordCrash(Crash{"fatal", fmt.Sprint("s", i), now})
 	}
 	for i := range maxFingerprints + 500 {
@@ -27,7 +27,7 @@
 	if len(tracker.crashes["c0"]) > 0 || len(tracker.crashes[Fingerprint(fmt.Sprint("c", maxFingerprints+499))]) == 0 {
 		t.Error("the oldest fingerprint was not the one evicted")
 	}
-	if n := len(tracker.pending); n > maxFingerprints+Limit {
+	if n := len(tracker.pending); n > maxFingerprints+RefusalThreshold {
 		t.Errorf("%d changes pending", n)
 	}
 }
--- a/internal/crashes/correlation_test.go
+++ b/internal/crashes/correlation_test.go
@@ -18,7 +18,7 @@
 		}
 		tracker.RecordCrash(crash)
 	}
-	if changes := tracker.Pending(); len(changes) > 0 || tracker.HasCrashes() {
+	if changes := tracker.FilterPending(); len(changes) > 0 || tracker.HasCrashes() {
 		t.Errorf("%d changes to write, crashes left: %v", len(changes), tracker.HasCrashes())
 	}
 }
@@ -28,13 +28,13 @@
 // it crashes four servers at once and no other send breaks.
 func TestFatalRequestIsRefusedDespiteOtherBrokenSends(t *testing.T) {
 	tracker := NewTracker(nil)
-	for i := range Limit {
+	for i := range RefusalThreshold {
 		at := testTime.Add(time.Duration(i) * 2 * time.Second)
 		for n := range minCorrelatedServers - 2 {
 			tracker.RecordBrokenSend(Crash{testFingerprint(9), fmt.Sprint("other", n), at})
 		}
 		tracker.RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), at})
-		tracker.Pending()
+		tracker.FilterPending()
 	}
 	if tracker.RefusedFor(testFingerprint(1), testTime) == 0 {
 		t.Error("not refused after three crashes one by one")
@@ -43,7 +43,7 @@
 	for i := range minCorrelatedServers {
 		tracker.RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 	}
-	if tracker.Pending(); tracker.RefusedFor(testFingerprint(1), testTime) == 0 {
+	if tracker.FilterPending(); tracker.RefusedFor(testFingerprint(1), testTime) == 0 {
 		t.Error("not refused after crashes at one moment, all while running requests with its fingerprint")
 	}
 }
@@ -55,16 +55,16 @@
 func TestRefusedFingerprintGetsTrialRequests(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.hosts[0].AllowTrialsIf(func() bool { return true })
-	for i := range Limit {
+	for i := range RefusalThreshold {
 		f.hosts[1].RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 	}
 	f.writePending(1)
 	trials, last := 0, testTime
 	for now := testTime; now.Before(testTime.Add(time.Hour)); now = now.Add(100 * time.Millisecond) {
-		if f.hosts[1].AllowTrial(testFingerprint(1), now) {
+		if f.hosts[1].TakeTrial(testFingerprint(1), now) {
 			t.Fatal("another host sends trials too")
 		}
-		if !f.hosts[0].AllowTrial(testFingerprint(1), now) {
+		if !f.hosts[0].TakeTrial(testFingerprint(1), now) {
 			continue
 		}
 		if trials++; now.Sub(last) < firstTrialDelay {
--- a/internal/crashes/tracker.go
+++ b/internal/crashes/tracker.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// Limit is the number of crashed servers from which a fingerprint is refused. One or
+	// RefusalThreshold is the number of crashed servers from which a fingerprint is refused. One or
 	// two crashes may be chance: a crash also breaks the other requests on the server,
 	// and a retry of one may meet a second crash. A higher limit costs all other callers,
 	// as the keys of each crashed server are unserved until its grant expires, some three
 	// seconds.
-	Limit = 3
+	RefusalThreshold = 3
 	// Retention is how long a crash counts. A fingerprint is allowed again a day later:
 	// the servers may run a version by then that survives it; if not, it crashes at most
 	// Limit servers a day, apart from trial requests (see AllowTrial).
@@ -100,7 +100,7 @@
 }
 
 func (t *Tracker) notifyIfRefused(fp Fingerprint, count int, isNew bool) {
-	if isNew && count == Limit {
+	if isNew && count == RefusalThreshold {
 		t.onRefused(fp)
 	}
 }
@@ -145,12 +145,12 @@
 	for _, at := range t.crashes[fp] {
 		times = append(times, at)
 	}
-	if len(times) < Limit {
+	if len(times) < RefusalThreshold {
 		return 0
 	}
 	// The refusal ends when fewer than Limit crashes are within Retention.
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
-	return max(times[Limit-1].Add(Retention).Sub(now), 0)
+	return max(times[RefusalThreshold-1].Add(Retention).Sub(now), 0)
 }
 
 // RefusedFingerprints returns the refused fingerprints, sorted.
@@ -172,7 +172,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, times := range t.crashes {
-		if len(times) >= Limit {
+		if len(times) >= RefusalThreshold {
 			refused++
 		}
 	}
@@ -242,10 +242,10 @@
 	}
 }
 
-// Pending removes the pending crashes that prove to be correlated failures, also from this
+// FilterPending removes the pending crashes that prove to be correlated failures, also from this
 // host's state, and returns the other changes that are not written yet. It should be called
 // only after the other failures of the same moment have been recorded.
-func (t *Tracker) Pending() []Change {
+func (t *Tracker) FilterPending() []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]Change, 0, len(t.pending))
--- a/internal/crashes/tracker_test.go
+++ b/internal/crashes/tracker_test.go
@@ -37,7 +37,7 @@
 // writePending writes the host's pending changes, and applies them on every host.
 func (f *testFleet) writePending(host int) {
 	f.t.Helper()
-	changes := f.hosts[host].Pending()
+	changes := f.hosts[host].FilterPending()
 	for _, c := range changes {
 		key, data, err := c.Encode(testTime)
 		if err != nil {
@@ -76,7 +76,7 @@
 // and serve other requests.
 func TestCrashesSeenByDifferentHostsAddUp(t *testing.T) {
 	f := newTestFleet(t, 4)
-	for i := range Limit {
+	for i := range RefusalThreshold {
 		if f.hosts[3].RefusedFor(testFingerprint(1), testTime) > 0 {
 			t.Fatalf("refused after %d crashes", i)
 		}
@@ -116,7 +116,7 @@
 	calls := map[Fingerprint]int{}
 	tracker := NewTracker(func(fp Fingerprint) { calls[fp]++ })
 	for round := range 3 {
-		for i := range Limit + round {
+		for i := range RefusalThreshold + round {
 			tracker.RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 			tracker.Apply(Change{Crash: Crash{testFingerprint(2), fmt.Sprint("s", i), testTime}})
 		}
@@ -135,7 +135,7 @@
 // whatever order the records arrive.
 func TestFingerprintThatSucceedsIsNotRefused(t *testing.T) {
 	f := newTestFleet(t, 2)
-	for i := range 3 * Limit {
+	for i := range 3 * RefusalThreshold {
 		f.hosts[0].RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 		f.writePending(0)
 		if i%2 == 1 {
@@ -156,7 +156,7 @@
 // count on that host at once, survive Replace, and be written later.
 func TestPendingCrashesSurviveALogOutage(t *testing.T) {
 	f := newTestFleet(t, 2)
-	for i := range Limit {
+	for i := range RefusalThreshold {
 		f.hosts[0].RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 	}
 	f.readNewest(f.hosts[0])
@@ -164,8 +164,8 @@
 		t.Error("pending crashes are lost on Replace")
 	}
 	f.writePending(0)
-	if f.hosts[1].RefusedFor(testFingerprint(1), testTime) == 0 || len(f.hosts[0].Pending()) > 0 {
-		t.Errorf("not written later: %d changes left", len(f.hosts[0].Pending()))
+	if f.hosts[1].RefusedFor(testFingerprint(1), testTime) == 0 || len(f.hosts[0].FilterPending()) > 0 {
+		t.Errorf("not written later: %d changes left", len(f.hosts[0].FilterPending()))
 	}
 }
 
@@ -173,13 +173,13 @@
 // other hosts only their own state.
 func TestCrashesExpire(t *testing.T) {
 	f := newTestFleet(t, 2)
-	for i := range Limit {
+	for i := range RefusalThreshold {
 		f.hosts[0].RecordCrash(Crash{testFingerprint(1), fmt.Sprint("s", i), testTime})
 	}
 	f.writePending(0)
 	for h, tracker := range f.hosts {
 		tracker.Expire(testTime.Add(Retention-time.Second), h == 0)
-		if tracker.RefusedFor(testFingerprint(1), testTime.Add(Retention-time.Second)) != time.Second || len(tracker.Pending()) > 0 {
+		if tracker.RefusedFor(testFingerprint(1), testTime.Add(Retention-time.Second)) != time.Second || len(tracker.FilterPending()) > 0 {
 			t.Errorf("host %d expires crashes early", h)
 		}
 		tracker.Expire(testTime.Add(Retention), h == 0)
@@ -187,7 +187,7 @@
 			t.Errorf("host %d still has crashes after Retention", h)
 		}
 	}
-	if a, b := len(f.hosts[0].Pending()), len(f.hosts[1].Pending()); a != Limit || b != 0 {
+	if a, b := len(f.hosts[0].FilterPending()), len(f.hosts[1].FilterPending()); a != RefusalThreshold || b != 0 {
 		t.Errorf("%d and %d records to delete", a, b)
 	}
 	f.writePending(0)
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -50,7 +50,7 @@
 		return true
 	}
 	fleet := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
+		Services: []manifest.ServiceSpec{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: standin.Options{WorkTime: time.Millisecond, CrashOn: crashOn}})
 	setRunning := func(fleet *loopback.Fleet) {
 		mu.Lock()
@@ -84,7 +84,7 @@
 // the key would be refused for a day; it must be served again within seconds.
 func TestPopularKeyIsServedAfterCorrelatedFailures(t *testing.T) {
 	fleet := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 8, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
+		Services: []manifest.ServiceSpec{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: standin.Options{WorkTime: 20 * time.Millisecond}})
 	host := fleet.Hosts[0]
 	waitServed(t, host, testKey, "")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -45,18 +45,18 @@
 // connections and waits up to ShutdownGrace for requests in flight. Run then
 // returns nil.
 func Run(ctx context.Context, cfg *settings.Daemon, logger *zap.Logger) error {
-	logClient := logservice.New(cfg.LogAddr, &http.Client{Timeout: 5 * time.Second})
+	logClient := logservice.New(cfg.LogURL, &http.Client{Timeout: 5 * time.Second})
 	targets := target.NewClient()
 	targets.AttemptTimeout = cfg.AttemptTimeout
 	// The platform's host list has the machines of targets.
 	var hostList *hostlist.Client
-	if cfg.HostListAddr != settings.HostListOff {
-		hostList = hostlist.New(cfg.HostListAddr, &http.Client{Timeout: 5 * time.Second})
+	if cfg.HostListURL != settings.HostListOff {
+		hostList = hostlist.New(cfg.HostListURL, &http.Client{Timeout: 5 * time.Second})
 	}
 	loop := control.New(control.Options{HostList: hostList, HostListInterval: cfg.HostListInterval, Host: cfg.Host, DataCentre: cfg.DataCentre, PollInterval: cfg.PollInterval,
 		ProbeInterval: cfg.ProbeInterval, ProbeFailures: cfg.ProbeFailures, GrantTTL: cfg.GrantTTL,
 		SnapshotEvery: cfg.SnapshotEvery, SnapshotInterval: cfg.SnapshotInterval, HeartbeatInterval: cfg.HeartbeatInterval, HeartbeatTimeout: cfg.HeartbeatTimeout,
-		RenewersPerUpstream: cfg.RenewersPerUpstream}, logClient, targets, logger)
+		HostsPerUpstream: cfg.HostsPerUpstream}, logClient, targets, logger)
 	callerRouter := router.New(router.Options{Host: cfg.Host, Timeout: cfg.RequestTimeout, MaxViewAge: cfg.MaxViewAge,
 		RetryAfter: cfg.RetryAfter, LatencyObjective: cfg.LatencyObjective}, loop.Table, targets, logger)
 	callerRouter.OnFenced = func(string) { loop.Wake() }
@@ -65,7 +65,7 @@
 	callerMux.Handle("/{service}/{key...}", callerRouter)
 	var stopping atomic.Bool
 	adminMux := http.NewServeMux()
-	adminServer := adminpb.NewAdminServer(&admin.Server{Host: cfg.Host, DataCentre: cfg.DataCentre, Table: loop.Table, RequestCounts: callerRouter.Burns})
+	adminServer := adminpb.NewAdminServer(&admin.Server{Host: cfg.Host, DataCentre: cfg.DataCentre, Table: loop.Table, RequestCounts: callerRouter.RequestCounts})
 	adminMux.Handle(adminServer.PathPrefix(), adminServer)
 	refusedServer := refusedpb.NewRefusedServer(&refused.Server{Host: cfg.Host, Crashes: callerRouter.Crashes(), Log: logger})
 	adminMux.Handle(refusedServer.PathPrefix(), refusedServer)
--- a/internal/daemon/failure_test.go
+++ b/internal/daemon/failure_test.go
@@ -25,7 +25,7 @@
 func startFleet(t *testing.T, dcs []string, checked bool, hostsPerDC int) *loopback.Fleet {
 	t.Helper()
 	return startFleetFromSpec(t, loopback.Spec{DataCentres: dcs, Slots: 3, HostsPerDC: hostsPerDC,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4 * len(dcs), FencingChecked: checked}},
+		Services: []manifest.ServiceSpec{{Name: "routeboard", Upstreams: 4 * len(dcs), FencingChecked: checked}},
 		Settings: loopback.DefaultSettings(), Target: standin.Options{WorkTime: time.Millisecond}})
 }
 
@@ -170,7 +170,7 @@
 	if resp.StatusCode != http.StatusConflict || resp.Header.Get(target.HeaderNotRun) != "1" {
 		t.Fatalf("resumed old owner responded %d (not-run header %q); want 409 and 1", resp.StatusCode, resp.Header.Get(target.HeaderNotRun))
 	}
-	if n := oldOwner.Server.Executed("routeboard", testKey); n != 0 {
+	if n := oldOwner.Server.RunsOnKey("routeboard", testKey); n != 0 {
 		t.Fatalf("old owner ran %d operations on the key", n)
 	}
 }
@@ -192,7 +192,7 @@
 			t.Fatalf("write %d served by %s, want %s", i, r.body.Upstream, next)
 		}
 	}
-	if n := oldOwner.Server.Executed("routeboard", testKey); n != 0 {
+	if n := oldOwner.Server.RunsOnKey("routeboard", testKey); n != 0 {
 		t.Fatalf("resumed old owner ran %d operations", n)
 	}
 }
@@ -207,7 +207,7 @@
 			t.Fatalf("write via %s: status %d, refusal %+v", h.Name, r.status, r.refusal)
 		}
 	}
-	if n := f.Targets[owner].Server.Executed("routeboard", testKey); n != 1 {
+	if n := f.Targets[owner].Server.RunsOnKey("routeboard", testKey); n != 1 {
 		t.Fatalf("write ran %d times; want once", n)
 	}
 }
@@ -229,7 +229,7 @@
 	if r.refusal.Code != refusal.StaleView || r.refusal.Outcome != refusal.NotRun || r.header.Get("Retry-After") == "" {
 		t.Fatalf("write during log-service outage: status %d, refusal %+v", r.status, r.refusal)
 	}
-	if n := f.Targets[owner].Server.Executed("routeboard", testKey); n != 0 {
+	if n := f.Targets[owner].Server.RunsOnKey("routeboard", testKey); n != 0 {
 		t.Fatalf("refused write ran %d times", n)
 	}
 }
--- a/internal/daemon/path_bench_test.go
+++ b/internal/daemon/path_bench_test.go
@@ -19,7 +19,7 @@
 // without delay. It reports the callers' latency quantiles.
 func BenchmarkPath(b *testing.B) {
 	f := startFleetFromSpec(b, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 64, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 20, FencingChecked: true}},
+		Services: []manifest.ServiceSpec{{Name: "routeboard", Upstreams: 20, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: standin.Options{}})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	perWorker := make(chan []float64, 64)
--- a/internal/daemon/responses_test.go
+++ b/internal/daemon/responses_test.go
@@ -21,8 +21,8 @@
 // outcome unknown, as the target may have run the request.
 func TestMismatchedResponseNeverReachesCaller(t *testing.T) {
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
-		Settings: loopback.DefaultSettings(), Target: standin.Options{CrossAnswers: true}})
+		Services: []manifest.ServiceSpec{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
+		Settings: loopback.DefaultSettings(), Target: standin.Options{ReturnPreviousAnswer: true}})
 	h := f.Hosts[0]
 	for _, key := range []string{"a", "b", "c", "d"} {
 		r := call(t, http.MethodGet, h.URL+"/routeboard/"+key, "")
@@ -43,7 +43,7 @@
 	settings := loopback.DefaultSettings()
 	settings.SnapshotInterval = 150 * time.Millisecond
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna", "latphrao"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}, {Name: "plantdesk", Upstreams: 4, FencingChecked: true}},
+		Services: []manifest.ServiceSpec{{Name: "routeboard", Upstreams: 4, FencingChecked: true}, {Name: "plantdesk", Upstreams: 4, FencingChecked: true}},
 		Settings: settings, Retention: 300 * time.Millisecond})
 	time.Sleep(500 * time.Millisecond)
 	newHost, err := f.AddHost("latphrao-late", "latphrao")
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -42,7 +42,7 @@
 // caller still gets the complete response.
 func TestGracefulShutdownCompletesInFlightRequests(t *testing.T) {
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
+		Services: []manifest.ServiceSpec{{Name: "routeboard", Upstreams: 2, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), Target: standin.Options{WorkTime: 300 * time.Millisecond}})
 	h := f.Hosts[0]
 	results := make(chan callResult, 1)
@@ -62,7 +62,7 @@
 // one grant TTL after the list shows the mark.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	f := startFleetFromSpec(t, loopback.Spec{DataCentres: []string{"bangna"}, Slots: 3, HostsPerDC: 1,
-		Services: []manifest.ServiceSize{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
+		Services: []manifest.ServiceSpec{{Name: "routeboard", Upstreams: 4, FencingChecked: true}},
 		Settings: loopback.DefaultSettings(), HostListLag: 500 * time.Millisecond})
 	h := f.Hosts[0]
 	owner, _ := waitServed(t, h, testKey, "")
--- a/internal/desired/desired.go
+++ b/internal/desired/desired.go
@@ -40,9 +40,9 @@
 	Name string
 	// Keyed reports whether the service's keys are divided among its upstreams.
 	Keyed bool
-	// WarmUp is how long requests for a key are slow after the key has moved to
+	// KeyWarmUp is how long requests for a key are slow after the key has moved to
 	// another upstream without a handover.
-	WarmUp time.Duration
+	KeyWarmUp time.Duration
 	// MaxConns limits the connections to one upstream from all hosts together.
 	MaxConns int
 	// SlowStart limits the requests to upstreams that have just started.
--- a/internal/dispatch/broken.go
+++ b/internal/dispatch/broken.go
@@ -127,7 +127,7 @@
 	now := time.Now()
 	left := d.crashes.RefusedFor(req.fingerprint(), now)
 	if left > 0 && !req.trial {
-		req.trial = d.crashes.AllowTrial(req.fingerprint(), now)
+		req.trial = d.crashes.TakeTrial(req.fingerprint(), now)
 	}
 	if req.trial {
 		return 0
--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -59,11 +59,11 @@
 func TestRequestThatCrashesUpstreamsIsRefused(t *testing.T) {
 	ups, fakes := startCrashingUpstreams(t, 5)
 	h := newHarness(t, ups...)
-	for i := range crashes.Limit {
+	for i := range crashes.RefusalThreshold {
 		h.postFatal(i).want(t, 502, "")
 	}
-	if n := totalRequests(fakes); n != crashes.Limit {
-		t.Fatalf("%d sends for %d requests", n, crashes.Limit)
+	if n := totalRequests(fakes); n != crashes.RefusalThreshold {
+		t.Fatalf("%d sends for %d requests", n, crashes.RefusalThreshold)
 	}
 	for i := range 10 {
 		start := time.Now()
@@ -73,8 +73,8 @@
 			t.Errorf("refused after %v, Retry-After %q", took, resp.header.Get("Retry-After"))
 		}
 	}
-	if n := totalRequests(fakes); n != crashes.Limit {
-		t.Errorf("sent %d more times after the limit", n-crashes.Limit)
+	if n := totalRequests(fakes); n != crashes.RefusalThreshold {
+		t.Errorf("sent %d more times after the limit", n-crashes.RefusalThreshold)
 	}
 	h.setUpstreams(unusedUpstreams(ups, fakes)...)
 	h.post("charge.example", "another").want(t, 200, "answer to another")
@@ -96,8 +96,8 @@
 		t.Fatalf("the first request was sent %d times, want 2", n)
 	}
 	h.get("read.example", "fatal-2").want(t, 502, "")
-	if n := totalRequests(fakes); n != crashes.Limit {
-		t.Errorf("sent %d times, want %d", n, crashes.Limit)
+	if n := totalRequests(fakes); n != crashes.RefusalThreshold {
+		t.Errorf("sent %d times, want %d", n, crashes.RefusalThreshold)
 	}
 	h.get("read.example", "fatal-3").want(t, 503, string(CauseCrashes)+"\n")
 }
@@ -108,7 +108,7 @@
 func TestBrokenSendsOfRunningUpstreamsAreNotCrashes(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
 	h := newHarness(t, newUpstream("u1", "plain", f))
-	for i := range 3 * crashes.Limit {
+	for i := range 3 * crashes.RefusalThreshold {
 		h.post("charge.example", fmt.Sprint("r", i)).want(t, 502, "")
 	}
 	if h.d.crashes.HasCrashes() {
@@ -122,7 +122,7 @@
 func TestCrashBehindLoadBalancerIsDetectedByRemovedEntry(t *testing.T) {
 	f := startUpstream(t, func(_ io.Writer, _ net.Conn, _ *http.Request, _ int64) bool { return false })
 	h := newHarness(t)
-	for i := range crashes.Limit {
+	for i := range crashes.RefusalThreshold {
 		u := newUpstream(fmt.Sprint("u", i), "plain", f)
 		h.setUpstreams(u)
 		h.postFatal(i).want(t, 502, "")
@@ -180,7 +180,7 @@
 	f := startUpstream(t, echo)
 	h := newHarness(t, newUpstream("u1", "plain", f))
 	fingerprint := crashes.Request{Method: "GET", Host: "read.example", URI: "/a//b?q=%2f", Key: -1}.Fingerprint()
-	for i := range 3 * crashes.Limit {
+	for i := range 3 * crashes.RefusalThreshold {
 		h.d.crashes.RecordCrash(crashes.Crash{Fingerprint: fingerprint, Server: fmt.Sprint("s", i), At: time.Now()})
 		if i%2 == 1 {
 			h.get("read.example", fmt.Sprint("r", i)).want(t, 200, "")
@@ -203,14 +203,14 @@
 			}
 			return h.callBody(t.Context(), "POST", "charge.example", id, body)
 		}
-		for i := range crashes.Limit {
+		for i := range crashes.RefusalThreshold {
 			upload(fmt.Sprint("fatal-", i), "x", i%2 == 0).want(t, 502, "")
 		}
 		upload("fatal-8", "x", true).want(t, 503, string(CauseCrashes)+"\n")
 		upload("fatal-9", "x", false).want(t, 503, string(CauseCrashes)+"\n")
 		h.setUpstreams(unusedUpstreams(ups, fakes)...)
 		upload("other", "y", true).want(t, 200, "answer to other")
-		if n := totalRequests(fakes); n != crashes.Limit+1 {
+		if n := totalRequests(fakes); n != crashes.RefusalThreshold+1 {
 			t.Errorf("%d sends of uploads of %d bytes", n, size)
 		}
 	}
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -19,7 +19,7 @@
 		return d.chooseOwner(ctx, req)
 	}
 	v := d.views.Load()
-	criteria := balance.Criteria{LocalDataCentre: d.localDataCentre, FarPenalty: req.route.LatencyObjective / 4, Excluded: req.attempted, SlowStart: d.slowStart(req.service),
+	criteria := balance.Criteria{LocalDataCentre: d.localDataCentre, RemotePenalty: req.route.LatencyObjective / 4, Excluded: req.attempted, SlowStart: d.slowStart(req.service),
 		Unavailable: func(id string) bool { wait, _ := d.unavailableFor(id, time.Now()); return wait > 0 }}
 	upstreams := v.Upstreams.ForService(req.service.Name)
 	u := d.picker.Pick(upstreams, criteria, time.Now())
@@ -73,7 +73,7 @@
 			req.lastFencingToken = token
 			return u, nil
 		}
-		if (u != nil && u.HandingOver() && now.Sub(u.LeaveBy) > handoverGrace) || !req.awaitViewChange(ctx, v) {
+		if (u != nil && u.HandingOver() && now.Sub(u.HandoverBy) > handoverGrace) || !req.awaitViewChange(ctx, v) {
 			return nil, req.refusal(CauseNoOwner, retryAfterNoOwner)
 		}
 	}
@@ -90,7 +90,7 @@
 // still owns until LeaveBy. Requests without a key are not sent to a Draining upstream,
 // which is one that is Leaving or HandingOver.
 func servesOwnedKeys(u *catalogue.Upstream, now time.Time) bool {
-	return !u.Leaving && (!u.HandingOver() || now.Before(u.LeaveBy))
+	return !u.Leaving && (!u.HandingOver() || now.Before(u.HandoverBy))
 }
 
 // waitForOwnerChange waits until the key has another owner or fencing token than the
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -175,8 +175,8 @@
 }
 
 // admissionShare returns this host's share of the upstream's capacity.
-func (d *Dispatcher) admissionShare(u *catalogue.Upstream, service *desired.Service) admission.Share {
-	return admission.ShareOf(u.Slots, service.MaxConns, int(d.hostCount.Load()))
+func (d *Dispatcher) admissionShare(u *catalogue.Upstream, service *desired.Service) admission.LimitRange {
+	return admission.HostLimitRange(u.Slots, service.MaxConns, int(d.hostCount.Load()))
 }
 
 // SetHostCount sets how many hosts share the upstreams, and whether that number
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -12,13 +12,13 @@
 func TestEvacuatedUpstreamServesItsKeysUntilLeaveBy(t *testing.T) {
 	f := startUpstream(t, echo)
 	owner, plain := newUpstream("u1", "keyed", f), newUpstream("u2", "plain", f)
-	owner.LeaveBy = time.Now().Add(time.Second)
-	plain.LeaveBy = owner.LeaveBy
+	owner.HandoverBy = time.Now().Add(time.Second)
+	plain.HandoverBy = owner.HandoverBy
 	h := newHarness(t, owner, plain)
 	h.setOwner("u1", 1)
 	h.get("keyed.example", "r1").want(t, http.StatusOK, "")
 	h.get("read.example", "r2").want(t, http.StatusServiceUnavailable, "")
-	time.Sleep(time.Until(owner.LeaveBy))
+	time.Sleep(time.Until(owner.HandoverBy))
 	h.get("keyed.example", "r3").want(t, http.StatusServiceUnavailable, "")
 	if n := f.requestCount.Load(); n != 1 {
 		t.Errorf("%d requests reached the data centre, want 1", n)
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -117,13 +117,13 @@
 )
 
 // permitAll is an allocator that grants all permits that are requested.
-func permitAll(_ context.Context, _ string, _ float64, want int) (ratelimit.Permit, error) {
-	return ratelimit.Permit{Requests: want}, nil
+func permitAll(_ context.Context, _ string, _ float64, want int) (ratelimit.PermitReply, error) {
+	return ratelimit.PermitReply{Permits: want}, nil
 }
 
 // permitNone is an allocator that grants no permits.
-func permitNone(context.Context, string, float64, int) (ratelimit.Permit, error) {
-	return ratelimit.Permit{Wait: time.Second}, nil
+func permitNone(context.Context, string, float64, int) (ratelimit.PermitReply, error) {
+	return ratelimit.PermitReply{Wait: time.Second}, nil
 }
 
 // newHarness returns a harness with the upstreams ups and three routes: idempotent
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -84,7 +84,7 @@
 // net/http detects the closed connection on another goroutine, possibly only after the
 // request was sent. Without this check upstreams work on requests without a caller.
 func (req *request) callerDisconnected() bool {
-	return req.callerConn != nil && peek.Conn(req.callerConn) == peek.Closed
+	return req.callerConn != nil && peek.ConnState(req.callerConn) == peek.Closed
 }
 
 // parseRequest matches the route, sets the deadline and reads the body. It returns a
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -84,7 +84,7 @@
 	case outcome == balance.Served:
 		return admission.InTime
 	case outcome == balance.Overloaded || outcome == balance.ConnRejected:
-		return admission.Full
+		return admission.Overloaded
 	}
 	return admission.NoSignal
 }
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -66,9 +66,9 @@
 	f := startUpstream(t, respondWith(http.StatusInternalServerError, "X-Limit: 1"))
 	h := newHarness(t, newUpstream("k1", "keyed", f))
 	permitRequests := 0
-	h.d.rateLimiter = ratelimit.NewLimiter(ratelimit.Bounds{}, func(context.Context, string, float64, int) (ratelimit.Permit, error) {
+	h.d.rateLimiter = ratelimit.NewLimiter(ratelimit.Bounds{}, func(context.Context, string, float64, int) (ratelimit.PermitReply, error) {
 		permitRequests++
-		return ratelimit.Permit{Wait: time.Second}, nil
+		return ratelimit.PermitReply{Wait: time.Second}, nil
 	})
 	h.setOwner("k1", 1)
 	h.get("keyed.example", "r1")
@@ -95,7 +95,7 @@
 		{"overdue", -2 * handoverGrace, testObjective / 8},
 	} {
 		u := newUpstream("k1", "keyed", f)
-		u.LeaveBy = time.Now().Add(c.leaveIn)
+		u.HandoverBy = time.Now().Add(c.leaveIn)
 		h := newHarness(t, u)
 		h.setOwner("k1", 1)
 		start := time.Now()
--- a/internal/entryhost/actions.go
+++ b/internal/entryhost/actions.go
@@ -22,7 +22,7 @@
 			held, err := c.elector.tryAcquireOrRenew(ctx, a.TTL)
 			c.post(ctx, func() { c.planner.AcquireLeaseDone(a, held, err, c.clock()) })
 		}()
-	case *planner.ReleaseLease:
+	case *planner.LeaveElection:
 		go func() {
 			if err := c.elector.release(ctx); err != nil {
 				c.zl.Info("leaving the planner election failed; the membership will expire", zap.Int("event", events.PlannerLeaseLost), ErrorField(err))
@@ -58,7 +58,7 @@
 // grant sends a grant, unless the planner decided on it (a.SentAt) longer than
 // maxGrantSendDelay ago. It runs on a goroutine of its own.
 func (c *controller) grant(ctx context.Context, a *planner.Grant) error {
-	delay := c.clock().Sub(a.SentAt)
+	delay := c.clock().Sub(a.DecidedAt)
 	if delay > maxGrantSendDelay {
 		return eris.Wrapf(ownership.ErrNotSent, "upstream %s: grant was decided on %v ago", a.Addr, delay)
 	}
--- a/internal/entryhost/actions_test.go
+++ b/internal/entryhost/actions_test.go
@@ -40,7 +40,7 @@
 	}{{maxGrantSendDelay, true}, {time.Second, false}} {
 		g.grants = 0
 		c.clock = func() bootclock.Time { return decidedAt.Add(step.delay) }
-		err := c.grant(t.Context(), &planner.Grant{SentAt: decidedAt})
+		err := c.grant(t.Context(), &planner.Grant{DecidedAt: decidedAt})
 		if sent := g.grants == 1; sent != step.sent || errors.Is(err, ownership.ErrNotSent) == step.sent {
 			t.Errorf("delayed by %v: sent %v, error %v", step.delay, sent, err)
 		}
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -227,7 +227,7 @@
 
 // nextTickDelay returns the delay until the next tick.
 func (c *controller) nextTickDelay() time.Duration {
-	if c.planner.HoldsLease(c.clock()) {
+	if c.planner.IsPlanner(c.clock()) {
 		return plannerTickInterval
 	}
 	if _, lost := c.streamLostSince[metastore.StreamUpstreams]; lost {
@@ -243,7 +243,7 @@
 	if c.planner.ShouldStepDown(now) && c.hasLiveCandidate() {
 		c.planner.StepDown(now)
 	}
-	c.isPlanner.Store(c.planner.HoldsLease(now))
+	c.isPlanner.Store(c.planner.IsPlanner(now))
 	c.soleWriter.Store(c.planner.SoleWriter(now))
 	_, lost := c.streamLostSince[metastore.StreamUpstreams]
 	wallNow := time.Now()
@@ -272,7 +272,7 @@
 	crashReader := newReader(metastore.StreamCrashes, c.crashBatchDelay)
 	crashReader.startDelay = c.crashReadStartDelay
 	return ownershipReader, []*streamReader{
-		newReader(metastore.StreamDesired, noDelay),
+		newReader(metastore.StreamOperators, noDelay),
 		newReader(metastore.StreamUpstreams, c.upstreamBatchDelay),
 		crashReader,
 	}
@@ -372,6 +372,6 @@
 // planner at once and not only when the lease expires.
 func (c *controller) resign(ctx context.Context) {
 	c.post(ctx, func() {
-		c.planner.Resign()
+		c.planner.BeginShutdown()
 	})
 }
--- a/internal/entryhost/crashlog.go
+++ b/internal/entryhost/crashlog.go
@@ -69,7 +69,7 @@
 func (l *crashLog) write(ctx context.Context) {
 	backoff := minCrashWriteRetryDelay
 	for ctx.Err() == nil {
-		changes := l.tracker.Pending()
+		changes := l.tracker.FilterPending()
 		if len(changes) == 0 {
 			return
 		}
--- a/internal/entryhost/elector_test.go
+++ b/internal/entryhost/elector_test.go
@@ -19,12 +19,12 @@
 	joined        []string
 }
 
-func (s *electionStore) JoinElection(_ context.Context, member string, _ time.Duration, generation int64) (metastore.Lease, error) {
+func (s *electionStore) JoinElection(_ context.Context, member string, _ time.Duration, generation int64) (metastore.JoinResult, error) {
 	s.joined = append(s.joined, member)
 	if member == s.failingMember {
-		return metastore.Lease{}, metastore.ErrNoAnswer
+		return metastore.JoinResult{}, metastore.ErrNoResponse
 	}
-	return metastore.Lease{Generation: generation + 1, Held: member == s.holder}, nil
+	return metastore.JoinResult{Generation: generation + 1, Held: member == s.holder}, nil
 }
 
 // A host holds the planner lease as its second member, and a renewal fails. This
@@ -37,7 +37,7 @@
 		t.Fatalf("held %v, error %v", held, err)
 	}
 	store.failingMember = "h/2"
-	if _, err := elector.tryAcquireOrRenew(context.Background(), time.Second); !errors.Is(err, metastore.ErrNoAnswer) {
+	if _, err := elector.tryAcquireOrRenew(context.Background(), time.Second); !errors.Is(err, metastore.ErrNoResponse) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/entryhost/evacuate.go
+++ b/internal/entryhost/evacuate.go
@@ -93,7 +93,7 @@
 		return u
 	}
 	annotated := *u
-	annotated.LeaveBy = handoverBy
+	annotated.HandoverBy = handoverBy
 	coldUntil := endedAt.Add(assumedColdFor)
 	if !e.entriesRead[u.DataCentre] {
 		coldUntil = coldUntil.Add(slowStart)
--- a/internal/entryhost/evacuate_test.go
+++ b/internal/entryhost/evacuate_test.go
@@ -63,7 +63,7 @@
 		if totalRuns(evacuated) == 0 {
 			t.Fatal("the test's setup is wrong: the data centre got no requests before its evacuation")
 		}
-		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
+		f.log.Put(metastore.StreamOperators, "evacuate/far", []byte("{}"))
 		if unserved := f.sendTraffic(testEvacuationTimeout / 2); unserved > 0 {
 			t.Errorf("%d requests were not served during the evacuation", unserved)
 		}
@@ -77,7 +77,7 @@
 		if n := totalRuns(evacuated) - before; n > 0 {
 			t.Errorf("%d requests reached the data centre later than %v after the start of the evacuation", n, testEvacuationTimeout)
 		}
-		f.log.Put(metastore.StreamDesired, "evacuate/far", nil)
+		f.log.Put(metastore.StreamOperators, "evacuate/far", nil)
 		f.generateLoad("read.example", 8*time.Second) // owners with little load keep their keys
 		if totalRuns(evacuated) == before {
 			t.Error("the data centre gets no requests after the evacuation has ended")
@@ -93,7 +93,7 @@
 		f := newFleet(t, 2, 3)
 		evacuated := f.addDataCentre("far", 2)
 		f.waitServed(f.hosts[0], startupTimeout)
-		f.log.Put(metastore.StreamDesired, "evacuate/far", []byte("{}"))
+		f.log.Put(metastore.StreamOperators, "evacuate/far", []byte("{}"))
 		time.Sleep(20 * time.Millisecond) // the hosts read the evacuation's record, but have not moved the keys yet
 		f.log.SetDown(true)
 		time.Sleep(testEvacuationTimeout)
--- a/internal/entryhost/feedback.go
+++ b/internal/entryhost/feedback.go
@@ -57,8 +57,8 @@
 	}
 	marked := *u
 	marked.ReportedLeaving = true
-	if handoverBy := reportedAt.Add(max(c.drainTimeout-drainMargin, 0)); marked.LeaveBy.IsZero() || handoverBy.Before(marked.LeaveBy) {
-		marked.LeaveBy = handoverBy
+	if handoverBy := reportedAt.Add(max(c.drainTimeout-drainMargin, 0)); marked.HandoverBy.IsZero() || handoverBy.Before(marked.HandoverBy) {
+		marked.HandoverBy = handoverBy
 	}
 	return &marked
 }
@@ -68,14 +68,14 @@
 // requestPermits gets permits to send up to want requests to an upstream with a
 // rate limit of perSecond, from this host if it is the planner and otherwise
 // from the planner. It satisfies ratelimit.Ask.
-func (h *host) requestPermits(ctx context.Context, upstream string, perSecond float64, want int) (ratelimit.Permit, error) {
+func (h *host) requestPermits(ctx context.Context, upstream string, perSecond float64, want int) (ratelimit.PermitReply, error) {
 	if permit, ok := h.issuePermits(upstream, perSecond, want); ok {
 		return permit, nil
 	}
 	permitRequests.Inc()
 	addr := h.plannerAddr()
 	if addr == "" {
-		return ratelimit.Permit{}, errNoPlanner
+		return ratelimit.PermitReply{}, errNoPlanner
 	}
 	permit, err := h.peers.AcquirePermits(ctx, addr, upstream, perSecond, want)
 	if err != nil {
@@ -86,9 +86,9 @@
 
 // issuePermits issues permits for an upstream with a rate limit. It returns
 // false if this host is not the planner.
-func (h *host) issuePermits(upstream string, perSecond float64, want int) (ratelimit.Permit, bool) {
+func (h *host) issuePermits(upstream string, perSecond float64, want int) (ratelimit.PermitReply, bool) {
 	if !h.controller.isPlanner.Load() {
-		return ratelimit.Permit{}, false
+		return ratelimit.PermitReply{}, false
 	}
 	return h.allocator.Take(upstream, perSecond, want, time.Now()), true
 }
--- a/internal/entryhost/gauges.go
+++ b/internal/entryhost/gauges.go
@@ -17,7 +17,7 @@
 	metrics.WriteGaugeFloat64(w, "papayatide_view_age_seconds", h.controller.replica.Age(now).Seconds())
 	metrics.WriteGaugeUint64(w, "papayatide_hosts", uint64(h.fleet.Size(now)))
 	metrics.WriteGaugeUint64(w, "papayatide_planning", boolToUint64(h.controller.isPlanner.Load()))
-	metrics.WriteCounterUint64(w, "papayatide_log_lines_dropped_total", uint64(h.plat.LogDropped()))
+	metrics.WriteCounterUint64(w, "papayatide_log_lines_dropped_total", uint64(h.plat.DroppedLogLines()))
 	for service, t := range h.views.Load().Tables {
 		owned := 0
 		for _, r := range t.Ranges {
--- a/internal/entryhost/harness_test.go
+++ b/internal/entryhost/harness_test.go
@@ -147,7 +147,7 @@
 	t.Helper()
 	f := &testFleet{t: t, log: memstore.New(), net: pipenet.New(), upstreams: map[string]*rangeowner.Upstream{}, grantTTL: time.Second, testEnded: make(chan struct{})}
 	f.http = &http.Client{Transport: &http.Transport{DialContext: f.net.Dial}}
-	f.log.Put(metastore.StreamDesired, "state", []byte("1"))
+	f.log.Put(metastore.StreamOperators, "state", []byte("1"))
 	for i := range upstreams {
 		f.addUpstream(fmt.Sprint("u", i))
 	}
@@ -312,12 +312,12 @@
 // startHostWithCPU starts a host with the given CPU share (in cores).
 func (f *testFleet) startHostWithCPU(name string, cpu float64) *testHost {
 	cfg := &settings.EntryHost{Host: name, DataCentre: "dc", Listen: name + ".front:80", ReadyListen: name + ".ready:80", PeerListen: name + ".peer:80",
-		MetricsListen: name + ".metrics:80", LogLevel: "info", MemoryMB: 284, CPUShare: cpu, LinkMbps: 1000, MinLeaseTTL: 300 * time.Millisecond, MaxGrantTTL: 10 * time.Second,
+		MetricsListen: name + ".metrics:80", LogLevel: "info", MemoryMB: 284, CPUCores: cpu, LinkMbps: 1000, MinLeaseTTL: 300 * time.Millisecond, MaxGrantTTL: 10 * time.Second,
 		ShutdownGrace: 6 * time.Second, RetryBudgetRatio: 0.5, RetryBudgetSlack: 500, RetryBudgetWindow: 10 * time.Second,
-		SlowStartFactor: slowStartFactor, SlowStartSlack: slowStartSlack, EvacuationTimeout: testEvacuationTimeout, DrainTimeout: rangeowner.DrainGrace, GrantTTL: f.grantTTL, MaxViewAge: 2 * time.Second}
+		SlowStartFactor: slowStartFactor, SlowStartSlack: slowStartSlack, EvacuationTimeout: testEvacuationTimeout, DrainTimeout: rangeowner.DrainGrace, GrantTTL: f.grantTTL, MaxRenewalAge: 2 * time.Second}
 	ctx, stop := context.WithCancel(context.Background())
 	h := &testHost{cfg: cfg, http: f.http, log: &partitionedStore{Log: f.log}, stop: stop, done: make(chan error, 1)}
-	plat := Platform{Store: h.log, Decoder: decoder{}, Granter: directGranter{f}, Headers: testHeaders, ReadyPath: "/ready", LogDropped: func() int64 { return 0 },
+	plat := Platform{Store: h.log, Decoder: decoder{}, Granter: directGranter{f}, Headers: testHeaders, ReadyPath: "/ready", DroppedLogLines: func() int64 { return 0 },
 		Net: f.net, Clock: fleetClock}
 	go func() { h.done <- Run(ctx, cfg, plat, nil, zap.NewNop()) }()
 	f.hosts = append(f.hosts, h)
@@ -329,7 +329,7 @@
 func (f *testFleet) isolateHost(h *testHost) {
 	h.log.partitioned.Store(true)
 	for _, addr := range []string{h.cfg.Listen, h.cfg.ReadyListen, h.cfg.PeerListen, h.cfg.MetricsListen} {
-		f.net.Kill(addr)
+		f.net.Disconnect(addr)
 	}
 }
 
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -43,8 +43,8 @@
 	Granter   Granter
 	Headers   protocol.Headers
 	ReadyPath string
-	// LogDropped returns how many log lines have been dropped since the start.
-	LogDropped func() int64
+	// DroppedLogLines returns how many log lines have been dropped since the start.
+	DroppedLogLines func() int64
 	// Net opens the host's sockets and Clock measures its lease and grants. If
 	// nil, the kernel's are used. Fleet tests supply their own, so that order and
 	// outcome don't depend on the machine's load.
@@ -156,7 +156,7 @@
 	}
 	g.Add(func() error { return h.awaitStop(ctx, workCtx) }, func(error) { cancel() })
 	zl.Info("started", zap.Int("event", events.EntryHostStarted), zap.String("host", cfg.Host), zap.String("data_centre", cfg.DataCentre),
-		zap.Float64("cpu_share", cfg.CPUShare), zap.Float64("link_mbps", cfg.LinkMbps), zap.Bool("eager", h.candidate))
+		zap.Float64("cpu_share", cfg.CPUCores), zap.Float64("link_mbps", cfg.LinkMbps), zap.Bool("eager", h.candidate))
 	err := g.Run()
 	zl.Info("stopped", zap.Int("event", events.EntryHostStopped), ErrorField(err))
 	if errors.Is(err, context.Canceled) {
@@ -169,14 +169,14 @@
 func newHost(cfg *settings.EntryHost, plat Platform, zl *zap.Logger) *host {
 	h := &host{cfg: cfg, zl: zl, views: view.NewPublisher(), client: upstream.NewClient(plat.Headers), picker: balance.NewPicker(cfg.Host),
 		budget: budget.New(hostBudgetLimits(cfg, 1), time.Now()), loadSampler: newLoadSampler(), allocator: ratelimit.NewAllocator(), plat: plat, fleet: fleet.New(cfg.DataCentre),
-		candidate: cfg.CPUShare >= candidateMinCPU && cfg.LinkMbps >= candidateMinLinkMbps,
+		candidate: cfg.CPUCores >= candidateMinCPU && cfg.LinkMbps >= candidateMinLinkMbps,
 		peers:     peer.NewClient(&http.Client{Transport: plat.peerTransport()})}
 	if plat.Net != nil {
 		h.client.Dial = plat.Net.Dial
 	}
 	h.inFlightAggregator = newInFlightAggregator(cfg.Host, cfg.DataCentre, h.picker, func() *catalogue.Snapshot { return h.views.Load().Upstreams })
 	h.controller = newController(zl, plat.Store, plat.Decoder, plat.Granter, h.views, planner.Options{Host: cfg.Host, PeerAddr: cfg.PeerListen,
-		GrantTTL: cfg.GrantTTL, MaxViewAge: cfg.MaxViewAge, LeaseTTL: max(cfg.MinLeaseTTL, leaseTTL), Candidate: h.candidate},
+		GrantTTL: cfg.GrantTTL, MaxRenewalAge: cfg.MaxRenewalAge, LeaseTTL: max(cfg.MinLeaseTTL, leaseTTL), Candidate: h.candidate},
 		cfg.EvacuationTimeout)
 	h.feedback, h.controller.drainTimeout = h.controller.feedback, cfg.DrainTimeout
 	if plat.Clock != nil {
@@ -221,9 +221,9 @@
 		return err
 	}
 	peers := http.NewServeMux()
-	ps := peerpb.NewPeerServer(&peer.Server{Copy: h.controller.replica, ReplicaStatus: h.replicaStatus, Fleet: h.fleet, Name: h.cfg.Host, HostStatus: h.status, RetireTermsBefore: h.retire,
-		OnLoads: func(l []peer.ServiceLoad) { h.receiveKeyLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.recordStats, PeerLoads: h.inFlightAggregator.othersInFlight,
-		Feedback: h.feedback, AcquirePermits: h.issuePermits})
+	ps := peerpb.NewPeerServer(&peer.Server{Replica: h.controller.replica, ReplicaStatus: h.replicaStatus, Fleet: h.fleet, Name: h.cfg.Host, HostStatus: h.status, RetireTermsBefore: h.retire,
+		OnKeyLoads: func(l []peer.ServiceLoad) { h.receiveKeyLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.recordStats, PeerLoads: h.inFlightAggregator.othersInFlight,
+		Feedback: h.feedback, IssuePermits: h.issuePermits})
 	peers.Handle(ps.PathPrefix(), ps)
 	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.tracker, Log: h.zl})
 	peers.Handle(rs.PathPrefix(), rs)
@@ -333,7 +333,7 @@
 // the planner, or this host is the planner and the other hosts have had
 // fleetDiscoveryTime to call it.
 func (h *host) fleetSizeKnown(now time.Time) bool {
-	return h.fleet.HasPlannerSize() || (h.controller.isPlanner.Load() && now.Sub(h.logSyncer.startedAt) > fleetDiscoveryTime)
+	return h.fleet.HasPlannerFleetSize() || (h.controller.isPlanner.Load() && now.Sub(h.logSyncer.startedAt) > fleetDiscoveryTime)
 }
 
 // fleetDiscoveryTime is how long after its start a planner that has received no
@@ -342,7 +342,7 @@
 
 // logDroppedLines logs how many log lines were dropped since its last call.
 func (h *host) logDroppedLines() {
-	total := h.plat.LogDropped()
+	total := h.plat.DroppedLogLines()
 	if total > h.loggedDroppedLines {
 		h.zl.Warn("log lines dropped", zap.Int("event", events.LogLinesDropped), zap.Int64("dropped", total-h.loggedDroppedLines))
 	}
--- a/internal/entryhost/loadsampler.go
+++ b/internal/entryhost/loadsampler.go
@@ -140,7 +140,7 @@
 // whether other hosts may follow it.
 func (h *host) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
 	if h.controller.isPlanner.Load() {
-		return peer.ReplicaStatus{Planning: true, Age: h.controller.replica.Age(now), LogReachableFor: h.controller.replica.LogReachableFor(now)}, true
+		return peer.ReplicaStatus{IsPlanner: true, Age: h.controller.replica.Age(now), LogReachableFor: h.controller.replica.LogReachableFor(now)}, true
 	}
 	return h.logSyncer.replicaStatus(now)
 }
--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -167,7 +167,7 @@
 // stale, a host that is no candidate runs its readers only after a probe has
 // succeeded, and stops them when a read fails.
 func (s *logSyncer) updateDirectReads(ctx context.Context) {
-	if s.self().Candidate || s.isPlanner() || !s.followedReplicaStale || s.replica.NextOffset(metastore.StreamDesired) < 0 {
+	if s.self().Candidate || s.isPlanner() || !s.followedReplicaStale || s.replica.NextOffset(metastore.StreamOperators) < 0 {
 		s.startDirectReads(ctx)
 		return
 	}
@@ -228,7 +228,7 @@
 	reply, err := s.peers.Follow(ctx, addr, req)
 	s.lastFollowFailed = err != nil
 	if err != nil {
-		s.followedReplicaStale = errors.Is(err, peer.ErrNoReplica)
+		s.followedReplicaStale = errors.Is(err, peer.ErrReplicaNotCurrent)
 		s.onFollowFailed()
 		s.setFollowed("", 0, err)
 		return false
@@ -243,7 +243,7 @@
 		s.lastPlannerStatus.Store(&plannerStatus{receivedAt: time.Now(), replicaAge: reply.Age, logReachableFor: reply.LogReachableFor})
 		s.relayAddr = reply.Relay
 	}
-	s.fleet.SetPlannerSize(reply.HostCount)
+	s.fleet.SetPlannerFleetSize(reply.HostCount)
 	s.feedback.Merge(addr, reply.Notices, time.Now())
 	if !isRelay {
 		s.picker.SetPeerLoads(reply.PeerLoads, time.Now())
@@ -288,9 +288,9 @@
 		return
 	}
 	if addr != "" {
-		s.zl.Info("following the log replica of another host", zap.Int("event", events.PlannerFollowed), zap.String("planner", addr), zap.Duration("age", age))
+		s.zl.Info("following the log replica of another host", zap.Int("event", events.ReplicaFollowStarted), zap.String("planner", addr), zap.Duration("age", age))
 	} else {
-		s.zl.Info("stopped following the log replica of another host", zap.Int("event", events.PlannerUnfollowed), zap.String("planner", old),
+		s.zl.Info("stopped following the log replica of another host", zap.Int("event", events.ReplicaFollowStopped), zap.String("planner", old),
 			zap.Duration("age", age), ErrorField(err))
 	}
 	s.following.Store(addr)
@@ -335,7 +335,7 @@
 	switch {
 	case s.isPlanner() || s.self().Candidate:
 		return true // other hosts follow this one, or may soon
-	case s.replica.NextOffset(metastore.StreamDesired) < 0:
+	case s.replica.NextOffset(metastore.StreamOperators) < 0:
 		return s.lastFollowFailed || now.Sub(s.startedAt) > s.discoveryTimeout
 	}
 	return s.replica.Age(now) > directReadAge
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -56,7 +56,7 @@
 			t.Errorf("%.0f calls in %v, want at most %d", calls, outage, maxCalls)
 		}
 		f.log.SetDown(false)
-		f.log.Put(metastore.StreamDesired, "state", []byte("2"))
+		f.log.Put(metastore.StreamOperators, "state", []byte("2"))
 		time.Sleep(settleTime)
 		for _, h := range f.hosts {
 			if v := h.desiredVersion(t); v != 2 {
@@ -127,7 +127,7 @@
 		ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutSlack)
 		defer cancel()
 		<-ctx.Done()
-		return metastore.Batch{}, metastore.ErrNoAnswer
+		return metastore.Batch{}, metastore.ErrNoResponse
 	}
 	return s.Log.Read(ctx, st, from, wait)
 }
--- a/internal/entryhost/partitionedstore_test.go
+++ b/internal/entryhost/partitionedstore_test.go
@@ -18,28 +18,28 @@
 
 func (s *partitionedStore) Newest(ctx context.Context, st metastore.Stream) ([]metastore.Record, int64, error) {
 	if s.partitioned.Load() {
-		return nil, 0, metastore.ErrNoAnswer
+		return nil, 0, metastore.ErrNoResponse
 	}
 	return s.Log.Newest(ctx, st)
 }
 
 func (s *partitionedStore) Read(ctx context.Context, st metastore.Stream, from int64, wait time.Duration) (metastore.Batch, error) {
 	if s.partitioned.Load() {
-		return metastore.Batch{}, metastore.ErrNoAnswer
+		return metastore.Batch{}, metastore.ErrNoResponse
 	}
 	return s.Log.Read(ctx, st, from, wait)
 }
 
 func (s *partitionedStore) AppendAt(ctx context.Context, st metastore.Stream, key string, value []byte, at int64) (int64, error) {
 	if s.partitioned.Load() {
-		return 0, metastore.ErrNoAnswer
+		return 0, metastore.ErrNoResponse
 	}
 	return s.Log.AppendAt(ctx, st, key, value, at)
 }
 
-func (s *partitionedStore) JoinElection(ctx context.Context, member string, ttl time.Duration, generation int64) (metastore.Lease, error) {
+func (s *partitionedStore) JoinElection(ctx context.Context, member string, ttl time.Duration, generation int64) (metastore.JoinResult, error) {
 	if s.partitioned.Load() {
-		return metastore.Lease{}, metastore.ErrNoAnswer
+		return metastore.JoinResult{}, metastore.ErrNoResponse
 	}
 	return s.Log.JoinElection(ctx, member, ttl, generation)
 }
--- a/internal/entryhost/records.go
+++ b/internal/entryhost/records.go
@@ -31,7 +31,7 @@
 
 // apply applies the part of a batch that is new to this host's replica.
 func (c *controller) apply(b relay.Batch) {
-	if len(b.Changes) > 0 {
+	if len(b.Deltas) > 0 {
 		c.applyDeltas(b)
 		return
 	}
@@ -40,7 +40,7 @@
 		return
 	}
 	switch b.Stream {
-	case metastore.StreamDesired:
+	case metastore.StreamOperators:
 		c.applyDesired(fresh.Records)
 		c.applyEvacuations(fresh.Records, fresh.Reset)
 	case metastore.StreamUpstreams:
@@ -97,7 +97,7 @@
 		return // already read from the log service
 	}
 	tables := map[int64]*ownership.Table{}
-	for _, encoded := range b.Changes {
+	for _, encoded := range b.Deltas {
 		t, err := c.applyDelta(encoded)
 		if err != nil {
 			c.zl.Info("ownership delta does not apply; requesting full tables", zap.Int("event", events.OwnershipChangeRejected),
@@ -118,7 +118,7 @@
 
 // applyDelta returns the table that results from applying an encoded delta to
 // the current one.
-func (c *controller) applyDelta(encoded relay.Change) (*ownership.Table, error) {
+func (c *controller) applyDelta(encoded relay.Delta) (*ownership.Table, error) {
 	delta, err := ownership.DecodeDelta(encoded.Data)
 	if err != nil {
 		return nil, err
--- a/internal/entryhost/registry_test.go
+++ b/internal/entryhost/registry_test.go
@@ -96,7 +96,7 @@
 	views := view.NewPublisher()
 	c := newController(zap.NewNop(), log, decoder{}, nil, views, planner.Options{Host: "h"}, testEvacuationTimeout)
 	c.registry.register(&catalogue.Upstream{ID: "left", Service: "s"})
-	c.onStreamResult(metastore.StreamUpstreams, metastore.ErrNoAnswer)
+	c.onStreamResult(metastore.StreamUpstreams, metastore.ErrNoResponse)
 	c.onStreamResult(metastore.StreamUpstreams, nil)
 	c.applyUpstreams(nil, true)
 	if u := views.Load().Upstreams.ByID["left"]; u.Leaving {
@@ -117,10 +117,10 @@
 // stream, because it proves that the log service is back.
 func TestRelistGracePeriodStartsAtFirstRecoveredStream(t *testing.T) {
 	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
-	for _, s := range []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams} {
-		c.onStreamResult(s, metastore.ErrNoAnswer)
+	for _, s := range []metastore.Stream{metastore.StreamOperators, metastore.StreamUpstreams} {
+		c.onStreamResult(s, metastore.ErrNoResponse)
 	}
-	c.onStreamResult(metastore.StreamDesired, nil)
+	c.onStreamResult(metastore.StreamOperators, nil)
 	recoveredAt := c.logRecoveredAt
 	c.logRecoveredAt = recoveredAt.Add(-500 * time.Millisecond)
 	c.onStreamResult(metastore.StreamUpstreams, nil)
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -12,20 +12,20 @@
 	ManifestAdopted  = 200
 	ManifestRejected = 201
 	// RecordsGap: records of a stream expired before this host read them.
-	RecordsGap = 202
+	RecordsExpired = 202
 
 	// 3xx: placement and grants.
 	PlacementAdopted  = 300
-	PlacementProposed = 301
+	PlacementAppended = 301
 	PlacementConflict = 302
 	// PlacementUnknown: the outcome of appending a proposed placement is unknown.
-	PlacementUnknown  = 303
-	GrantFailed       = 304
-	UpstreamDown      = 305
-	UpstreamUp        = 306
-	PlacementRejected = 307
-	HeartbeatFailed   = 308
-	HostListFailed    = 309
+	PlacementOutcomeUnknown = 303
+	GrantFailed             = 304
+	UpstreamDown            = 305
+	UpstreamUp              = 306
+	PlacementRejected       = 307
+	HeartbeatFailed         = 308
+	HostListFailed          = 309
 
 	// 4xx: traffic.
 	ForwardFailed = 400
@@ -49,15 +49,15 @@
 	SettingsRejected  = 604
 	StreamLost        = 610
 	StreamRecovered   = 611
-	// PlannerFollowed and PlannerUnfollowed: the host starts or stops reading
+	// ReplicaFollowStarted and PlannerUnfollowed: the host starts or stops reading
 	// the planner's replica of the log instead of the log service.
-	PlannerFollowed   = 612
-	PlannerUnfollowed = 613
-	HostStalled       = 614
-	DesiredAdopted    = 620
-	DesiredRejected   = 621
-	EvacuationBegun   = 622
-	EvacuationEnded   = 623
+	ReplicaFollowStarted = 612
+	ReplicaFollowStopped = 613
+	HostStalled          = 614
+	DesiredAdopted       = 620
+	DesiredRejected      = 621
+	EvacuationBegun      = 622
+	EvacuationEnded      = 623
 	// UpstreamListed and UpstreamUnlisted: the upstream's record has appeared in
 	// the upstreams' stream or is gone from it.
 	UpstreamListed          = 630
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -71,15 +71,15 @@
 	f.hosts[h.Name] = hostEntry{Host: h, lastCall: now}
 }
 
-// SetPlannerSize sets the number of hosts in the fleet as counted by the planner.
-func (f *Fleet) SetPlannerSize(size int) {
+// SetPlannerFleetSize sets the number of hosts in the fleet as counted by the planner.
+func (f *Fleet) SetPlannerFleetSize(size int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plannerFleetSize = size
 }
 
-// HasPlannerSize reports whether the planner's count of the fleet's hosts is known.
-func (f *Fleet) HasPlannerSize() bool {
+// HasPlannerFleetSize reports whether the planner's count of the fleet's hosts is known.
+func (f *Fleet) HasPlannerFleetSize() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.plannerFleetSize > 0
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -94,7 +94,7 @@
 	if got := f.Size(now.Add(2 * sizeRetention)); got != 1 {
 		t.Errorf("%d hosts long after the last call, want 1", got)
 	}
-	f.SetPlannerSize(91)
+	f.SetPlannerFleetSize(91)
 	if got := f.Size(now); got != 91 {
 		t.Errorf("%d hosts, want the planner's count of 91", got)
 	}
--- a/internal/inflight/aggregator.go
+++ b/internal/inflight/aggregator.go
@@ -62,8 +62,8 @@
 	defer a.mu.Unlock()
 	a.replaceLoadStats(host, hostLoadStats{now, loads})
 	for _, l := range loads {
-		if l.Answered > 0 {
-			a.estimator.Add(l.ID, float64(l.Answered), l.Latency.Seconds(), now)
+		if l.Responses > 0 {
+			a.estimator.Add(l.ID, float64(l.Responses), l.TotalLatency.Seconds(), now)
 		}
 	}
 }
--- a/internal/inflight/aggregator_test.go
+++ b/internal/inflight/aggregator_test.go
@@ -50,8 +50,8 @@
 	a := New(func() *catalogue.Snapshot { return snapshot }, now)
 	for i := range 20 {
 		now = now.Add(200 * time.Millisecond)
-		a.Record(string(rune('a'+i)), []balance.LoadStats{{ID: "slow", Answered: 1, Latency: 500 * time.Millisecond},
-			{ID: "fast", Answered: 1, Latency: 200 * time.Millisecond}}, now)
+		a.Record(string(rune('a'+i)), []balance.LoadStats{{ID: "slow", Responses: 1, TotalLatency: 500 * time.Millisecond},
+			{ID: "fast", Responses: 1, TotalLatency: 200 * time.Millisecond}}, now)
 	}
 	slow, fast := peerLoad(a, "x", "slow", now).WorkTime, peerLoad(a, "x", "fast", now).WorkTime
 	if slow < 3*fast/2 {
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -171,14 +171,14 @@
 // request was served and how long that took.
 func (s simulation) sendRequest(b *balance.Picker, upstreams []*catalogue.Upstream, servers map[string]*simServer, work time.Duration) (bool, time.Duration) {
 	start := time.Now()
-	c := balance.Criteria{LocalDataCentre: "dc", FarPenalty: s.latencyObjective / 4}
+	c := balance.Criteria{LocalDataCentre: "dc", RemotePenalty: s.latencyObjective / 4}
 	for range maxAttempts {
 		u := b.Pick(upstreams, c, time.Now())
 		if b.ExpectedLatency(u, time.Now()) > s.latencyObjective {
 			return false, time.Since(start) // the dispatcher refuses it if this is the first attempt
 		}
 		maxWait := max(s.latencyObjective/2-time.Since(start), 0)
-		ticket := b.Limiter(u.ID).Acquire(context.Background(), maxWait, admission.ShareOf(u.Slots, 0, s.hosts))
+		ticket := b.Limiter(u.ID).Acquire(context.Background(), maxWait, admission.HostLimitRange(u.Slots, 0, s.hosts))
 		if ticket == nil {
 			return false, time.Since(start)
 		}
@@ -187,7 +187,7 @@
 		took := time.Since(sent)
 		signal, outcome := admission.InTime, balance.Served
 		if !ok {
-			signal, outcome = admission.Full, balance.Overloaded
+			signal, outcome = admission.Overloaded, balance.Overloaded
 		} else if took > s.latencyObjective*8/10 {
 			signal = admission.Late
 		}
--- a/internal/manifest/examples.go
+++ b/internal/manifest/examples.go
@@ -34,9 +34,9 @@
 	return names
 }
 
-// ServiceSize describes one service of a generated manifest: its name, its number of
+// ServiceSpec describes one service of a generated manifest: its name, its number of
 // upstreams and whether its targets check fencing tokens.
-type ServiceSize struct {
+type ServiceSpec struct {
 	Name           string
 	Upstreams      int
 	FencingChecked bool
@@ -46,7 +46,7 @@
 // consecutive ports from firstPort on, round-robin over the data centres dcs. slots
 // and conns are each upstream's Slots and Connections. The examples were generated
 // by it; tests and benchmarks use it as well.
-func Generate(deployment string, dcs []string, services []ServiceSize, slots, conns, firstPort int) *Manifest {
+func Generate(deployment string, dcs []string, services []ServiceSpec, slots, conns, firstPort int) *Manifest {
 	m := &Manifest{Deployment: deployment, DataCentres: dcs}
 	port := firstPort
 	for _, spec := range services {
--- a/internal/metastore/metastore.go
+++ b/internal/metastore/metastore.go
@@ -10,9 +10,9 @@
 type Stream string
 
 const (
-	// StreamDesired is the operators' stream. It holds the desired state and the
+	// StreamOperators is the operators' stream. It holds the desired state and the
 	// evacuations of data centres.
-	StreamDesired Stream = "desired"
+	StreamOperators Stream = "desired"
 	// StreamUpstreams is written by upstreams.
 	StreamUpstreams Stream = "upstreams"
 	// StreamOwnership is written by the planner only.
@@ -29,9 +29,9 @@
 	// ErrRejected means that the service responded and did nothing: it is
 	// overloaded, over its rate limit or failing for this host.
 	ErrRejected = errors.New("log service rejected the call")
-	// ErrNoAnswer means that a call got no complete, valid response. A write may
+	// ErrNoResponse means that a call got no complete, valid response. A write may
 	// still take effect, even seconds later.
-	ErrNoAnswer = errors.New("no valid response from the log service")
+	ErrNoResponse = errors.New("no valid response from the log service")
 	// ErrTrimmed means that the requested records are no longer retained. Read
 	// the newest record of each key instead.
 	ErrTrimmed = errors.New("requested records are no longer retained")
@@ -59,9 +59,9 @@
 	End int64
 }
 
-// Lease is the result of JoinElection, also for a member that does not hold the
+// JoinResult is the result of JoinElection, also for a member that does not hold the
 // planner lease.
-type Lease struct {
+type JoinResult struct {
 	// Generation is the consumer group's generation. Pass it to the member's
 	// next call of JoinElection, and 0 to the first.
 	Generation int64
@@ -86,7 +86,7 @@
 	Append(ctx context.Context, s Stream, recs []Record) error
 	// JoinElection enters or stays in the election of the planner. A member that
 	// does not call it again within ttl loses its lease.
-	JoinElection(ctx context.Context, member string, ttl time.Duration, generation int64) (Lease, error)
+	JoinElection(ctx context.Context, member string, ttl time.Duration, generation int64) (JoinResult, error)
 	// LeaveElection leaves the election and gives up the lease immediately.
 	LeaveElection(ctx context.Context, member string) error
 }
--- a/internal/ownership/errors.go
+++ b/internal/ownership/errors.go
@@ -12,7 +12,7 @@
 	ErrRejected = errors.New("upstream rejected the call")
 	// ErrNotSent means no byte of the call left this host.
 	ErrNotSent = errors.New("call was not sent")
-	// ErrNoAnswer means the call got no response; the upstream may still
+	// ErrNoResponse means the call got no response; the upstream may still
 	// carry it out.
-	ErrNoAnswer = errors.New("upstream did not respond to the call")
+	ErrNoResponse = errors.New("upstream did not respond to the call")
 )
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -24,9 +24,9 @@
 	Closed
 )
 
-// Conn returns the connection's state. It uses RawConn.Control: RawConn.Read would
+// ConnState returns the connection's state. It uses RawConn.Control: RawConn.Read would
 // block until a pending read of another goroutine ends.
-func Conn(c net.Conn) State {
+func ConnState(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return Unknown
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -26,9 +26,9 @@
 	defer func() { _ = c.Close() }()
 	want := func(s State) {
 		t.Helper()
-		for end := time.Now().Add(time.Second); Conn(c) != s; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(time.Second); ConnState(c) != s; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("state %d, want %d", Conn(c), s)
+				t.Fatalf("state %d, want %d", ConnState(c), s)
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 	_ = remote.Close()
 	<-reading
 	want(Closed)
-	if Conn(struct{ net.Conn }{c}) != Unknown {
+	if ConnState(struct{ net.Conn }{c}) != Unknown {
 		t.Error("a connection without a socket has a state other than Unknown")
 	}
 }
--- a/internal/peer/feedback.go
+++ b/internal/peer/feedback.go
@@ -15,25 +15,25 @@
 // AcquirePermits requests permits for up to want requests to an upstream from the
 // planner at addr (host:port), by the RPC Admit. perSecond is the upstream's rate
 // limit.
-func (c *Client) AcquirePermits(ctx context.Context, addr, upstream string, perSecond float64, want int) (ratelimit.Permit, error) {
+func (c *Client) AcquirePermits(ctx context.Context, addr, upstream string, perSecond float64, want int) (ratelimit.PermitReply, error) {
 	reply, err := peerpb.NewPeerProtobufClient("http://"+addr, c.http).Admit(ctx,
 		&peerpb.AdmitRequest{Upstream: upstream, PerSecond: perSecond, Want: uint32(want)})
 	if err != nil {
-		return ratelimit.Permit{}, eris.Wrapf(err, "peer %s: acquire permits", addr)
+		return ratelimit.PermitReply{}, eris.Wrapf(err, "peer %s: acquire permits", addr)
 	}
-	return ratelimit.Permit{Requests: int(reply.Requests), Wait: time.Duration(reply.WaitMs) * time.Millisecond}, nil
+	return ratelimit.PermitReply{Permits: int(reply.Requests), Wait: time.Duration(reply.WaitMs) * time.Millisecond}, nil
 }
 
 // Admit implements peerpb.Peer. It issues permits for requests to an upstream with a
 // rate limit.
 func (s *Server) Admit(_ context.Context, m *peerpb.AdmitRequest) (*peerpb.AdmitReply, error) {
-	permit, ok := s.AcquirePermits(m.Upstream, m.PerSecond, int(m.Want))
+	permit, ok := s.IssuePermits(m.Upstream, m.PerSecond, int(m.Want))
 	if !ok {
 		return nil, twirp.NewError(twirp.Unavailable, "this host does not plan")
 	}
 	// WaitMs is rounded up: a host that retried just before the next permit is due
 	// would have to retry again.
-	return &peerpb.AdmitReply{Requests: uint32(permit.Requests), WaitMs: uint32((permit.Wait + time.Millisecond - 1).Milliseconds())}, nil
+	return &peerpb.AdmitReply{Requests: uint32(permit.Permits), WaitMs: uint32((permit.Wait + time.Millisecond - 1).Milliseconds())}, nil
 }
 
 func encodeNotices(ns []feedback.Notice) []*peerpb.UpstreamNotice {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -97,7 +97,7 @@
 
 // ErrNoReplica means that the callee's log replica is not current: it is not the
 // planner, has not followed it recently and has not read the log service recently.
-var ErrNoReplica = errors.New("log replica is not current")
+var ErrReplicaNotCurrent = errors.New("log replica is not current")
 
 // Follow sends this host's state to the host at addr (host:port), the planner or a
 // relay, and returns the log records that this host lacks.
@@ -111,8 +111,8 @@
 		msg.Loads = append(msg.Loads, encodeLoad(l))
 	}
 	for _, u := range req.LoadStats {
-		msg.Uses = append(msg.Uses, &peerpb.UpstreamUse{Id: u.ID, UnderWay: uint32(u.InFlight), Answered: uint32(u.Answered),
-			LatencyMs: uint32(u.Latency.Milliseconds())})
+		msg.Uses = append(msg.Uses, &peerpb.UpstreamUse{Id: u.ID, UnderWay: uint32(u.InFlight), Answered: uint32(u.Responses),
+			LatencyMs: uint32(u.TotalLatency.Milliseconds())})
 	}
 	msg.Notices = encodeNotices(req.Notices)
 	msg.UsingToken = req.Subset.Hash
@@ -123,7 +123,7 @@
 	if err != nil {
 		var rpcErr twirp.Error
 		if errors.As(err, &rpcErr) && rpcErr.Code() == twirp.Unavailable {
-			err = errors.Join(ErrNoReplica, err)
+			err = errors.Join(ErrReplicaNotCurrent, err)
 		}
 		return nil, eris.Wrapf(err, "peer %s: follow", addr)
 	}
@@ -220,7 +220,7 @@
 	for _, r := range b.Records {
 		out.Records = append(out.Records, &peerpb.Record{Key: r.Key, Value: r.Value, Deleted: r.Value == nil, Offset: r.Offset})
 	}
-	for _, c := range b.Changes {
+	for _, c := range b.Deltas {
 		out.Changes = append(out.Changes, &peerpb.Change{Key: c.Key, Offset: c.Offset, Value: c.Data})
 	}
 	return out
@@ -236,39 +236,39 @@
 		out.Records = append(out.Records, rec)
 	}
 	for _, c := range m.Changes {
-		out.Changes = append(out.Changes, relay.Change{Key: c.Key, Offset: c.Offset, Data: c.Value})
+		out.Deltas = append(out.Deltas, relay.Delta{Key: c.Key, Offset: c.Offset, Data: c.Value})
 	}
 	return out
 }
 
 // ReplicaStatus says how current a host's log replica is.
 type ReplicaStatus struct {
-	// Planning is set if the host is the planner, whose replica the others follow.
-	Planning bool
+	// IsPlanner is set if the host is the planner, whose replica the others follow.
+	IsPlanner bool
 	// Age and LogReachableFor are as in FollowReply.
 	Age, LogReachableFor time.Duration
 }
 
 // Server handles calls from other hosts.
 type Server struct {
-	// Copy is this host's replica of the log, which callers follow.
-	Copy *relay.Replica
+	// Replica is this host's replica of the log, which callers follow.
+	Replica *relay.Replica
 	// ReplicaStatus returns the status of the replica; false if this host is not the
 	// planner, has not followed it recently and has not read the log service recently.
 	ReplicaStatus func(now time.Time) (ReplicaStatus, bool)
 	// Fleet records each call.
 	Fleet *fleet.Fleet
-	// OnLoads receives the loads of each call.
-	OnLoads func([]ServiceLoad)
+	// OnKeyLoads receives the loads of each call.
+	OnKeyLoads func([]ServiceLoad)
 	// OnLoadStats receives the caller's load on upstreams. PeerLoads returns the load of
 	// the other hosts in the caller's data centre on each of the given upstreams.
 	OnLoadStats func(caller fleet.Host, loads []balance.LoadStats)
 	PeerLoads   func(caller fleet.Host, ids []string) []balance.PeerLoad
 	// Feedback tracks reports and crashes of upstreams.
 	Feedback *feedback.Tracker
-	// AcquirePermits issues permits to callers, for requests to an upstream with a rate
+	// IssuePermits issues permits to callers, for requests to an upstream with a rate
 	// limit; false if this host is not the planner.
-	AcquirePermits func(upstream string, perSecond float64, want int) (ratelimit.Permit, bool)
+	IssuePermits func(upstream string, perSecond float64, want int) (ratelimit.PermitReply, bool)
 	// Name is this host's name.
 	Name string
 	// RetireTermsBefore stops this host's planning of a service in terms before the given
@@ -304,7 +304,7 @@
 	if err != nil {
 		return nil, twirp.InvalidArgumentError("loads", err.Error())
 	}
-	s.OnLoads(loads)
+	s.OnKeyLoads(loads)
 	caller := fleet.Host{Name: m.Host, DataCentre: m.DataCentre, PeerAddr: m.PeerAddr, Candidate: m.Eager, Followers: int(m.Followers)}
 	s.Fleet.RecordCall(caller, time.Now())
 	positions := map[metastore.Stream]int64{}
@@ -315,7 +315,7 @@
 	notices := decodeNotices(m.Notices)
 	s.Feedback.Merge(caller.Name, notices, time.Now())
 	reply := &peerpb.FollowReply{}
-	for _, b := range s.Copy.Fetch(ctx, positions, min(time.Duration(m.WaitMs)*time.Millisecond, maxFollowWait)) {
+	for _, b := range s.Replica.Fetch(ctx, positions, min(time.Duration(m.WaitMs)*time.Millisecond, maxFollowWait)) {
 		reply.Batches = append(reply.Batches, encodeBatch(b))
 	}
 	reply.Notices = encodeNotices(feedback.ForFollower(s.Feedback.Notices(time.Now()), notices))
@@ -361,7 +361,7 @@
 	reply.AgeMs = uint32(status.Age.Milliseconds())
 	reply.SteadyMs = uint32(status.LogReachableFor.Milliseconds())
 	reply.Hosts = uint32(s.Fleet.Size(now))
-	if status.Planning {
+	if status.IsPlanner {
 		reply.Relay = s.Fleet.RelayFor(caller, now)
 	}
 	return nil
@@ -370,7 +370,7 @@
 func decodeLoadStats(ms []*peerpb.UpstreamUse) []balance.LoadStats {
 	var out []balance.LoadStats
 	for _, m := range ms {
-		out = append(out, balance.LoadStats{ID: m.Id, InFlight: int(m.UnderWay), Answered: int(m.Answered), Latency: time.Duration(m.LatencyMs) * time.Millisecond})
+		out = append(out, balance.LoadStats{ID: m.Id, InFlight: int(m.UnderWay), Responses: int(m.Answered), TotalLatency: time.Duration(m.LatencyMs) * time.Millisecond})
 	}
 	return out
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -20,8 +20,8 @@
 // length of the upstream's ID; it has no data for the ID "unknown".
 func startServer(t *testing.T) (addr string, s *Server) {
 	t.Helper()
-	s = &Server{Copy: relay.NewReplica(), Feedback: feedback.NewTracker(), Fleet: fleet.New("dc"), OnLoads: func([]ServiceLoad) {}, OnLoadStats: func(fleet.Host, []balance.LoadStats) {},
-		ReplicaStatus: func(time.Time) (ReplicaStatus, bool) { return ReplicaStatus{Planning: true}, true },
+	s = &Server{Replica: relay.NewReplica(), Feedback: feedback.NewTracker(), Fleet: fleet.New("dc"), OnKeyLoads: func([]ServiceLoad) {}, OnLoadStats: func(fleet.Host, []balance.LoadStats) {},
+		ReplicaStatus: func(time.Time) (ReplicaStatus, bool) { return ReplicaStatus{IsPlanner: true}, true },
 		PeerLoads: func(_ fleet.Host, ids []string) []balance.PeerLoad {
 			out := make([]balance.PeerLoad, len(ids))
 			for i, id := range ids {
@@ -81,7 +81,7 @@
 func TestFollowDeliversLoadsUnchanged(t *testing.T) {
 	addr, s := startServer(t)
 	var got []ServiceLoad
-	s.OnLoads = func(l []ServiceLoad) { got = l }
+	s.OnKeyLoads = func(l []ServiceLoad) { got = l }
 	want := ServiceLoad{Service: "sheets", Weight: 1.5, Samples: []keyload.Sample{{Key: 7, Upstream: "u1", Latency: 20 * time.Millisecond}, {Key: 9}}}
 	if _, err := NewClient(http.DefaultClient).Follow(t.Context(), addr, FollowRequest{Loads: []ServiceLoad{want}}); err != nil {
 		t.Fatal(err)
--- a/internal/placement/placement_bench_test.go
+++ b/internal/placement/placement_bench_test.go
@@ -8,7 +8,7 @@
 )
 
 func benchService(upstreams, shards int) *manifest.Service {
-	m := manifest.Generate("b", []string{"a"}, []manifest.ServiceSize{{Name: "svc", Upstreams: upstreams}}, 3, 10, 1)
+	m := manifest.Generate("b", []string{"a"}, []manifest.ServiceSpec{{Name: "svc", Upstreams: upstreams}}, 3, 10, 1)
 	m.Services[0].Shards = shards
 	return &m.Services[0]
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -15,7 +15,7 @@
 const testUpstreams = 12
 
 func testService() *manifest.Service {
-	m := manifest.Generate("t", []string{"a"}, []manifest.ServiceSize{{Name: "svc", Upstreams: testUpstreams}}, 3, 10, 1)
+	m := manifest.Generate("t", []string{"a"}, []manifest.ServiceSpec{{Name: "svc", Upstreams: testUpstreams}}, 3, 10, 1)
 	m.Services[0].Shards = 512
 	// Uneven weights, so that a wrong use of weights shows.
 	for i := range m.Services[0].Upstreams {
@@ -161,7 +161,7 @@
 // centre that has upstreams of the service, and that each of these is home to some
 // shards. In any other data centre a shard would never have an owner.
 func TestHomesAreDataCentresWithUpstreams(t *testing.T) {
-	m := manifest.Generate("t", []string{"a", "b", "c"}, []manifest.ServiceSize{{Name: "svc", Upstreams: 2}}, 3, 10, 1)
+	m := manifest.Generate("t", []string{"a", "b", "c"}, []manifest.ServiceSpec{{Name: "svc", Upstreams: 2}}, 3, 10, 1)
 	homes := Homes(&m.Services[0], m.DataCentres)
 	counts := map[uint8]int{}
 	for _, h := range homes {
--- a/internal/planner/actions.go
+++ b/internal/planner/actions.go
@@ -18,11 +18,11 @@
 	SentAt bootclock.Time
 }
 
-// ReleaseLease ends this host's membership in the planner election, whether or
+// LeaveElection ends this host's membership in the planner election, whether or
 // not the host holds the lease. It is made during a planned shutdown, and by a
 // host that is not a candidate while another host is the planner. It has no
 // result to pass back.
-type ReleaseLease struct{}
+type LeaveElection struct{}
 
 // Retire asks a previous planner to send no more grants, which Planner.Retire
 // handles on its host; see Planner.RetireDone.
@@ -49,7 +49,7 @@
 	Service, Addr string
 	Range         ownership.Range
 	TTL           time.Duration
-	SentAt        bootclock.Time
+	DecidedAt     bootclock.Time
 	// ExistingConnOnly restricts the grant to a connection that is already
 	// open; see the package comment.
 	ExistingConnOnly bool
@@ -63,9 +63,9 @@
 	Range         ownership.Range
 }
 
-func (*ReleaseLease) action() {}
-func (*Retire) action()       {}
-func (*AcquireLease) action() {}
-func (*Append) action()       {}
-func (*Grant) action()        {}
-func (*Release) action()      {}
+func (*LeaveElection) action() {}
+func (*Retire) action()        {}
+func (*AcquireLease) action()  {}
+func (*Append) action()        {}
+func (*Grant) action()         {}
+func (*Release) action()       {}
--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -38,7 +38,7 @@
 // publishView publishes the harness's upstreams and table to the Planner's view.
 func (h *harness) publishView() {
 	h.publisher.Publish(func(v *view.View) {
-		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true, WarmUp: h.warmUp}}, desired.Limits{})
+		v.Desired = desired.New(1, nil, map[string]*desired.Service{simService: {Name: simService, Keyed: true, KeyWarmUp: h.warmUp}}, desired.Limits{})
 		v.Upstreams = catalogue.NewSnapshot(h.upstreams)
 		if h.table != nil {
 			v.Tables = map[string]*ownership.Table{simService: h.table}
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -62,7 +62,7 @@
 		return out
 	}
 	for _, id := range base.Lost {
-		out[id] = max(h.lostAt[id], h.newestTermSeenAt.Add(opts.MaxViewAge))
+		out[id] = max(h.lostAt[id], h.newestTermSeenAt.Add(opts.MaxRenewalAge))
 	}
 	return out
 }
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -16,7 +16,7 @@
 func TestPlannerRenewsGrantsDuringShutdown(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
-	h.p.Resign()
+	h.p.BeginShutdown()
 	leaving := *h.upstreams["a"]
 	leaving.Leaving = true
 	h.upstreams["a"] = &leaving
@@ -50,7 +50,7 @@
 	h.publishView()
 	h.simulate(500*time.Millisecond, func(a Action) error {
 		if _, ok := a.(*Append); ok {
-			return metastore.ErrNoAnswer
+			return metastore.ErrNoResponse
 		}
 		return nil
 	})
@@ -68,7 +68,7 @@
 // same. If they were dropped, their owners would count as having a grant in flight
 // forever, and their keys could neither be released nor moved once the owner had ended.
 func TestGrantResultsBetweenTermsAreCounted(t *testing.T) {
-	for _, result := range []error{nil, ownership.ErrNotSent, ownership.ErrNoAnswer} {
+	for _, result := range []error{nil, ownership.ErrNotSent, ownership.ErrNoResponse} {
 		h := newHarness(t, "a", "b")
 		h.simulate(3*time.Second, succeedAll)
 		var inFlight []*Grant
@@ -139,7 +139,7 @@
 func TestNonCandidatePlannerStepsDown(t *testing.T) {
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
-	for !h.p.HoldsLease(h.now) {
+	for !h.p.IsPlanner(h.now) {
 		h.simulate(simStep, succeedAll)
 	}
 	for acquiredAt := h.now; h.now.Sub(acquiredAt) < 2*testOptions.LeaseTTL; h.simulate(simStep, succeedAll) {
@@ -156,11 +156,11 @@
 	if len(got) != 1 {
 		t.Fatalf("calls %v, want one ReleaseLease", got)
 	}
-	if _, ok := got[0].(*ReleaseLease); !ok {
+	if _, ok := got[0].(*LeaveElection); !ok {
 		t.Fatalf("call of type %T, want a ReleaseLease", got[0])
 	}
 	h.simulate(noPlannerTimeout, succeedAll)
-	if !h.p.HoldsLease(h.now) {
+	if !h.p.IsPlanner(h.now) {
 		t.Error("no host is the planner")
 	}
 	h.p.opts.Candidate = true
@@ -191,7 +191,7 @@
 	if len(got) != 1 {
 		t.Fatalf("calls %v, want one ReleaseLease", got)
 	}
-	if _, ok := got[0].(*ReleaseLease); !ok {
+	if _, ok := got[0].(*LeaveElection); !ok {
 		t.Errorf("call of type %T, want a ReleaseLease", got[0])
 	}
 }
@@ -203,7 +203,7 @@
 	h := newHarness(t, "a")
 	h.p.opts.Candidate = false
 	h.p.PlannerSeen(h.now)
-	h.simulate(10*time.Second, func(Action) error { return metastore.ErrNoAnswer })
+	h.simulate(10*time.Second, func(Action) error { return metastore.ErrNoResponse })
 	h.p.LogReconnected(h.now)
 	for _, a := range h.simulate(noPlannerTimeout/2, succeedAll) {
 		if _, ok := a.(*AcquireLease); ok {
@@ -223,7 +223,7 @@
 	}
 	h.p.PlannerLost()
 	h.simulate(simStep, succeedAll)
-	if !h.p.HoldsLease(h.now) {
+	if !h.p.IsPlanner(h.now) {
 		t.Error("the lease was not requested and acquired after the planner was lost")
 	}
 }
@@ -237,7 +237,7 @@
 	h.simulate(10*time.Second, succeedAll)
 	logDown := func(a Action) error {
 		if _, ok := a.(*AcquireLease); ok {
-			return metastore.ErrNoAnswer
+			return metastore.ErrNoResponse
 		}
 		return nil
 	}
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -54,11 +54,11 @@
 		switch a := a.(type) {
 		case *Grant:
 			if unreachable[a.Addr] {
-				return ownership.ErrNoAnswer
+				return ownership.ErrNoResponse
 			}
 		case *Release:
 			if unreachable[a.Addr] {
-				return ownership.ErrNoAnswer
+				return ownership.ErrNoResponse
 			}
 		}
 		return nil
@@ -104,7 +104,7 @@
 	answer := func(a Action) error {
 		if g, ok := a.(*Grant); ok && g.Addr == overloaded && !answerLost {
 			answerLost = true
-			return ownership.ErrNoAnswer
+			return ownership.ErrNoResponse
 		}
 		return nil
 	}
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -96,10 +96,10 @@
 	lossUntil := h.now.Add(2 * time.Second)
 	h.simulate(6*time.Second, func(a Action) error {
 		if g, ok := a.(*Grant); ok && g.Addr == "a" && h.now.Before(lossUntil) {
-			return ownership.ErrNoAnswer
+			return ownership.ErrNoResponse
 		}
 		if _, ok := a.(*Release); ok && h.now.Before(lossUntil) {
-			return ownership.ErrNoAnswer
+			return ownership.ErrNoResponse
 		}
 		return nil
 	})
@@ -139,7 +139,7 @@
 				case *Grant:
 					onGrant(a)
 					if answersLost && a.Addr == "a" {
-						h.complete(a, ownership.ErrNoAnswer)
+						h.complete(a, ownership.ErrNoResponse)
 						continue
 					}
 					h.complete(a, nil)
@@ -256,7 +256,7 @@
 	if took := timeUntilMoved("other"); took > testOptions.GrantTTL+testOptions.GrantTTL/2 {
 		t.Errorf("keys moved %v after the change of planner, want at most 1.5 grant TTLs", took)
 	}
-	if took := timeUntilMoved("somebody"); took < testOptions.MaxViewAge+testOptions.GrantTTL {
+	if took := timeUntilMoved("somebody"); took < testOptions.MaxRenewalAge+testOptions.GrantTTL {
 		t.Errorf("keys moved %v after the change of planner on the confirmation of another host", took)
 	}
 }
@@ -326,10 +326,10 @@
 		switch a := a.(type) {
 		case *Grant:
 			if a.Addr == "a" {
-				return ownership.ErrNoAnswer
+				return ownership.ErrNoResponse
 			}
 		case *Release:
-			return ownership.ErrNoAnswer
+			return ownership.ErrNoResponse
 		}
 		return nil
 	}
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -9,11 +9,11 @@
 	// GrantTTL is how long a grant lasts. It bounds how long the keys of an
 	// upstream that stops answering have no owner.
 	GrantTTL time.Duration
-	// MaxViewAge is the longest time since the last lease renewal for which a
+	// MaxRenewalAge is the longest time since the last lease renewal for which a
 	// host acts as the planner and renews grants; see recentRenewalAge for the
 	// stricter limit of other actions. During an outage of the log service keys
 	// stay owned for MaxViewAge + GrantTTL.
-	MaxViewAge time.Duration
+	MaxRenewalAge time.Duration
 	// LeaseTTL is how long the planner lease stays valid after its last renewal.
 	LeaseTTL time.Duration
 	// Candidate hosts always compete for the planner lease. Other hosts, with
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -129,11 +129,11 @@
 	}
 }
 
-// HoldsLease reports whether this host may act as the planner now. It is true
+// IsPlanner reports whether this host may act as the planner now. It is true
 // for MaxViewAge after the last lease renewal, even if the lease has expired
 // since, unless this host knows that it no longer holds the lease.
-func (p *Planner) HoldsLease(now bootclock.Time) bool {
-	return p.lease.held && now.Sub(p.lease.renewedAt) <= p.opts.MaxViewAge
+func (p *Planner) IsPlanner(now bootclock.Time) bool {
+	return p.lease.held && now.Sub(p.lease.renewedAt) <= p.opts.MaxRenewalAge
 }
 
 // SoleWriter reports whether the ownership stream contains only records that
@@ -142,7 +142,7 @@
 // only a read shows where the stream ends; without it every later append would
 // conflict.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
-	return p.HoldsLease(now) && !p.shuttingDown && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= recentRenewalAge
+	return p.IsPlanner(now) && !p.shuttingDown && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= recentRenewalAge
 }
 
 // Tick returns the calls to make now.
@@ -154,9 +154,9 @@
 	}
 	if p.shouldLeaveElection(now) {
 		p.lease.member = false
-		out = append(out, &ReleaseLease{})
+		out = append(out, &LeaveElection{})
 	}
-	if !p.HoldsLease(now) {
+	if !p.IsPlanner(now) {
 		p.endTerms(now)
 		return out
 	}
@@ -256,7 +256,7 @@
 // check that there is one.
 func (p *Planner) ShouldStepDown(now bootclock.Time) bool {
 	heldLongEnough := now.Sub(p.lease.acquiredAt) > time.Duration(stepDownAfterTTLs*float64(p.opts.LeaseTTL))
-	return !p.opts.Candidate && p.HoldsLease(now) && !p.lease.requestInFlight && heldLongEnough
+	return !p.opts.Candidate && p.IsPlanner(now) && !p.lease.requestInFlight && heldLongEnough
 }
 
 // StepDown ends this host's terms in favour of a candidate; the next Tick makes
@@ -416,9 +416,9 @@
 	}
 }
 
-// Resign begins a planned shutdown: this host leaves the election and requests
+// BeginShutdown begins a planned shutdown: this host leaves the election and requests
 // the lease no more. If it is the planner, it starts no more moves but goes on
 // renewing its grants until its last lease renewal is older than MaxViewAge or
 // it learns of a newer planner, so that no grant expires before the next planner
 // renews it.
-func (p *Planner) Resign() { p.shuttingDown = true }
+func (p *Planner) BeginShutdown() { p.shuttingDown = true }
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -33,7 +33,7 @@
 		if t.base != nil && host.Host != t.base.Planner {
 			leaseLostBy = t.baseTermSeenAt
 		}
-		prev := &previousPlanner{PlannerHost: host, grantsUntil: leaseLostBy.Add(t.p.opts.MaxViewAge), dialsUntil: leaseLostBy.Add(recentRenewalAge)}
+		prev := &previousPlanner{PlannerHost: host, grantsUntil: leaseLostBy.Add(t.p.opts.MaxRenewalAge), dialsUntil: leaseLostBy.Add(recentRenewalAge)}
 		if host.Host == t.p.opts.Host {
 			// This process, whose earlier terms have ended, or an earlier
 			// process of this host, which has exited.
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -12,7 +12,7 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-var testOptions = Options{Candidate: true, GrantTTL: 3 * time.Second, MaxViewAge: 6 * time.Second, LeaseTTL: 1200 * time.Millisecond}
+var testOptions = Options{Candidate: true, GrantTTL: 3 * time.Second, MaxRenewalAge: 6 * time.Second, LeaseTTL: 1200 * time.Millisecond}
 
 var allFaults = faults{answerLost: 0.05, grantLate: 0.05, answerOutage: 0.05, upstreamPartition: 0.01, appendAnswerLost: 0.1, appendLate: 0.1, logPartition: 0.05,
 	leaseChange: 0.1, stall: 0.03, crash: 0.01, restart: 0.02, leave: 0.02, hostRestart: 0.03}
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -53,7 +53,7 @@
 		srv.maybeGrantedAt = now
 	}
 	switch {
-	case errors.Is(err, ownership.ErrNoAnswer):
+	case errors.Is(err, ownership.ErrNoResponse):
 		srv.hasUnanswered = true
 		srv.unansweredAt = now
 	case errors.Is(err, ownership.ErrFenced):
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -220,7 +220,7 @@
 		s.acquireLease(h, a, deliver)
 	case *Retire:
 		s.retire(h, a, deliver)
-	case *ReleaseLease:
+	case *LeaveElection:
 		if s.leaseHolder == h.name {
 			s.leaseUntil = s.now
 		}
@@ -294,10 +294,10 @@
 		done(metastore.ErrRejected)
 	case x < s.faults.appendAnswerLost:
 		_ = write()
-		done(metastore.ErrNoAnswer)
+		done(metastore.ErrNoResponse)
 	case x < s.faults.appendAnswerLost+s.faults.appendLate:
 		s.after(s.randomDuration(time.Second, 6*time.Second), func() { _ = write() })
-		done(metastore.ErrNoAnswer)
+		done(metastore.ErrNoResponse)
 	default:
 		done(write())
 	}
@@ -316,7 +316,7 @@
 	if s.now.Before(h.unreachableUntil[id]) || !s.upstream(id).up {
 		err := ownership.ErrNotSent
 		if s.rng.IntN(3) == 0 {
-			err = ownership.ErrNoAnswer
+			err = ownership.ErrNoResponse
 		}
 		s.after(callTimeout, func() { done(err) })
 		return
@@ -327,10 +327,10 @@
 		switch {
 		case x < s.faults.answerLost, x < answerOutageLossRate && s.now.Before(s.upstream(id).answersLostUntil):
 			_ = do(arrived)
-			s.after(callTimeout, func() { done(ownership.ErrNoAnswer) })
+			s.after(callTimeout, func() { done(ownership.ErrNoResponse) })
 		case mayArriveLate && x < s.faults.answerLost+s.faults.grantLate:
 			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
-			s.after(callTimeout, func() { done(ownership.ErrNoAnswer) })
+			s.after(callTimeout, func() { done(ownership.ErrNoResponse) })
 		default:
 			err := do(arrived)
 			s.after(work, func() { done(err) })
--- a/internal/planner/simupstream_test.go
+++ b/internal/planner/simupstream_test.go
@@ -25,7 +25,7 @@
 func (s *simulation) grant(g *Grant, arrived bootclock.Time) error {
 	u := s.upstream(g.Addr)
 	if !u.up {
-		return ownership.ErrNoAnswer
+		return ownership.ErrNoResponse
 	}
 	r := g.Range
 	for _, seen := range u.tokensSeen {
@@ -46,7 +46,7 @@
 func (s *simulation) release(r *Release) error {
 	u := s.upstream(r.Addr)
 	if !u.up {
-		return ownership.ErrNoAnswer
+		return ownership.ErrNoResponse
 	}
 	u.grants = removeKeys(u.grants, r.Range.From, r.Range.To)
 	return nil
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -195,7 +195,7 @@
 		}
 	}
 	t.excludeCold = t.enoughWarm()
-	t.warmUp = v.Desired.Services[t.name].WarmUp
+	t.warmUp = v.Desired.Services[t.name].KeyWarmUp
 }
 
 // enoughWarm reports whether at least half of the upstreams that are not
@@ -306,7 +306,7 @@
 		srv.grantsInFlight++
 		srv.grantSent = true
 		ag.inFlight = true
-		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: ag.rng, TTL: t.p.opts.GrantTTL, SentAt: now,
+		out = append(out, &Grant{Service: t.name, Addr: u.Addr, Range: ag.rng, TTL: t.p.opts.GrantTTL, DecidedAt: now,
 			ExistingConnOnly: now.Sub(t.p.lease.renewedAt) > recentRenewalAge, server: srv})
 	}
 	return out
@@ -320,7 +320,7 @@
 	ag := t.activeGrants[s]
 	if ag != nil && ag.rng.FencingToken == g.Range.FencingToken {
 		ag.inFlight = false
-		ag.nextSendAt = g.SentAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
+		ag.nextSendAt = g.DecidedAt.Add(t.p.opts.GrantTTL / renewalsPerTTL)
 	}
 	switch {
 	case err == nil:
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Permit is the allocator's reply to a host's request for permits.
-type Permit struct {
-	// Requests is the number of permits issued, each for one request within
+// PermitReply is the allocator's reply to a host's request for permits.
+type PermitReply struct {
+	// Permits is the number of permits issued, each for one request within
 	// permitTTL; 0 if none is due.
-	Requests int
+	Permits int
 	// Wait is the time until the next permit is due if none is due now.
 	Wait time.Duration
 }
@@ -48,9 +48,9 @@
 // Take issues permits for up to want requests to an upstream with a limit of
 // perSecond. A new bucket holds a single token: the previous planner may have
 // emptied its own bucket just before.
-func (a *Allocator) Take(upstream string, perSecond float64, want int, now time.Time) Permit {
+func (a *Allocator) Take(upstream string, perSecond float64, want int, now time.Time) PermitReply {
 	if perSecond <= 0 {
-		return Permit{Wait: maxInterval}
+		return PermitReply{Wait: maxInterval}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,9 +65,9 @@
 	n := min(int(b.tokens), want)
 	b.tokens -= float64(n)
 	if n == 0 {
-		return Permit{Wait: time.Duration((1 - b.tokens) / perSecond * float64(time.Second))}
+		return PermitReply{Wait: time.Duration((1 - b.tokens) / perSecond * float64(time.Second))}
 	}
-	return Permit{Requests: n}
+	return PermitReply{Permits: n}
 }
 
 // prune deletes idle buckets, or all of them if there are too many.
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -22,7 +22,9 @@
 // BenchmarkLimiterClosed measures a host's cost per request while its requests are
 // denied: the planner issues no permit for their upstream.
 func BenchmarkLimiterClosed(b *testing.B) {
-	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (Permit, error) { return Permit{Wait: time.Hour}, nil })
+	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (PermitReply, error) {
+		return PermitReply{Wait: time.Hour}, nil
+	})
 	for b.Loop() {
 		l.Take(b.Context(), "u", 5)
 	}
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -36,9 +36,9 @@
 }
 
 func (s *fleetSim) newLimiter(host int) *Limiter {
-	l := NewLimiter(reportedBounds, func(_ context.Context, upstream string, perSecond float64, want int) (Permit, error) {
+	l := NewLimiter(reportedBounds, func(_ context.Context, upstream string, perSecond float64, want int) (PermitReply, error) {
 		if s.cutOff(host) {
-			return Permit{}, errUnreachable
+			return PermitReply{}, errUnreachable
 		}
 		return s.planner.Take(upstream, perSecond, want, time.Now()), nil
 	})
@@ -130,7 +130,7 @@
 // A host that can't reach the planner and doesn't know the number of hosts has no
 // share: it must send nothing, and return when to retry.
 func TestHostWithoutPlannerOrHostCountSendsNothing(t *testing.T) {
-	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (Permit, error) { return Permit{}, errUnreachable })
+	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (PermitReply, error) { return PermitReply{}, errUnreachable })
 	for range 10 {
 		if ok, wait := l.Take(t.Context(), "u", 5); ok || wait <= 0 {
 			t.Fatalf("allowed: %v, wait %v; want a denial with a wait", ok, wait)
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -30,7 +30,7 @@
 // PermitFunc requests permits from the allocator for up to want requests to an
 // upstream with a limit of perSecond. Its error means that the allocator could not
 // be reached.
-type PermitFunc func(ctx context.Context, upstream string, perSecond float64, want int) (Permit, error)
+type PermitFunc func(ctx context.Context, upstream string, perSecond float64, want int) (PermitReply, error)
 
 // upstreamState is the state of one upstream's limit on this host.
 type upstreamState struct {
@@ -139,11 +139,11 @@
 
 // applyReply applies the allocator's reply. The current request uses the first
 // permit.
-func (u *upstreamState) applyReply(p Permit, now time.Time) (ok bool, wait time.Duration) {
-	if p.Requests == 0 {
+func (u *upstreamState) applyReply(p PermitReply, now time.Time) (ok bool, wait time.Duration) {
+	if p.Permits == 0 {
 		return false, u.deny(p.Wait, now)
 	}
-	u.permits, u.permitsExpireAt = p.Requests-1, now.Add(permitTTL)
+	u.permits, u.permitsExpireAt = p.Permits-1, now.Add(permitTTL)
 	return true, 0
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,9 +23,9 @@
 	// read before.
 	Reset   bool
 	Records []metastore.Record
-	// Changes replace Records in the ownership stream for a follower that has the
+	// Deltas replace Records in the ownership stream for a follower that has the
 	// tables to which they apply.
-	Changes []Change
+	Deltas []Delta
 	// NextOffset is the offset of the record after the batch.
 	NextOffset int64
 }
@@ -35,7 +35,7 @@
 const maxRecentRecords = 512
 
 // Streams are the streams that a replica keeps.
-var Streams = []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams, metastore.StreamOwnership, metastore.StreamCrashes}
+var Streams = []metastore.Stream{metastore.StreamOperators, metastore.StreamUpstreams, metastore.StreamOwnership, metastore.StreamCrashes}
 
 // stream is the replica of one stream.
 type stream struct {
@@ -174,7 +174,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maxAge := time.Duration(0)
-	for _, s := range []metastore.Stream{metastore.StreamDesired, metastore.StreamUpstreams} {
+	for _, s := range []metastore.Stream{metastore.StreamOperators, metastore.StreamUpstreams} {
 		maxAge = max(maxAge, now.Sub(r.streams[s].currentAt))
 	}
 	return maxAge
@@ -248,7 +248,7 @@
 func (st *stream) since(s metastore.Stream, offset int64) Batch {
 	b := Batch{Stream: s, NextOffset: st.nextOffset}
 	if s == metastore.StreamOwnership {
-		if b.Changes = st.deltasSince(offset); b.Changes != nil {
+		if b.Deltas = st.deltasSince(offset); b.Deltas != nil {
 			return b
 		}
 		st.encodeNewest()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -130,7 +130,7 @@
 	if replica.Age(now) < time.Hour {
 		t.Error("a replica that was never marked current counts as current")
 	}
-	replica.MarkCurrent(metastore.StreamDesired, now)
+	replica.MarkCurrent(metastore.StreamOperators, now)
 	if replica.Age(now) < time.Hour {
 		t.Error("a replica with a stream that was never marked current counts as current")
 	}
--- a/internal/relay/tables.go
+++ b/internal/relay/tables.go
@@ -5,9 +5,9 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// Change is an encoded ownership.Delta, which turns a follower's table into that of a newer
+// Delta is an encoded ownership.Delta, which turns a follower's table into that of a newer
 // record of the ownership stream.
-type Change struct {
+type Delta struct {
 	// Key and Offset are those of the record. The key is the name of a service.
 	Key    string
 	Offset int64
@@ -95,8 +95,8 @@
 
 // deltasSince returns the deltas from the tables of a follower whose next record is at
 // offset to the newest tables, or nil if those of the follower are not kept.
-func (st *stream) deltasSince(offset int64) []Change {
-	var out []Change
+func (st *stream) deltasSince(offset int64) []Delta {
+	var out []Delta
 	for key, r := range st.newest {
 		if r.Offset < offset {
 			continue
@@ -105,7 +105,7 @@
 		if data == nil {
 			return nil
 		}
-		out = append(out, Change{Key: key, Offset: r.Offset, Data: data})
+		out = append(out, Delta{Key: key, Offset: r.Offset, Data: data})
 	}
 	return out
 }
--- a/internal/relay/tables_test.go
+++ b/internal/relay/tables_test.go
@@ -24,7 +24,7 @@
 // apply applies a batch as a host does.
 func (h *tableHost) apply(t *testing.T, b Batch) {
 	t.Helper()
-	if len(b.Changes) > 0 {
+	if len(b.Deltas) > 0 {
 		h.applyDeltas(t, b)
 		return
 	}
@@ -47,7 +47,7 @@
 
 func (h *tableHost) applyDeltas(t *testing.T, b Batch) {
 	t.Helper()
-	for _, c := range b.Changes {
+	for _, c := range b.Deltas {
 		h.deltaBytes += len(c.Data)
 		parsed, err := ownership.DecodeDelta(c.Data)
 		if err != nil {
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -31,7 +31,7 @@
 		return 0
 	}
 	fingerprint := requestFingerprint(req)
-	if left := rt.crashes.RefusedFor(fingerprint, now); left > 0 && !rt.crashes.AllowTrial(fingerprint, now) {
+	if left := rt.crashes.RefusedFor(fingerprint, now); left > 0 && !rt.crashes.TakeTrial(fingerprint, now) {
 		return left
 	}
 	return 0
@@ -57,7 +57,7 @@
 	}
 	// Hosts do not share these crashes; mark them as written so that pending changes
 	// do not accumulate.
-	rt.crashes.MarkWritten(rt.crashes.Pending())
+	rt.crashes.MarkWritten(rt.crashes.FilterPending())
 	rt.crashes.Expire(now, false)
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -61,8 +61,8 @@
 	// OnFenced is called when a target rejects a fencing token, so that the
 	// control loop reads the log; it must not block.
 	OnFenced func(upstream string)
-	// Burns counts requests for the error-budget burn report.
-	Burns *burn.Recorder
+	// RequestCounts counts requests for the error-budget burn report.
+	RequestCounts *burn.Recorder
 	// crashes tracks the targets that crashed while they ran this host's requests.
 	crashes *crashes.Tracker
 	// reports tracks what targets report about themselves in response headers.
@@ -73,7 +73,7 @@
 // New returns a router that gets the current routing table by calling table.
 func New(opts Options, table func() *routing.Table, targets *target.Client, log *zap.Logger) *Router {
 	rt := &Router{started: time.Now(), opts: opts, table: table, targets: targets, log: log, OnFenced: func(string) {},
-		reports: feedback.NewTracker(), Burns: burn.NewRecorder(opts.LatencyObjective)}
+		reports: feedback.NewTracker(), RequestCounts: burn.NewRecorder(opts.LatencyObjective)}
 	rt.reports.OnChange = rt.onReportChange
 	rt.crashes = crashes.NewTracker(rt.logRefusedFingerprint)
 	rt.crashes.AllowTrialsIf(func() bool { return true }) // crashes are not shared, so no other host sends the trial request
@@ -105,7 +105,7 @@
 	if t := rt.table(); t == nil || t.Services[service] == nil {
 		service = unknownLabel
 	}
-	rt.Burns.Record(service, refused != nil && refused.Code != refusal.BadRequest && refused.Code != refusal.UnknownService, time.Since(start), time.Now())
+	rt.RequestCounts.Record(service, refused != nil && refused.Code != refusal.BadRequest && refused.Code != refusal.UnknownService, time.Since(start), time.Now())
 	metrics.GetOrCreateCounter(fmt.Sprintf(`papayatide_requests_total{service=%q,code=%q}`, service, code)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`papayatide_request_duration_seconds{service=%q}`, service)).UpdateDuration(start)
 }
--- a/internal/routing/table_bench_test.go
+++ b/internal/routing/table_bench_test.go
@@ -13,7 +13,7 @@
 // upstreams over 3 data centres.
 func BenchmarkLookup(b *testing.B) {
 	dcs := []string{"a", "b", "c"}
-	m := manifest.Generate("b", dcs, []manifest.ServiceSize{{Name: "svc", Upstreams: 20}}, 3, 10, 1)
+	m := manifest.Generate("b", dcs, []manifest.ServiceSpec{{Name: "svc", Upstreams: 20}}, 3, 10, 1)
 	svc := &m.Services[0]
 	homes := placement.Homes(svc, dcs)
 	service := &routing.Service{Spec: svc, Homes: homes, ByDC: make([]*placement.Assignment, 3), HandoverUntil: map[int]time.Time{}}
--- a/internal/settings/entry.go
+++ b/internal/settings/entry.go
@@ -24,11 +24,11 @@
 	FirstStart    bool   // first_start: whether the whole fleet is starting for the first time
 	// cpu_share: CPU cores available to this host; link_mbps: bandwidth of its
 	// network link in Mbit/s.
-	CPUShare, LinkMbps float64
+	CPUCores, LinkMbps float64
 
 	// [log]
-	LogAddr     string        // addr: host:port of the log service
-	MinLeaseTTL time.Duration // seat_min: shortest TTL of the planner lease that the log service accepts
+	LogServiceAddr string        // addr: host:port of the log service
+	MinLeaseTTL    time.Duration // seat_min: shortest TTL of the planner lease that the log service accepts
 
 	// [bounds], all set by the platform
 	MaxGrantTTL       time.Duration // hold_max: longest grant TTL that an upstream accepts
@@ -44,8 +44,8 @@
 	DrainTimeout time.Duration // drain: longest time from an upstream's report that it is leaving to the last request sent to it
 
 	// [ownership]
-	GrantTTL   time.Duration // hold: TTL of a grant
-	MaxViewAge time.Duration // view_age: how long the planner renews grants after the last renewal of its lease
+	GrantTTL      time.Duration // hold: TTL of a grant
+	MaxRenewalAge time.Duration // view_age: how long the planner renews grants after the last renewal of its lease
 }
 
 // entryHostSchema lists every allowed section and key with its default ("" means
@@ -94,9 +94,9 @@
 		LogLevel:          r.str("host", "log_level"),
 		MemoryMB:          r.positiveInt("host", "memory_mb"),
 		FirstStart:        r.boolean("host", "first_start"),
-		CPUShare:          r.nonNegativeFloat("host", "cpu_share"),
+		CPUCores:          r.nonNegativeFloat("host", "cpu_share"),
 		LinkMbps:          r.nonNegativeFloat("host", "link_mbps"),
-		LogAddr:           r.hostPort("log", "addr"),
+		LogServiceAddr:    r.hostPort("log", "addr"),
 		MinLeaseTTL:       r.duration("log", "seat_min"),
 		MaxGrantTTL:       r.duration("bounds", "hold_max"),
 		ShutdownGrace:     r.duration("bounds", "grace"),
@@ -108,7 +108,7 @@
 		EvacuationTimeout: r.duration("bounds", "evacuate"),
 		DrainTimeout:      r.duration("bounds", "drain"),
 		GrantTTL:          r.duration("ownership", "hold"),
-		MaxViewAge:        r.duration("ownership", "view_age"),
+		MaxRenewalAge:     r.duration("ownership", "view_age"),
 	}
 	if r.err != nil {
 		return nil, r.err
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -13,7 +13,7 @@
 		if err != nil {
 			return
 		}
-		if e.Host == "" || e.LogAddr == "" || e.GrantTTL <= 0 || e.GrantTTL > e.MaxGrantTTL || e.RetryBudgetRatio < 0 {
+		if e.Host == "" || e.LogServiceAddr == "" || e.GrantTTL <= 0 || e.GrantTTL > e.MaxGrantTTL || e.RetryBudgetRatio < 0 {
 			t.Errorf("accepted %+v", e)
 		}
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,7 +22,7 @@
 	LogLevel    string // log_level: debug, info, warn or error
 
 	// [log]
-	LogAddr      string        // addr: base URL of the log service
+	LogURL       string        // addr: base URL of the log service
 	PollInterval time.Duration // poll_interval: interval of reads from the log service
 
 	// [routing]
@@ -43,13 +43,13 @@
 	ShutdownGrace    time.Duration // shutdown_grace: how long a graceful shutdown waits for requests in flight
 
 	// [hosts]
-	HostListAddr     string        // addr: base URL of the platform's host list, or "off"
+	HostListURL      string        // addr: base URL of the platform's host list, or "off"
 	HostListInterval time.Duration // poll_interval: interval of reads of the host list
 
 	// [membership]
-	HeartbeatInterval   time.Duration // heartbeat_interval: interval at which this host appends heartbeats
-	HeartbeatTimeout    time.Duration // host_lease: time without a heartbeat after which a host counts as down
-	RenewersPerUpstream int           // renewers: number of live hosts that renew each upstream's grants and probe it
+	HeartbeatInterval time.Duration // heartbeat_interval: interval at which this host appends heartbeats
+	HeartbeatTimeout  time.Duration // host_lease: time without a heartbeat after which a host counts as down
+	HostsPerUpstream  int           // renewers: number of live hosts that renew each upstream's grants and probe it
 
 	// [objectives]
 	LatencyObjective time.Duration // latency: a request that takes longer counts as slow
@@ -200,7 +200,7 @@
 		Listen:           r.hostPort("host", "listen"),
 		AdminListen:      r.hostPort("host", "admin_listen"),
 		LogLevel:         r.str("host", "log_level"),
-		LogAddr:          r.baseURL("log", "addr"),
+		LogURL:           r.baseURL("log", "addr"),
 		PollInterval:     r.duration("log", "poll_interval"),
 		RequestTimeout:   r.duration("routing", "request_timeout"),
 		MaxViewAge:       r.duration("routing", "view_lease"),
@@ -212,11 +212,11 @@
 		SnapshotInterval: r.duration("routing", "snapshot_interval"),
 		ShutdownGrace:    r.duration("routing", "shutdown_grace"),
 
-		HostListAddr:        r.optionalURL("hosts", "addr"),
-		HostListInterval:    r.duration("hosts", "poll_interval"),
-		HeartbeatInterval:   r.duration("membership", "heartbeat_interval"),
-		HeartbeatTimeout:    r.duration("membership", "host_lease"),
-		RenewersPerUpstream: r.positiveInt("membership", "renewers"),
+		HostListURL:       r.optionalURL("hosts", "addr"),
+		HostListInterval:  r.duration("hosts", "poll_interval"),
+		HeartbeatInterval: r.duration("membership", "heartbeat_interval"),
+		HeartbeatTimeout:  r.duration("membership", "host_lease"),
+		HostsPerUpstream:  r.positiveInt("membership", "renewers"),
 
 		LatencyObjective: r.duration("objectives", "latency"),
 	}
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -104,7 +104,7 @@
 		return nil, eris.Wrap(err, "log service")
 	}
 	env.logAddr = ln.Addr().String()
-	env.logSrv = &http.Server{Handler: standin.Log{Log: env.log}}
+	env.logSrv = &http.Server{Handler: standin.LogHandler{LogHandler: env.log}}
 	go func() { _ = env.logSrv.Serve(ln) }()
 	for i := range keyed + unkeyed {
 		service := keyedService
@@ -162,7 +162,7 @@
 	if err != nil {
 		return eris.Wrap(err, "desired state")
 	}
-	env.log.Put(metastore.StreamDesired, standin.DesiredKey, doc)
+	env.log.Put(metastore.StreamOperators, standin.DesiredKey, doc)
 	return nil
 }
 
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -42,7 +42,7 @@
 		sleep(ctx, time.Duration(rng.Int64N(int64(maxEvacuationGap))))
 		in.awaitLog(ctx)
 		from := time.Now()
-		in.env.log.Put(metastore.StreamDesired, standin.EvacuationKey(farDC), []byte("{}"))
+		in.env.log.Put(metastore.StreamOperators, standin.EvacuationKey(farDC), []byte("{}"))
 		sleep(ctx, time.Duration(rng.Int64N(int64(maxEvacuation))))
 		in.awaitLog(ctx)
 		in.env.endEvacuation(time.Since(from) > evacuationTimeout && !in.env.log.Down())
@@ -65,7 +65,7 @@
 func (env *Environment) endEvacuation(cold bool) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	env.log.Put(metastore.StreamDesired, standin.EvacuationKey(farDC), nil)
+	env.log.Put(metastore.StreamOperators, standin.EvacuationKey(farDC), nil)
 	for _, ep := range env.endpoints {
 		inc := ep.current
 		if !cold || ep.dataCentre != farDC || !inc.up {
--- a/internal/standin/loopback/fleet.go
+++ b/internal/standin/loopback/fleet.go
@@ -25,7 +25,7 @@
 // Spec describes a deployment to start.
 type Spec struct {
 	DataCentres []string
-	Services    []manifest.ServiceSize
+	Services    []manifest.ServiceSpec
 	Slots       int
 	HostsPerDC  int
 	// Settings is the template for every entry host. The host name, the data
@@ -49,7 +49,7 @@
 	return settings.Daemon{LogLevel: "info", PollInterval: 20 * time.Millisecond, RequestTimeout: 2 * time.Second, AttemptTimeout: 200 * time.Millisecond,
 		MaxViewAge: time.Second, RetryAfter: time.Second, GrantTTL: 300 * time.Millisecond,
 		ProbeInterval: 50 * time.Millisecond, ProbeFailures: 2, SnapshotEvery: 64, SnapshotInterval: time.Minute, ShutdownGrace: 2 * time.Second,
-		HostListInterval: 100 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, HeartbeatTimeout: time.Second, RenewersPerUpstream: 2,
+		HostListInterval: 100 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, HeartbeatTimeout: time.Second, HostsPerUpstream: 2,
 		LatencyObjective: 16 * time.Millisecond}
 }
 
@@ -141,7 +141,7 @@
 		}
 		hostListAddr = "http://" + addr
 	}
-	f.spec.Settings.HostListAddr = hostListAddr
+	f.spec.Settings.HostListURL = hostListAddr
 	m := manifest.Generate("loopback", spec.DataCentres, spec.Services, spec.Slots, 64, 0)
 	for si := range m.Services {
 		for ui := range m.Services[si].Upstreams {
@@ -207,7 +207,7 @@
 // AddHost starts another entry host in data centre dc.
 func (f *Fleet) AddHost(name, dc string) (*Host, error) {
 	cfg := f.spec.Settings
-	cfg.Host, cfg.DataCentre, cfg.LogAddr = name, dc, f.LogURL
+	cfg.Host, cfg.DataCentre, cfg.LogURL = name, dc, f.LogURL
 	var err error
 	if cfg.Listen, err = ports.FreeAddr(); err != nil {
 		return nil, err
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -184,7 +184,7 @@
 		case <-t.C:
 			return metastore.Batch{Next: from, End: end}, nil
 		case <-ctx.Done():
-			return metastore.Batch{}, metastore.ErrNoAnswer
+			return metastore.Batch{}, metastore.ErrNoResponse
 		}
 		l.mu.Lock()
 	}
@@ -217,11 +217,11 @@
 }
 
 // JoinElection implements metastore.Store.
-func (l *Log) JoinElection(_ context.Context, member string, ttl time.Duration, _ int64) (metastore.Lease, error) {
+func (l *Log) JoinElection(_ context.Context, member string, ttl time.Duration, _ int64) (metastore.JoinResult, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.beginCall("join"); err != nil {
-		return metastore.Lease{}, err
+		return metastore.JoinResult{}, err
 	}
 	if l.leaseHolder == "" || time.Now().After(l.leaseExpiresAt) {
 		l.leaseHolder = member
@@ -230,7 +230,7 @@
 	if l.leaseHolder == member {
 		l.leaseExpiresAt = time.Now().Add(ttl)
 	}
-	return metastore.Lease{Generation: l.leaseGeneration, Held: l.leaseHolder == member}, nil
+	return metastore.JoinResult{Generation: l.leaseGeneration, Held: l.leaseHolder == member}, nil
 }
 
 // LeaveElection implements metastore.Store.
--- a/internal/standin/pipenet/pipenet.go
+++ b/internal/standin/pipenet/pipenet.go
@@ -55,10 +55,10 @@
 	}
 }
 
-// Kill disconnects the listener at addr: it removes it from the network and closes
+// Disconnect disconnects the listener at addr: it removes it from the network and closes
 // every connection that it has accepted. To clients this looks like a crash of the
 // server. The server itself keeps running, and its Accept keeps blocking.
-func (n *Network) Kill(addr string) {
+func (n *Network) Disconnect(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := n.listeners[addr]
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -29,10 +29,10 @@
 	ColdWorkTime time.Duration
 	// HealthLag is how long the health endpoint still reports ok after Drain.
 	HealthLag time.Duration
-	// CrossAnswers makes the target respond to each request with the answer to
+	// ReturnPreviousAnswer makes the target respond to each request with the answer to
 	// the previous one, as a faulty middlebox would. The first request gets its
 	// own answer.
-	CrossAnswers bool
+	ReturnPreviousAnswer bool
 	// CrashOn, if set, is called with the target's name and the request's key
 	// when work on a request starts. It may kill the target; it then returns
 	// true, and the request gets no response.
@@ -157,9 +157,9 @@
 	s.drainStart.Store(time.Now().UnixNano())
 }
 
-// Executed returns how many operations (requests other than GET) ran on the key in this
+// RunsOnKey returns how many operations (requests other than GET) ran on the key in this
 // incarnation.
-func (s *Server) Executed(service, key string) int64 {
+func (s *Server) RunsOnKey(service, key string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runsByKey[service+"/"+key]
@@ -269,7 +269,7 @@
 		return // cancelled by the client; nothing ran
 	}
 	ans := s.apply(r, service, key)
-	if s.opts.CrossAnswers {
+	if s.opts.ReturnPreviousAnswer {
 		ans = s.replacePreviousAnswer(ans)
 	}
 	w.Header().Set(tp.HeaderRequestID, ans.RequestID)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -107,7 +107,7 @@
 	if c.br.Buffered() > 0 {
 		return false
 	}
-	state := peek.Conn(c.Conn)
+	state := peek.ConnState(c.Conn)
 	return state == peek.Idle || state == peek.Unknown
 }
 
