--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -19,6 +19,6 @@
 
 // logClient returns a client of the log service at --log.
 func logClient(cmd *cobra.Command) *logservice.Client {
-	addr, _ := cmd.Flags().GetString("log")
-	return logservice.New(addr, &http.Client{Timeout: 5 * time.Second})
+	baseURL, _ := cmd.Flags().GetString("log")
+	return logservice.New(baseURL, &http.Client{Timeout: 5 * time.Second})
 }
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -78,7 +78,7 @@
 		fmt.Fprintf(cmd.OutOrStdout(), "%s: drained=%v at epoch %d\n", upstream, !undo, off)
 		return nil
 	}
-	return eris.New("placement changed during every attempt; try again")
+	return eris.New("placement changed during every attempt; retry the command")
 }
 
 // findUpstream returns the service and data centre of the named upstream, or empty
--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -62,11 +62,10 @@
 	err      error
 }
 
-// sendGrants runs one grant round: concurrent calls to the local upstreams that this
-// host is responsible for. A member gets a grant at the current epoch, any other
-// upstream a probe. The grant has the full shard list once per epoch and is a renewal
-// after that; the reply to it counts as a health probe. A target rejects a grant with
-// an older epoch than the one it holds, so a host with a stale view cannot revert it.
+// sendGrants runs one grant round: concurrent calls to the local upstreams that this host is
+// responsible for. A member gets a grant at the current epoch, in full once per epoch and then
+// as a renewal; the response counts as a health probe. Others get a probe. A target rejects an
+// older epoch than that of the grant it holds, so a host with a stale view cannot revert it.
 func (l *Loop) sendGrants(ctx context.Context) {
 	if l.manifest == nil {
 		return
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -46,11 +46,10 @@
 	return err
 }
 
-// isResponsibleFor reports whether this host sends grants and probes to the named
-// upstream: whether it is among the RenewersPerUpstream live hosts of its data centre
-// with the highest rendezvous score. Sharing this work limits the growth of each
-// host's control traffic. While fewer live hosts are known, e.g. at start, this host
-// is responsible for all upstreams.
+// isResponsibleFor reports whether this host sends grants and probes to the named upstream:
+// whether it is among the HostsPerUpstream live hosts of its data centre with the highest
+// rendezvous score. Sharing this work limits the growth of each host's control traffic.
+// While fewer live hosts are known, e.g. at start, this host is responsible for all upstreams.
 func (l *Loop) isResponsibleFor(upstream string) bool {
 	if l.opts.HostsPerUpstream <= 0 {
 		return true
--- a/internal/control/placement.go
+++ b/internal/control/placement.go
@@ -160,11 +160,10 @@
 	}
 }
 
-// wantedMembers returns the sorted members that a service should have in this
-// data centre: the local upstreams that are up, not drained and not leaving. An
-// upstream that other hosts are responsible for remains a member if it is one;
-// without a placement it becomes one. The result is false until each upstream that
-// this host is responsible for has been probed.
+// wantedMembers returns the sorted members that a service should have in this data centre:
+// the local upstreams that are up, not drained and not leaving. One that other hosts are
+// responsible for remains a member if it is one; without a placement it becomes one. The
+// result is false until each upstream that this host is responsible for has been probed.
 func (l *Loop) wantedMembers(local []manifest.Upstream, cur *servicePlacement) ([]string, bool) {
 	var drained, members []string
 	if cur != nil {
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -24,7 +24,7 @@
 // A request crashes the target that runs it, and its caller retries forever. A
 // host that keeps no record of such crashes sends the request on: to the restarted
 // target, or to the shard's next owner, which crashes as well. With one host and one
-// caller, each crash is caused by a separate request and the host sees every one.
+// caller, each crash is caused by a separate request and the host observes every one.
 func TestCrashingRequestReachesFewTargets(t *testing.T) {
 	var mu sync.Mutex
 	var running *loopback.Fleet // nil before the start and after the test
--- a/internal/daemon/failure_test.go
+++ b/internal/daemon/failure_test.go
@@ -146,7 +146,7 @@
 
 // The owner is paused while it has a grant, and its keys move to a new owner after
 // the grant TTL. When it resumes, its state still shows it as the owner. A router
-// with an old view sends it a request with the old fencing token. It must reject the
+// with an old view sends it a request with the old fencing token. It must refuse the
 // request without running it, because its grant expired during the pause.
 func TestPausedOwnerIsFencedOnResume(t *testing.T) {
 	f := startFleet(t, []string{"bangna"}, true, 1)
--- a/internal/desired/desired.go
+++ b/internal/desired/desired.go
@@ -51,7 +51,7 @@
 
 // SlowStart describes the period after an upstream's start, or after a period
 // without requests, in which the upstream is cold: slower than usual and easily
-// overloaded. Unlike Service.WarmUp, it concerns the upstream, not single keys.
+// overloaded. Unlike Service.KeyWarmUp, it concerns the upstream, not single keys.
 type SlowStart struct {
 	// Duration is how long the upstream is cold.
 	Duration time.Duration
--- a/internal/events/doc.go
+++ b/internal/events/doc.go
@@ -2,7 +2,7 @@
 // log line has its number in the field "event". docs/EVENTS.md lists all events,
 // so that operators can search logs by number instead of by message.
 //
-// Numbers are never reused. Those of retired events stay noted in docs/EVENTS.md,
+// Numbers are never reused. Those of retired events remain in docs/EVENTS.md,
 // but not as a table row that starts with the number: these rows must list
 // exactly the numbers of this package.
 //
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -11,14 +11,14 @@
 	// 2xx: manifests.
 	ManifestAdopted  = 200
 	ManifestRejected = 201
-	// RecordsGap: records of a stream expired before this host read them.
+	// RecordsExpired: records of a stream expired before this host read them.
 	RecordsExpired = 202
 
 	// 3xx: placement and grants.
 	PlacementAdopted  = 300
 	PlacementAppended = 301
 	PlacementConflict = 302
-	// PlacementUnknown: the outcome of appending a proposed placement is unknown.
+	// PlacementOutcomeUnknown: the outcome of appending a proposed placement is unknown.
 	PlacementOutcomeUnknown = 303
 	GrantFailed             = 304
 	UpstreamDown            = 305
@@ -49,7 +49,7 @@
 	SettingsRejected  = 604
 	StreamLost        = 610
 	StreamRecovered   = 611
-	// ReplicaFollowStarted and PlannerUnfollowed: the host starts or stops reading
+	// ReplicaFollowStarted and ReplicaFollowStopped: the host starts or stops reading
 	// the planner's replica of the log instead of the log service.
 	ReplicaFollowStarted = 612
 	ReplicaFollowStopped = 613
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// The example manifests must be valid and have the service sizes that the deployments
-// require.
+// The example manifests must be valid, and each service must have as many upstreams as the
+// deployment requires.
 func TestExamplesParse(t *testing.T) {
 	want := map[string]map[string]int{
 		"siam-sludge": {"routeboard": 20, "plantdesk": 12, "tankbill": 6},
 		"shannonvale": {"plugreport": 18, "tariffdesk": 9, "shutoffdesk": 6},
 	}
-	for name, sizes := range want {
+	for name, upstreamCounts := range want {
 		data, err := Example(name)
 		if err != nil {
 			t.Fatal(err)
@@ -21,7 +21,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		for svc, n := range sizes {
+		for svc, n := range upstreamCounts {
 			if s := m.Service(svc); s == nil || len(s.Upstreams) != n {
 				t.Fatalf("%s/%s: want %d upstreams", name, svc, n)
 			}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -203,11 +203,10 @@
 	return homes
 }
 
-// Update returns the same assignment as AssignDataCentre, so that hosts with
-// different histories agree, but computes it from the previous one, old: a shard
-// whose owner stays can only move to a joining member, and only shards without an
-// owner or of leaving members are scored against all members. If weights or the
-// number of shards changed, it calls AssignDataCentre.
+// Update returns the same assignment as AssignDataCentre, so that hosts with different
+// histories agree, but computes it from the previous one, old: a shard whose owner stays can
+// move only to a joining member, and only shards without an owner or of leaving members are
+// scored against all. If weights or the number of shards changed, it calls AssignDataCentre.
 func Update(old *Assignment, svc *manifest.Service, members []string, epoch int64, homes []uint8, dc uint8) *Assignment {
 	next := &Assignment{Service: svc.Name, Epoch: epoch, Members: selectMembers(svc, members)}
 	remap, joiners, ok := diffMembers(old, next.Members, svc.ShardCount())
@@ -278,18 +277,18 @@
 	return best
 }
 
-// Pick returns the n candidates with the highest rendezvous score for key, highest
-// first, or all if there are no more than n. Entry hosts use it to divide work such
-// as sending grants: hosts with the same list of candidates pick the same ones.
-func Pick(key string, candidates []string, n int) []string {
+// Pick returns the n hosts with the highest rendezvous score for key, highest first, or
+// all if there are no more than n. Entry hosts use it to divide work such as sending
+// grants: with the same list of hosts, they pick the same ones.
+func Pick(key string, hosts []string, n int) []string {
 	type scored struct {
 		name  string
 		score float64
 	}
 	keyHash := xxhash.Sum64String(key)
-	all := make([]scored, len(candidates))
-	for i, c := range candidates {
-		all[i] = scored{c, score(keyHash, xxhash.Sum64String(c), 1)}
+	all := make([]scored, len(hosts))
+	for i, host := range hosts {
+		all[i] = scored{host, score(keyHash, xxhash.Sum64String(host), 1)}
 	}
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].score != all[j].score {
--- a/internal/router/crashes.go
+++ b/internal/router/crashes.go
@@ -24,7 +24,7 @@
 
 // refusedFor returns how much longer requests with req's fingerprint are refused; zero
 // if they are not, or if req is allowed as a trial. Without refusals, a request that
-// has crashed three targets goes on to crash the next owner of its shard or the next
+// has crashed three targets then crashes the next owner of its shard or the next
 // incarnation of the same target: a single caller can cause 18 crashes in 10 s.
 func (rt *Router) refusedFor(req *target.Request, now time.Time) time.Duration {
 	if !rt.crashes.HasCrashes() {
@@ -43,8 +43,8 @@
 const crashWindow = 100 * time.Millisecond
 
 // recordOutcome records whether the target crashed while it ran req, or completed it.
-// The manifest does not tell a target's incarnations apart, so the number of the crash
-// window stands in for the incarnation.
+// The manifest does not distinguish a target's incarnations, so the number of the crash
+// window is used in place of the incarnation's.
 func (rt *Router) recordOutcome(resp *target.Response, err error, req *target.Request, route routing.Route, now time.Time) {
 	switch {
 	case errors.Is(err, target.ErrCrashed):
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -28,7 +28,7 @@
 	// err is set if no complete response arrived.
 	err error
 	// responseOptional is set if no check requires a response: the caller may have
-	// canceled the request, or the request is fatal.
+	// cancelled the request, or the request is fatal.
 	responseOptional bool
 	began, ended     time.Time
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// isReady reports whether the host's readiness endpoint answers with 200.
+// isReady reports whether the host's readiness endpoint responds with 200.
 func isReady(ctx context.Context, hc *http.Client, h *Host) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, h.readyURL, nil)
 	if err != nil {
@@ -133,7 +133,7 @@
 
 // readShare and chargeShare are the shares of reads, which are idempotent, and of
 // charges, which are not; the rest goes to the service without keys. One request in
-// cancelOneIn is canceled early.
+// cancelOneIn is cancelled early.
 const (
 	readShare, chargeShare = 0.5, 0.3
 	cancelOneIn            = 40
@@ -164,8 +164,9 @@
 	return o
 }
 
-// nonReplayableBody returns a request body for which net/http cannot set GetBody, as
-// it does for a *strings.Reader. With GetBody it could retry a request by itself.
+// nonReplayableBody returns a request body for which net/http cannot set
+// Request.GetBody, as it does for a *strings.Reader. With it, net/http could retry a
+// request by itself.
 func nonReplayableBody(text string) io.Reader { return io.MultiReader(strings.NewReader(text)) }
 
 // normalPath is the path of requests that crash no upstream.
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// writeEntry writes the upstream's entry to the log.
+// writeEntry writes the upstream's entry, its record in the upstreams' stream, to the log.
 func (env *Environment) writeEntry(inc *incarnation, leaving bool) {
 	env.log.Put(metastore.StreamUpstreams, inc.ID, standin.UpstreamRecord(&catalogue.Upstream{ID: catalogue.IncarnationID(inc.ID, inc.startNumber), Service: inc.endpoint.service,
 		Addr: inc.endpoint.proxy.Addr(), DataCentre: inc.endpoint.dataCentre, Slots: 6, Leaving: leaving, SlowUntil: inc.coldFrom.Add(env.slowStart.Duration)}))
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -61,7 +61,7 @@
 }
 
 // endEvacuation ends the evacuation of farDC. If cold is set, the upstreams there were
-// idle long enough to become cold; their entries say so one heartbeat later.
+// idle long enough to become cold; their entries show it one heartbeat later.
 func (env *Environment) endEvacuation(cold bool) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/soak/reports.go
+++ b/internal/soak/reports.go
@@ -183,9 +183,11 @@
 		}
 	}
 	for h, fromHost := range byHost {
-		n, asked := rangeowner.BackoffViolation(fromHost, backoffTime, func(asked, at time.Time) bool { return in.hostAndLinkFaultFree(h, r.inc.endpoint, asked, at) })
+		n, requestedAt := rangeowner.BackoffViolation(fromHost, backoffTime, func(requestedAt, at time.Time) bool {
+			return in.hostAndLinkFaultFree(h, r.inc.endpoint, requestedAt, at)
+		})
 		if n > 0 {
-			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a backoff of %v", asked.Format(timestampFormat), n, h.Name, r.inc.ID, backoffTime))
+			bad = append(bad, fmt.Sprintf("%s: BUDGET: %d requests from %s reached %s within a backoff of %v", requestedAt.Format(timestampFormat), n, h.Name, r.inc.ID, backoffTime))
 		}
 	}
 	return bad
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -57,7 +57,7 @@
 	// that Result.Recovered measures.
 	startTimeout    = 15 * time.Second
 	recoveryTimeout = 15 * time.Second
-	// quietPeriod is how long callers go on without faults after the recovery.
+	// quietPeriod is how long callers continue without faults after the recovery.
 	quietPeriod = 2 * time.Second
 	// minServedShare is the share of requests that must be served in quietPeriod.
 	minServedShare = 0.95
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -47,11 +47,10 @@
 	return binary
 }
 
-// TestSoak runs entry hosts as processes while links are cut, processes and upstreams
-// stop, pause and restart, and the log service fails, also at the same time. Callers
-// receive complete responses to their own requests or correct refusals, no
-// non-idempotent request runs twice, no key has two owners, and every key is served again
-// soon after the last fault.
+// TestSoak runs entry hosts as processes while links are cut, processes and upstreams stop,
+// pause and restart, and the log service fails, also at the same time. Callers must receive
+// complete responses to their own requests or correct refusals. No non-idempotent request may
+// run twice, no key may have two owners, and all must be served soon after the last fault.
 func TestSoak(t *testing.T) {
 	binary := buildDaemon(t)
 	list := ciRuns
@@ -84,7 +83,7 @@
 	}
 }
 
-// runAll makes the runs, as many at a time as the flag -beside says.
+// runAll makes the runs, at most as many at a time as the flag -beside allows.
 func runAll(t *testing.T, binary string, list []run) {
 	slots := make(chan struct{}, *parallelRuns)
 	for _, r := range list {
--- a/internal/standin/cli/cli.go
+++ b/internal/standin/cli/cli.go
@@ -79,8 +79,8 @@
 			return eris.Errorf("upstream %q is not in the manifest (--example %s, unless --manifest is set)", upstream, example)
 		}}
 	f := cmd.Flags()
-	f.StringVar(&example, "example", "siam-sludge", "shipped manifest naming the upstream")
-	f.StringVar(&file, "manifest", "", "manifest file naming the upstream (instead of --example)")
+	f.StringVar(&example, "example", "siam-sludge", "example manifest that lists the upstream")
+	f.StringVar(&file, "manifest", "", "manifest file that lists the upstream (instead of --example)")
 	f.StringVar(&upstream, "upstream", "", "upstream to serve, e.g. routeboard-01")
 	f.DurationVar(&opts.WorkTime, "work-time", time.Millisecond, "time one request takes")
 	f.DurationVar(&opts.ColdStart, "cold-start", 0, "how long requests stay slow after startup")
--- a/internal/standin/loopback/fleet.go
+++ b/internal/standin/loopback/fleet.go
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	f.LogURL = "http://" + addr
-	hostListAddr := settings.HostListOff
+	hostListURL := settings.HostListOff
 	if spec.HostListLag > 0 {
 		f.HostList = hostlist.NewServer(spec.HostListLag)
 		if addr, err = ports.FreeAddr(); err != nil {
@@ -139,9 +139,9 @@
 		if f.hostListServer, err = serve(addr, f.HostList.Handler(), nil); err != nil {
 			return nil, err
 		}
-		hostListAddr = "http://" + addr
+		hostListURL = "http://" + addr
 	}
-	f.spec.Settings.HostListURL = hostListAddr
+	f.spec.Settings.HostListURL = hostListURL
 	m := manifest.Generate("loopback", spec.DataCentres, spec.Services, spec.Slots, 64, 0)
 	for si := range m.Services {
 		for ui := range m.Services[si].Upstreams {
--- a/internal/standin/loopback/fleet_test.go
+++ b/internal/standin/loopback/fleet_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a restart that fails with the address in use. A stand-in may be
 // killed right after its start: if Close runs before Serve, http.Server does not
-// know the listener and leaves it open until the server's goroutine runs.
+// have the listener yet and leaves it open until the server's goroutine runs.
 func TestCloseFreesAddressImmediately(t *testing.T) {
 	addr, err := ports.FreeAddr()
 	if err != nil {
--- a/internal/standin/pipenet/pipenet.go
+++ b/internal/standin/pipenet/pipenet.go
@@ -78,7 +78,7 @@
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
-	// accepted are the server's ends of all connections made, for Kill.
+	// accepted are the server's ends of all connections made, for Disconnect.
 	accepted []net.Conn
 }
 
--- a/internal/standin/rangeowner/bounds.go
+++ b/internal/standin/rangeowner/bounds.go
@@ -26,11 +26,10 @@
 }
 
 // BackoffViolation finds the first backoff within which more than BackoffSlack requests
-// arrived, among arrivals of one host whose responses all asked for backoff. It returns
-// their number and the arrival time of the request whose response asked for that
-// backoff, or 0 if there is none. Requests within ReportGrace of that time, and those
-// for which counts returns false, are not counted.
-func BackoffViolation(arrivals []Arrival, backoff time.Duration, counts func(askedAt, at time.Time) bool) (n int, askedAt time.Time) {
+// arrived, among arrivals of one host whose responses all requested backoff. It returns
+// their number, or 0, and the arrival time of the request whose response began the backoff.
+// Requests within ReportGrace of that time, or for which counts is false, are not counted.
+func BackoffViolation(arrivals []Arrival, backoff time.Duration, counts func(requestedAt, at time.Time) bool) (n int, requestedAt time.Time) {
 	for _, first := range arrivals {
 		n := 0
 		for _, a := range arrivals {
--- a/internal/standin/rangeowner/upstream.go
+++ b/internal/standin/rangeowner/upstream.go
@@ -54,7 +54,7 @@
 	RateLimit float64
 	// Leaving reports that the upstream is about to stop.
 	Leaving bool
-	// Backoff, if positive, makes the upstream refuse every request and ask for
+	// Backoff, if positive, makes the upstream refuse every request and state
 	// this backoff in Retry-After.
 	Backoff time.Duration
 }
--- a/internal/standin/target/server.go
+++ b/internal/standin/target/server.go
@@ -88,7 +88,7 @@
 	// blackholedBefore, if not 0, is a time in Unix nanoseconds: connections
 	// accepted before it get no responses, as if a middlebox had lost their state.
 	blackholedBefore atomic.Int64
-	// previousAnswer is the answer to the latest request, for CrossAnswers.
+	// previousAnswer is the answer to the latest request, for ReturnPreviousAnswer.
 	previousAnswer *Answer
 }
 
@@ -223,9 +223,9 @@
 	if !s.opts.CheckFencing {
 		return ""
 	}
-	token, err1 := strconv.ParseInt(r.Header.Get(tp.HeaderFencingToken), 10, 64)
-	shard, err2 := strconv.Atoi(r.Header.Get(tp.HeaderShard))
-	if err1 != nil || err2 != nil {
+	token, tokenErr := strconv.ParseInt(r.Header.Get(tp.HeaderFencingToken), 10, 64)
+	shard, shardErr := strconv.Atoi(r.Header.Get(tp.HeaderShard))
+	if tokenErr != nil || shardErr != nil {
 		return "missing fencing token or shard"
 	}
 	s.mu.Lock()
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -24,7 +24,7 @@
 const MaxResponseBytes = 4 << 20
 
 // ErrNotSent means that the request was not sent. The target can't have run it, so
-// it may be retried, or refused with outcome not_run. Callers see the texts of
+// it may be retried, or refused with outcome not_run. Callers get the texts of
 // ErrNotSent, ErrNoResponse and ErrCrashed in the details of refusals.
 var ErrNotSent = errors.New("target: request not sent")
 
--- a/internal/target/protocol.go
+++ b/internal/target/protocol.go
@@ -14,7 +14,7 @@
 	HeaderRequestID = "X-Request-Id"
 	// HeaderDeadline is the request's deadline in Unix milliseconds.
 	HeaderDeadline = "X-Papayatide-Deadline"
-	// HeaderNotRun is "1" in the response of a target that rejected a request
+	// HeaderNotRun is "1" in the response of a target that refused a request
 	// without running any of it (shed, fenced, draining).
 	HeaderNotRun = "X-Papayatide-Not-Run"
 	// HeaderKey is the request's key.
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -74,7 +74,7 @@
 echo "$out"
 echo "served again after $(( (end-start)/1000000 )) ms"
 
-echo "--- a publish from a stale base is refused"
+echo "--- a publish from a stale base is rejected"
 "$bin/papayatide" publish --example "$example" --base -1 || true
 "$bin/papayatide" status --admin "$admin_csv"
 echo "--- service-level burn"
--- a/scripts/summary.py
+++ b/scripts/summary.py
@@ -20,7 +20,7 @@
 # Event numbers; docs/EVENTS.md lists them.
 REFUSED, FAILED = 801, 802
 # Labels of control events in the table by second.
-BELIEFS = {
+CONTROL_EVENTS = {
     700: "planner lease acquired", 701: "planner lease lost", 702: "term started", 703: "term ended",
     706: "owner lost", 610: "log lost", 611: "log recovered", 613: "planner no longer followed", 614: "host stalled",
 }
@@ -76,8 +76,8 @@
                 by_upstream[fields["peer"]][cause(fields)] += 1
         elif event == RECORDED:
             row["[recorded: %s]" % fields.get("cause", "")] += 1
-        elif event in BELIEFS:
-            row["[%s]" % BELIEFS[event]] += 1
+        elif event in CONTROL_EVENTS:
+            row["[%s]" % CONTROL_EVENTS[event]] += 1
     print("by service and cause")
     for (service, k, c), n in by_cause.most_common():
         print("%7d  %s (%s)  %s" % (n, service, k, c))
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -18,7 +18,7 @@
 # skipped, and the list is printed.
 known_red=$(awk -F ' [|] ' 'NF > 1 { print $1 }' KNOWN-RED.txt | paste -sd '|')
 if [ -n "$known_red" ]; then
-  echo "known red, passed over:"; cat KNOWN-RED.txt
+  echo "skipped, with known failures:"; cat KNOWN-RED.txt
 fi
 # The race detector's runtime has aborted when many tests of internal/entryhost, each
 # with several hosts on a fake clock, ran in parallel. That package therefore runs few
