--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -104,7 +104,7 @@
 		return nil, eris.Wrap(err, "log service")
 	}
 	env.logAddr = ln.Addr().String()
-	env.logSrv = &http.Server{Handler: standin.LogHandler{LogHandler: env.log}}
+	env.logSrv = &http.Server{Handler: standin.Log{Log: env.log}}
 	go func() { _ = env.logSrv.Serve(ln) }()
 	for i := range keyed + unkeyed {
 		service := keyedService
