--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -3,9 +3,9 @@
 //
 // Each host adapts its limits on its own, without exchanging them with other
 // hosts. The limit of an upstream increases while responses arrive in time and
-// decreases when they are late or the upstream is full. Under overload this
-// keeps the upstream's queue short, so that requests which it accepts are
-// answered in time instead of all of them late.
+// decreases when they are late or the upstream is overloaded. Under overload
+// this keeps the upstream's queue short, so that it responds in time to the
+// requests that it accepts, instead of late to all of them.
 package admission
 
 import (
@@ -29,10 +29,10 @@
 	// adds limitIncrease/limit, or limitIncrease while the limit is below 1.
 	// Hosts of a large fleet, whose MinLimit is lower, add proportionally less.
 	limitIncrease = 0.5
-	// lateFactor and fullFactor multiply the limit on a Late and on a Full
-	// signal.
-	lateFactor = 0.85
-	fullFactor = 0.7
+	// lateFactor and overloadedFactor multiply the limit on a Late and on an
+	// Overloaded signal.
+	lateFactor       = 0.85
+	overloadedFactor = 0.7
 	// minDecreaseInterval is the minimum time between two decreases: requests
 	// already in flight at a decrease don't reflect the new limit.
 	minDecreaseInterval = 150 * time.Millisecond
@@ -93,8 +93,10 @@
 // LimitRange is the range of a host's limit for an upstream that all hosts of a
 // fleet send to.
 type LimitRange struct {
-	// MaxLimit is the host's maximum number of requests in flight; MinLimit is
-	// the value below which the adaptive limit does not decrease.
+	// MaxLimit is the host's maximum number of requests in flight. All hosts' values add up to at
+	// most connectionSkew times the upstream's connections, or to one per host in a fleet larger
+	// than that. The adaptive limits make it unlikely that half of the hosts reach theirs at the
+	// same time. MinLimit is the value below which the adaptive limit does not decrease.
 	MaxLimit, MinLimit float64
 }
 
@@ -110,23 +112,16 @@
 // several seconds.
 const maxMinLimitSumPerSlot = 8
 
-// HostLimitRange returns the range of a host's limit for an upstream with the given
-// number of slots that accepts at most maxConnections connections from all hosts
-// together; 0 means that their number is unlimited.
-//
-// An upstream resets connections above that number, and the requests on them
-// may have been executed: callers would get a 502. A host opens a connection
-// only while all its others are in use, so limiting the requests in flight
-// limits the connections. The hosts' MaxLimits add up to connectionSkew times
-// maxConnections at most, or to one per host in a fleet larger than that. The
-// adaptive limits make it unlikely that half of the hosts reach theirs at the
-// same time.
-//
-// The sum of all hosts' minimum limits is at most maxMinLimitSumPerSlot times
-// the slots, whatever the size of the fleet.
+// HostLimitRange returns the range of a host's limit for an upstream with the given number of
+// slots that accepts at most maxConnections connections from all hosts together; 0 means that
+// their number is unlimited. The sum of all hosts' minimum limits is at most
+// maxMinLimitSumPerSlot times the slots, whatever the size of the fleet.
 func HostLimitRange(slots, maxConnections, hosts int) LimitRange {
 	r := LimitRange{MaxLimit: maxLimit, MinLimit: min(minLimit, maxMinLimitSumPerSlot*float64(slots)/float64(hosts))}
 	if maxConnections > 0 {
+		// An upstream resets connections above maxConnections, and the requests on them may
+		// have run: callers would get a 502. A host opens a connection only while all its
+		// others are in use, so limiting the requests in flight limits the connections.
 		r.MaxLimit = min(r.MaxLimit, max(float64(connectionSkew*maxConnections/hosts), 1))
 	}
 	return r
@@ -308,7 +303,7 @@
 		l.observeLatency(elapsed)
 		l.decrease(lateFactor, t.limitInUse, now)
 	case Overloaded:
-		l.decrease(fullFactor, t.limitInUse, now)
+		l.decrease(overloadedFactor, t.limitInUse, now)
 	case NoSignal:
 	}
 	if l.limit < 1 {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 	workTime   time.Duration
 }
 
-// serve executes a request; it reports false if slots and queue are full.
+// serve runs a request; it reports false if slots and queue are full.
 func (s *simUpstream) serve() bool {
 	s.mu.Lock()
 	if s.busy >= s.slots {
@@ -118,8 +118,8 @@
 
 // Twelve hosts send one upstream a third more than its capacity. Without limits
 // its queue stays full and nearly every response is late. With limits most
-// requests that it executes are answered in time, and refusals come early.
-func TestOverloadedUpstreamAnswersInTime(t *testing.T) {
+// requests that it runs get a response in time, and refusals come early.
+func TestOverloadedUpstreamRespondsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// 3 slots at 150 ms serve 20 a second.
 		plain := simulate(12, 27, time.Minute, &simUpstream{slots: 3, queueLimit: 12, workTime: 150 * time.Millisecond}, false)
@@ -127,7 +127,7 @@
 		t.Logf("without limits: %d in time, %d late, %d failed", plain.inTime, plain.late, plain.failed)
 		t.Logf("with limits: %d in time, %d late, %d failed", limited.inTime, limited.late, limited.failed)
 		if limited.inTime < 900 || limited.inTime < 2*plain.inTime {
-			t.Errorf("%d of at most 1200 requests answered in time; %d without limits", limited.inTime, plain.inTime)
+			t.Errorf("%d of at most 1200 requests got a response in time; %d without limits", limited.inTime, plain.inTime)
 		}
 		for _, d := range limited.refusedAfter {
 			if d > latencyObjective/2 {
@@ -141,12 +141,12 @@
 // one request in forty seconds. If their limits could decrease only to that of a
 // dozen hosts, 0.25, every request would be admitted and the upstream's queue of
 // 60 would stay full.
-func TestOverloadedUpstreamOfALargeFleetAnswersInTime(t *testing.T) {
+func TestOverloadedUpstreamOfALargeFleetRespondsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := simulate(1000, 27, 4*time.Minute, &simUpstream{slots: 3, queueLimit: 60, workTime: 150 * time.Millisecond}, true)
 		t.Logf("%d in time, %d late, %d failed", r.inTime, r.late, r.failed)
 		if r.inTime < 1000 {
-			t.Errorf("%d of at most 4800 requests answered in time, %d late", r.inTime, r.late)
+			t.Errorf("%d of at most 4800 requests got a response in time, %d late", r.inTime, r.late)
 		}
 	})
 }
@@ -185,7 +185,7 @@
 			ticket.Done(Overloaded, 0)
 		}
 		if l.limit != minLimit {
-			t.Fatalf("limit %v after 20 Full signals, want the minimum", l.limit)
+			t.Fatalf("limit %v after 20 Overloaded signals, want the minimum", l.limit)
 		}
 		start := time.Now()
 		for l.limit < 2 {
--- a/internal/dispatch/broken.go
+++ b/internal/dispatch/broken.go
@@ -74,10 +74,9 @@
 )
 
 // unresolvedBrokenSendList holds broken sends whose upstream may have crashed although its
-// port is open: a proxy or load balancer in front of it keeps listening, or it restarted
-// at once. The crash shows when the upstream's entry in the log, which is that of one
-// incarnation, is removed or replaced by a later incarnation's. A send has the type Crash
-// although it is not known yet whether it is one.
+// port is open: a proxy or load balancer keeps listening, or it restarted at once. The crash
+// shows when its entry in the log, which is of one incarnation, is removed or replaced by a
+// later one's. A send has the type Crash although it is not known yet whether it is one.
 type unresolvedBrokenSendList struct {
 	mu    sync.Mutex
 	sends []crashes.Crash
@@ -115,11 +114,10 @@
 	}
 }
 
-// refusedFor returns how much longer requests with req's fingerprint are refused; 0 if
-// they are not, or if req is the trial. It makes req the trial if one is due. Without
-// refusals the retries of one request crash an owner of its key about every second, or
-// dozens of upstreams of an unkeyed service. Each crash leaves keys unserved until the
-// owner's grant expires.
+// refusedFor returns how much longer requests with req's fingerprint are refused; 0 if not, or
+// if req is the trial, which it becomes if one is due. Without refusals the retries of one
+// request crash an owner of its key about every second, or dozens of upstreams of an unkeyed
+// service. Each crash leaves keys unserved until the owner's grant expires.
 func (d *Dispatcher) refusedFor(req *request) time.Duration {
 	if !d.crashes.HasCrashes() {
 		return 0
--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -54,8 +54,8 @@
 }
 
 // A request crashes each upstream that runs it, and its caller retries it after each
-// 502. After crashes.Limit crashes the request must be refused at once as not run,
-// with a Retry-After header, and must reach no further upstream.
+// 502. After crashes.RefusalThreshold crashes the request must be refused at once as
+// not run, with a Retry-After header, and must reach no further upstream.
 func TestRequestThatCrashesUpstreamsIsRefused(t *testing.T) {
 	ups, fakes := startCrashingUpstreams(t, 5)
 	h := newHarness(t, ups...)
@@ -74,7 +74,7 @@
 		}
 	}
 	if n := totalRequests(fakes); n != crashes.RefusalThreshold {
-		t.Errorf("sent %d more times after the limit", n-crashes.RefusalThreshold)
+		t.Errorf("sent %d more times after the threshold", n-crashes.RefusalThreshold)
 	}
 	h.setUpstreams(unusedUpstreams(ups, fakes)...)
 	h.post("charge.example", "another").want(t, 200, "answer to another")
@@ -174,9 +174,9 @@
 }
 
 // Upstreams crash for other reasons while they run a harmless request. After every two
-// crashes the request is answered, which resets its count. It must never be refused,
-// although more than crashes.Limit upstreams crash in total while they run it.
-func TestAnsweredRequestIsNotRefused(t *testing.T) {
+// crashes the request is served, which resets its count. It must never be refused,
+// although more than crashes.RefusalThreshold upstreams crash in total while they run it.
+func TestServedRequestIsNotRefused(t *testing.T) {
 	f := startUpstream(t, echo)
 	h := newHarness(t, newUpstream("u1", "plain", f))
 	fingerprint := crashes.Request{Method: "GET", Host: "read.example", URI: "/a//b?q=%2f", Key: -1}.Fingerprint()
@@ -190,8 +190,8 @@
 
 // An upload crashes each upstream that runs it. Its caller alternates between a stated
 // length and chunked encoding, which must not change the fingerprint. The upload must be
-// refused after crashes.Limit crashes, both when it is buffered and when it is streamed
-// and identified by its first bytes. An upload with another beginning must be served.
+// refused after crashes.RefusalThreshold crashes, both when it is buffered and when it is
+// streamed and identified by its first bytes. An upload with another beginning must be served.
 func TestUploadThatCrashesUpstreamsIsRefused(t *testing.T) {
 	for _, size := range []int{100, maxBufferedBodyBytes + 1} {
 		ups, fakes := startCrashingUpstreams(t, 5)
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -9,11 +9,10 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// chooseUpstream returns the upstream for the next attempt. A request without a key
-// that no upstream has received yet is refused if the latency expected at the chosen
-// upstream exceeds the objective: in the queue there it would also delay the requests
-// behind it. The expected latency covers the requests in flight there from all hosts of
-// this host's data centre.
+// chooseUpstream returns the upstream for the next attempt. A request without a key that no
+// upstream has received yet is refused if the latency expected at the chosen one exceeds the
+// objective: in the queue there it would also delay the requests behind it. That latency
+// covers the requests in flight there from all hosts of this host's data centre.
 func (d *Dispatcher) chooseUpstream(ctx context.Context, req *request) (*catalogue.Upstream, *Refusal) {
 	if req.key >= 0 {
 		return d.chooseOwner(ctx, req)
@@ -79,16 +78,15 @@
 	}
 }
 
-// handoverGrace is how long after an upstream's LeaveBy requests still wait for the
+// handoverGrace is how long after an upstream's HandoverBy requests still wait for the
 // handover of its keys. After that the handover is taken to be blocked, as when the log
 // service cannot be written to.
 const handoverGrace = time.Second
 
-// servesOwnedKeys reports whether requests for the keys that the upstream owns may be
-// sent to it. A Leaving upstream gets no requests at all. One that is HandingOver, because
-// it reported that it will stop or its data centre is evacuated, serves the keys that it
-// still owns until LeaveBy. Requests without a key are not sent to a Draining upstream,
-// which is one that is Leaving or HandingOver.
+// servesOwnedKeys reports whether requests for the keys that the upstream owns may be sent to
+// it: none if it is Leaving, and until HandoverBy if it is HandingOver, because it reported
+// that it will stop or its data centre is evacuated. Requests without a key are not sent to a
+// Draining upstream, which is one that is Leaving or HandingOver.
 func servesOwnedKeys(u *catalogue.Upstream, now time.Time) bool {
 	return !u.Leaving && (!u.HandingOver() || now.Before(u.HandoverBy))
 }
@@ -109,7 +107,7 @@
 }
 
 // awaitViewChange waits for a view newer than v. It returns false once the request
-// has waited for ownerWaitShare of its latency objective, or ctx is done.
+// has waited for ownerWaitFraction of its latency objective, or ctx is done.
 func (req *request) awaitViewChange(ctx context.Context, v *view.View) bool {
 	left := time.Duration(ownerWaitFraction*float64(req.route.LatencyObjective)) - req.ownerWait
 	if left <= 0 {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -34,11 +34,10 @@
 	retryAfterTimeout = 300 * time.Millisecond
 	// retryAfterMoved is about the time that a key takes to move to another owner.
 	retryAfterMoved = 250 * time.Millisecond
-	// retryAfterNoOwner covers the time until a lost upstream's grant expires;
-	// network partitions last seconds too. With a delay of 0.5 s most retries are
-	// refused again. Callers cap the delay at a third of their timeout. It is also
-	// the delay if a service has no upstream to send to or the key's owner is ejected,
-	// and the maximum for upstreams that are cold, rate-limited or in backoff.
+	// retryAfterNoOwner covers the time until a lost upstream's grant expires; network partitions
+	// last seconds too. With 0.5 s most retries are refused again. Callers cap the delay at a
+	// third of their timeout. It also applies if a service has no upstream or the key's owner is
+	// ejected, and is the maximum for upstreams that are cold, rate-limited or in backoff.
 	retryAfterNoOwner = 1500 * time.Millisecond
 	// retryAfterJitter is the width of the jitter as a fraction of the delay.
 	retryAfterJitter = 0.5
@@ -47,7 +46,7 @@
 // maxUnsentAttempts bounds one request's attempts of which no byte left this host.
 const maxUnsentAttempts = 3
 
-// ownerWaitShare is the fraction of the latency objective that a request may
+// ownerWaitFraction is the fraction of the latency objective that a request may
 // spend waiting for an owner of its key. Beyond that the caller is better served
 // by a refusal and a retry.
 const ownerWaitFraction = 0.5
@@ -174,8 +173,9 @@
 	_, _ = w.Write(res.Body)
 }
 
-// admissionShare returns this host's share of the upstream's capacity.
-func (d *Dispatcher) admissionShare(u *catalogue.Upstream, service *desired.Service) admission.LimitRange {
+// admissionLimitRange returns the range of this host's limit of concurrent requests to the
+// upstream.
+func (d *Dispatcher) admissionLimitRange(u *catalogue.Upstream, service *desired.Service) admission.LimitRange {
 	return admission.HostLimitRange(u.Slots, service.MaxConns, int(d.hostCount.Load()))
 }
 
@@ -191,13 +191,13 @@
 }
 
 // maxQueueWait returns how long the request may wait for admission: what is left
-// of queueWaitShare of its latency objective.
+// of queueWaitFraction of its latency objective.
 func (req *request) maxQueueWait() time.Duration {
 	left := time.Duration(queueWaitFraction*float64(req.route.LatencyObjective)) - time.Since(req.arrived)
 	return min(max(left, 0), time.Until(req.deadline))
 }
 
-// queueWaitShare is the fraction of the latency objective that a request may
+// queueWaitFraction is the fraction of the latency objective that a request may
 // spend waiting for admission. The rest is for the upstream's work.
 const queueWaitFraction = 0.5
 
@@ -216,8 +216,8 @@
 // the objective makes every retry late.
 func (req *request) retryAfterOverloaded() time.Duration { return req.route.LatencyObjective / 4 }
 
-// hasAttemptsLeft reports whether the route allows one more attempt and the body can
-// be sent again; a streamed one cannot. Whether a retry is safe is not checked here.
+// hasAttemptsLeft reports whether the route allows one more attempt and the body is
+// buffered; a streamed one is sent once. Whether a retry is safe is not checked here.
 func (req *request) hasAttemptsLeft() bool {
 	return req.outbound.Stream == nil && req.attempts < req.route.MaxAttempts
 }
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -7,9 +7,9 @@
 )
 
 // A data centre is evacuated. Its upstream must serve the keys that it still owns until
-// LeaveBy; after that, requests for them are refused as not run. Requests to a service
+// HandoverBy; after that, requests for them are refused as not run. Requests to a service
 // that is not keyed must not be sent there at all, even if no other upstream is left.
-func TestEvacuatedUpstreamServesItsKeysUntilLeaveBy(t *testing.T) {
+func TestEvacuatedUpstreamServesItsKeysUntilHandoverBy(t *testing.T) {
 	f := startUpstream(t, echo)
 	owner, plain := newUpstream("u1", "keyed", f), newUpstream("u2", "plain", f)
 	owner.HandoverBy = time.Now().Add(time.Second)
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -29,8 +29,8 @@
 		if ctx.Err() != nil {
 			return nil, d.contextDoneRefusal(ctx, req)
 		}
-		// Checked before retries too: after crashes.Limit crashes, counted over all hosts,
-		// the next attempt would probably crash another upstream.
+		// Checked before retries too: after crashes.RefusalThreshold crashes, counted over
+		// all hosts, the next attempt would probably crash another upstream.
 		if left := d.refusedFor(req); left > 0 {
 			return nil, req.refusal(CauseCrashes, left)
 		}
@@ -40,7 +40,7 @@
 		}
 		limiter := d.picker.Limiter(u.ID)
 		queued := time.Now()
-		ticket := limiter.Acquire(ctx, req.maxQueueWait(), d.admissionShare(u, req.service))
+		ticket := limiter.Acquire(ctx, req.maxQueueWait(), d.admissionLimitRange(u, req.service))
 		summary.QueueTime += time.Since(queued)
 		if ticket == nil {
 			summary.Upstream, summary.LimiterState = u.ID, limiter.State()
@@ -135,7 +135,7 @@
 }
 
 // afterNotRun decides whether a request that an upstream rejected without running it
-// is sent again.
+// is retried.
 func (d *Dispatcher) afterNotRun(ctx context.Context, req *request, res *upstream.Result) (retry bool, refusal *Refusal) {
 	keyed := req.key >= 0
 	if keyed && res.Misdirected() {
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -116,12 +116,12 @@
 	testObjective = 400 * time.Millisecond
 )
 
-// permitAll is an allocator that grants all permits that are requested.
+// permitAll is a ratelimit.PermitFunc that returns all permits that are requested.
 func permitAll(_ context.Context, _ string, _ float64, want int) (ratelimit.PermitReply, error) {
 	return ratelimit.PermitReply{Permits: want}, nil
 }
 
-// permitNone is an allocator that grants no permits.
+// permitNone is a ratelimit.PermitFunc that returns no permits.
 func permitNone(context.Context, string, float64, int) (ratelimit.PermitReply, error) {
 	return ratelimit.PermitReply{Wait: time.Second}, nil
 }
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Cause says why this host refused or failed a request itself.
+// Cause is the reason why this host refused or failed a request itself.
 type Cause string
 
 // Causes appear in logs, metrics and the body of the refusal.
@@ -35,7 +35,7 @@
 // Refusal is a final response that this host writes itself.
 type Refusal struct {
 	Cause Cause
-	// Status tells the caller whether the request may have run: 503 guarantees that it
+	// Status shows the caller whether the request may have run: 503 guarantees that it
 	// has not run and never will. To callers 429 means the same, but this package never
 	// sends it.
 	Status int
--- a/internal/dispatch/rejected_grants.go
+++ b/internal/dispatch/rejected_grants.go
@@ -6,7 +6,7 @@
 )
 
 // rejectedGrantRetention is how long no further request is sent under a grant that the
-// upstream said it does not hold. Each would be rejected too and use up retry budget.
+// upstream has rejected as not its own. Each would be rejected too and use up retry budget.
 const rejectedGrantRetention = 120 * time.Millisecond
 
 // grantKey identifies one upstream's grant by its fencing token.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -18,7 +18,7 @@
 )
 
 // maxBufferedBodyBytes is the size of the largest request body that is buffered, so
-// that it can be sent again. Larger bodies are streamed and sent once.
+// that the request can be retried. Larger bodies are streamed and sent once.
 const maxBufferedBodyBytes = 256 << 10
 
 // request is one caller's request and the progress of forwarding it.
@@ -47,7 +47,7 @@
 	// lastResponse is the last response of an upstream that ran the request. While
 	// the request is retried it is a 5xx response.
 	lastResponse *upstream.Result
-	// attempted lists the IDs of the upstreams tried so far.
+	// attempted lists the IDs of the upstreams attempted so far.
 	attempted        []string
 	lastUpstream     string
 	lastErr          error
--- a/internal/dispatch/send.go
+++ b/internal/dispatch/send.go
@@ -71,7 +71,7 @@
 	return balance.Failed
 }
 
-// lateLatencyShare is the fraction of the latency objective above which the duration
+// lateLatencyFraction is the fraction of the latency objective above which the duration
 // of an attempt counts as late. The rest is for network transit.
 const lateLatencyFraction = 0.8
 
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// shutdown ends the requests in flight when this host stops. Without it, a request at a
-// silent upstream, or one with a long timeout that waits for admission or an owner,
+// shutdown ends the requests in flight when this host stops. Without it, a request at an
+// upstream that does not respond, or one with a long timeout that waits for admission or an owner,
 // outlives the process: its caller sees the connection close and cannot tell whether the
 // request has run.
 type shutdown struct {
--- a/internal/dispatch/unavailable_test.go
+++ b/internal/dispatch/unavailable_test.go
@@ -12,7 +12,7 @@
 	"github.com/papayatide/papayatide/internal/ratelimit"
 )
 
-// respondWith returns a respond function that answers every request with the status,
+// respondWith returns a respond function that responds to every request with the status,
 // the extra header lines and the body "said".
 func respondWith(status int, extra ...string) func(io.Writer, net.Conn, *http.Request, int64) bool {
 	return func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
@@ -88,14 +88,14 @@
 	f := startUpstream(t, echo)
 	for _, c := range []struct {
 		name        string
-		leaveIn     time.Duration
+		handoverIn  time.Duration
 		maxDuration time.Duration
 	}{
 		{"handing over", time.Second, testTimeout},
 		{"overdue", -2 * handoverGrace, testObjective / 8},
 	} {
 		u := newUpstream("k1", "keyed", f)
-		u.HandoverBy = time.Now().Add(c.leaveIn)
+		u.HandoverBy = time.Now().Add(c.handoverIn)
 		h := newHarness(t, u)
 		h.setOwner("k1", 1)
 		start := time.Now()
@@ -103,7 +103,7 @@
 		if took := time.Since(start); took > c.maxDuration {
 			t.Errorf("%s: response after %v", c.name, took)
 		}
-		if c.leaveIn > 0 {
+		if c.handoverIn > 0 {
 			resp.want(t, http.StatusOK, "")
 			continue
 		}
--- a/internal/entryhost/actions.go
+++ b/internal/entryhost/actions.go
@@ -36,7 +36,7 @@
 			host, retired, err := c.retirer.Retire(callCtx, a.Addr, a.Service, a.Term)
 			cancel()
 			if err != nil {
-				c.zl.Debug("previous planner does not answer", zap.Int("event", events.PreviousPlannerUnreachable), zap.String("peer", a.Host), ErrorField(err))
+				c.zl.Debug("previous planner does not respond", zap.Int("event", events.PreviousPlannerUnreachable), zap.String("peer", a.Host), ErrorField(err))
 			}
 			c.post(ctx, func() { c.planner.RetireDone(a, host, retired, c.clock()) })
 		}()
@@ -55,7 +55,7 @@
 	}
 }
 
-// grant sends a grant, unless the planner decided on it (a.SentAt) longer than
+// grant sends a grant, unless the planner decided on it (a.DecidedAt) longer than
 // maxGrantSendDelay ago. It runs on a goroutine of its own.
 func (c *controller) grant(ctx context.Context, a *planner.Grant) error {
 	delay := c.clock().Sub(a.DecidedAt)
--- a/internal/entryhost/actions_test.go
+++ b/internal/entryhost/actions_test.go
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// A planner decides on a grant, which sets SentAt, and then doesn't run for a
+// A planner decides on a grant, which sets DecidedAt, and then doesn't run for a
 // second. Meanwhile it, or the next planner, considers the earlier grant of the
 // keys expired and gives them to another owner. The delayed grant must not be
 // sent: its owner would hold the keys for three more seconds.
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -58,7 +58,7 @@
 	maxGrantSendDelay = 100 * time.Millisecond
 	// retireTimeout bounds a retire call to a previous planner.
 	retireTimeout = 300 * time.Millisecond
-	// releaseTimeout bounds a release call. The upstream answers it once its
+	// releaseTimeout bounds a release call. The upstream responds once its
 	// work in flight on the keys has ended, after at most about two seconds.
 	releaseTimeout = 3 * time.Second
 )
@@ -109,10 +109,10 @@
 	feedback     *feedback.Tracker
 	drainTimeout time.Duration
 	// rejectionLoggedAt is when a rejected upstream record was last logged,
-	// rejectionsUnlogged how many were suppressed since.
-	rejectionLoggedAt  time.Time
-	rejectionsUnlogged int
-	ownershipHistory   ownershipHistory
+	// rejectionsSuppressed how many such log lines were suppressed since.
+	rejectionLoggedAt    time.Time
+	rejectionsSuppressed int
+	ownershipHistory     ownershipHistory
 	// candidate is set if this host's CPU and link suffice for the planner; see
 	// the package comment.
 	candidate bool
@@ -309,11 +309,10 @@
 	return defaultUpstreamBatchDelay
 }
 
-// longPollWait returns how long the next read of a stream may wait for a
-// record. On the planner and the candidates, one of which may succeed it, the
-// replica must not grow older than plannerLongPoll: the wait shrinks by its age.
-// A replica that is older already, because the host followed another one that
-// then failed or because reads failed, is read without a wait.
+// longPollWait returns how long the next read of a stream may wait for a record. On the
+// planner and the candidates, one of which may succeed it, the replica must not grow older
+// than plannerLongPoll: the wait shrinks by its age. A replica that is older already, because
+// the followed host has failed or because reads failed, is read without a wait.
 func (c *controller) longPollWait(s metastore.Stream) time.Duration {
 	if !(c.isPlanner.Load() || c.candidate) || s == metastore.StreamCrashes {
 		return defaultLongPoll // a replica's age does not include the crash stream
@@ -327,11 +326,10 @@
 // have not expired because of an outage.
 const minLogReachableFor = 4 * time.Second
 
-// onPlannerFollowed handles a successful call to the planner or its relay,
-// whose replica replaces this host's failed reads. If the log service has not
-// failed the planner, missing upstreams have left, even if this host saw no
-// failure. Without this, a host that reconnects after a network partition sends
-// requests to upstreams that left 10 s before.
+// onPlannerFollowed handles a successful call to the planner or its relay, whose replica
+// replaces this host's failed reads. If the log service has not failed the planner, missing
+// upstreams have left, even if this host read no record of that. Without this, a host that
+// reconnects after a network partition sends requests to upstreams that left 10 s before.
 func (c *controller) onPlannerFollowed(logReachableFor time.Duration) {
 	for s := range c.streamLostSince {
 		c.onStreamResult(s, nil)
@@ -368,9 +366,9 @@
 	}
 }
 
-// resign has the planner give up the lease, so that another host becomes the
-// planner at once and not only when the lease expires.
-func (c *controller) resign(ctx context.Context) {
+// beginShutdown has the planner leave the election, so that another host gets the lease at
+// once and not only when it expires.
+func (c *controller) beginShutdown(ctx context.Context) {
 	c.post(ctx, func() {
 		c.planner.BeginShutdown()
 	})
--- a/internal/entryhost/crash_test.go
+++ b/internal/entryhost/crash_test.go
@@ -26,12 +26,10 @@
 	testKey = 28264
 )
 
-// A request that crashes its server is retried by its callers, on other hosts and
-// under new request IDs, and crashes the next owner of its key. If hosts don't
-// recognize it, it can crash seven servers in a row, four of them after the first
-// three, and a range of keys is unserved for seconds each time. Hosts must recognize
-// it by the fingerprint that its broken sends have in common, though each has another
-// request ID.
+// A request that crashes its server is retried by its callers, on other hosts and under new
+// request IDs, and crashes the next owner of its key. If hosts don't recognize it by the
+// fingerprint that its broken sends have in common, it can crash seven servers in a row, four
+// of them after the first three, and a range of keys is unserved for seconds each time.
 func TestCrashingRequestIsSentToFewServers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
@@ -75,7 +73,7 @@
 	}
 }
 
-// waitPathServed waits until every host answers a request for the path with 200.
+// waitPathServed waits until every host responds to a request for the path with 200.
 func (f *testFleet) waitPathServed(route, path string, within time.Duration) {
 	f.t.Helper()
 	start := time.Now()
@@ -114,11 +112,10 @@
 	return f.crashes[n-1]
 }
 
-// All servers of a service lose power at the same moment, each while it runs a page
-// that most callers request, and are back a second later. If these crashes count
-// against the page's fingerprint, hosts refuse the page for a day, and send nothing
-// that could show that it is harmless. After this and other correlated failures,
-// every host must serve the page again within maxRecoveryTime.
+// All servers of a service lose power at the same moment, each while it runs a page that most
+// callers request, and are back a second later. If these crashes count against the page's
+// fingerprint, hosts refuse the page for a day, and send nothing that could show it harmless.
+// After this and other correlated failures, every host must serve it within maxRecoveryTime.
 func TestPopularPageIsServedAfterCorrelatedFailures(t *testing.T) {
 	crashAll := func(f *testFleet, ups []*rangeowner.Upstream) {
 		for _, u := range ups {
--- a/internal/entryhost/crashlog.go
+++ b/internal/entryhost/crashlog.go
@@ -27,15 +27,15 @@
 )
 
 // crashLog shares with the other hosts which requests crash their servers. A
-// host sees only some of the crashes itself, because callers retry on any host,
-// and none before its start. Crashes are therefore kept in the log, which all
-// hosts get from the planner's replica.
+// host detects only some of the crashes itself, because callers retry on any
+// host, and none before its start. Crashes are therefore kept in the log, which
+// all hosts get from the planner's replica.
 type crashLog struct {
 	zl      *zap.Logger
 	store   metastore.Store
 	tracker *crashes.Tracker
 	// isPlanner reports whether this host is the planner, which deletes expired
-	// records and lets refused fingerprints be tried again.
+	// records and allows trial requests with refused fingerprints.
 	isPlanner func() bool
 }
 
@@ -64,7 +64,7 @@
 }
 
 // write writes all pending changes, and retries until it succeeds or ctx ends.
-// A write without an answer may take effect, even later. Writing a crash twice
+// A write without a response may take effect, even later. Writing a crash twice
 // does no harm, because it has the same key.
 func (l *crashLog) write(ctx context.Context) {
 	backoff := minCrashWriteRetryDelay
--- a/internal/entryhost/elector.go
+++ b/internal/entryhost/elector.go
@@ -37,12 +37,12 @@
 // this host holds it. It must not be called concurrently.
 func (e *plannerElector) tryAcquireOrRenew(ctx context.Context, ttl time.Duration) (held bool, err error) {
 	for i, name := range e.activeMemberNames() {
-		lease, err := e.store.JoinElection(ctx, name, ttl, e.generations[i])
+		result, err := e.store.JoinElection(ctx, name, ttl, e.generations[i])
 		if err != nil {
 			return false, err
 		}
-		e.generations[i] = lease.Generation
-		if lease.Held {
+		e.generations[i] = result.Generation
+		if result.Held {
 			return true, nil
 		}
 	}
--- a/internal/entryhost/elector_test.go
+++ b/internal/entryhost/elector_test.go
@@ -28,7 +28,7 @@
 }
 
 // A host holds the planner lease as its second member, and a renewal fails. This
-// must be reported as an error: taken for the loss of the lease, it would end the
+// must be reported as an error: if it counted as the loss of the lease, it would end the
 // term of a planner that still holds it.
 func TestFailedRenewalOfSecondMemberIsAnError(t *testing.T) {
 	store := &electionStore{holder: "h/2"}
--- a/internal/entryhost/evacuate.go
+++ b/internal/entryhost/evacuate.go
@@ -17,7 +17,7 @@
 	evacuationMargin = 2500 * time.Millisecond
 	// assumedColdFor is how long after the end of an evacuation the data
 	// centre's upstreams are treated as cold. They may have restarted
-	// meanwhile, and their entries say so only at their next heartbeat. Cold
+	// meanwhile, which their entries show only after their next heartbeat. Cold
 	// upstreams that get their usual load at once can crash.
 	assumedColdFor = 2 * time.Second
 	// maxEntryDelay is the longest time from the end of an evacuation until an
@@ -83,7 +83,7 @@
 	return changed
 }
 
-// annotate returns u with the effects of evacuations on LeaveBy and SlowUntil.
+// annotate returns u with the effects of evacuations on HandoverBy and SlowUntil.
 // slowStart is the duration of its slow start: until its entry has been read
 // after an evacuation, it may be cold for all of that time.
 func (e *evacuations) annotate(u *catalogue.Upstream, slowStart time.Duration) *catalogue.Upstream {
--- a/internal/entryhost/evacuate_test.go
+++ b/internal/entryhost/evacuate_test.go
@@ -34,8 +34,8 @@
 }
 
 // sendTraffic sends requests with keys from the whole key space, and requests
-// without keys, to all hosts in turn for d. It returns how many were not answered
-// with 200.
+// without keys, to all hosts in turn for d. It returns how many did not get a
+// 200.
 func (f *testFleet) sendTraffic(d time.Duration) (unserved int) {
 	for n, end := 0, time.Now().Add(d); time.Now().Before(end); n++ {
 		h := f.hosts[n%len(f.hosts)]
@@ -48,11 +48,10 @@
 	return unserved
 }
 
-// An operator evacuates a data centre to work on it. Without the evacuation, hosts
-// would send requests to its upstreams until these are switched off. Later than
-// testEvacuationTimeout no request may reach them, not even through a host that
-// started meanwhile, and other upstreams must serve the keys. Once the evacuation has
-// ended, the data centre must be used again.
+// An operator evacuates a data centre to work on it. Without the evacuation, hosts would send
+// requests to its upstreams until these are switched off. Later than testEvacuationTimeout no
+// request may reach them, not even through a host that started meanwhile, and other upstreams
+// must serve the keys. Once the evacuation has ended, the data centre must be used again.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		f := newFleet(t, 3, 4)
--- a/internal/entryhost/feedback.go
+++ b/internal/entryhost/feedback.go
@@ -67,21 +67,21 @@
 
 // requestPermits gets permits to send up to want requests to an upstream with a
 // rate limit of perSecond, from this host if it is the planner and otherwise
-// from the planner. It satisfies ratelimit.Ask.
+// from the planner. It is a ratelimit.PermitFunc.
 func (h *host) requestPermits(ctx context.Context, upstream string, perSecond float64, want int) (ratelimit.PermitReply, error) {
-	if permit, ok := h.issuePermits(upstream, perSecond, want); ok {
-		return permit, nil
+	if reply, ok := h.issuePermits(upstream, perSecond, want); ok {
+		return reply, nil
 	}
 	permitRequests.Inc()
 	addr := h.plannerAddr()
 	if addr == "" {
 		return ratelimit.PermitReply{}, errNoPlanner
 	}
-	permit, err := h.peers.AcquirePermits(ctx, addr, upstream, perSecond, want)
+	reply, err := h.peers.AcquirePermits(ctx, addr, upstream, perSecond, want)
 	if err != nil {
 		failedPermitRequests.Inc()
 	}
-	return permit, err
+	return reply, err
 }
 
 // issuePermits issues permits for an upstream with a rate limit. It returns
@@ -118,12 +118,10 @@
 	return limit * math.Exp2(float64(age/limitDoublingInterval))
 }
 
-// applyReportedLimits lowers the capacities in load to the rate limits that
-// owners report, and to backoffCapacity for owners that ask for backoff, so
-// that keys move to owners with spare capacity. In load.Refill it marks the
-// owners that have, or recently had, a rate limit or a backoff: they may have
-// lost keys because of it, and rebalancing moves keys back to them while they
-// have little load.
+// applyReportedLimits lowers the capacities in load to the rate limits that owners report, and
+// to backoffCapacity for owners that ask for backoff, so that keys move to owners with spare
+// capacity. In load.Refill it marks the owners that have, or recently had, either: they may have
+// lost keys because of it, and rebalancing moves keys back to them while they have little load.
 func applyReportedLimits(load *ownership.Load, owners []*catalogue.Upstream, reports *feedback.Tracker, now time.Time) {
 	capacities := map[string]float64{}
 	load.Refill = map[string]bool{}
--- a/internal/entryhost/feedback_test.go
+++ b/internal/entryhost/feedback_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// An upstream asks for backoff. Hosts must hold back its requests meanwhile, although
+// An upstream asks for backoff. Hosts must send it no requests meanwhile, although
 // they can't send those for its keys elsewhere: keys have only one owner.
 func TestUpstreamBackoffIsObeyed(t *testing.T) {
 	const backoff = 3 * time.Second
--- a/internal/entryhost/fleet_test.go
+++ b/internal/entryhost/fleet_test.go
@@ -69,7 +69,7 @@
 }
 
 // The planner's host is shut down gracefully. It must report unready at once and
-// answer the requests in flight. Another host must take over as the planner
+// respond to the requests in flight. Another host must take over as the planner
 // without any key being unserved.
 func TestGracefulShutdownOfPlanner(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
--- a/internal/entryhost/harness_test.go
+++ b/internal/entryhost/harness_test.go
@@ -107,10 +107,10 @@
 	return &u, json.Unmarshal(data, &u)
 }
 
-// directGranter calls the stand-in upstreams directly, without the network.
+// directGranter calls the upstreams of the test directly, without the network.
 type directGranter struct{ f *testFleet }
 
-// upstreamAt returns the live upstream at addr (host:port), or nil.
+// upstreamAt returns the running upstream at addr (host:port), or nil.
 func (g directGranter) upstreamAt(addr string) *rangeowner.Upstream {
 	g.f.mu.Lock()
 	defer g.f.mu.Unlock()
@@ -303,16 +303,16 @@
 	u.Kill()
 }
 
-// nonCandidateCPU is the CPU share (in cores) of a host that is no candidate.
+// nonCandidateCPU is the number of CPU cores of a host that is no candidate.
 const nonCandidateCPU = candidateMinCPU / 2
 
 // startHost starts a host that is a candidate.
 func (f *testFleet) startHost(name string) *testHost { return f.startHostWithCPU(name, 1) }
 
-// startHostWithCPU starts a host with the given CPU share (in cores).
-func (f *testFleet) startHostWithCPU(name string, cpu float64) *testHost {
+// startHostWithCPU starts a host with the given number of CPU cores.
+func (f *testFleet) startHostWithCPU(name string, cores float64) *testHost {
 	cfg := &settings.EntryHost{Host: name, DataCentre: "dc", Listen: name + ".front:80", ReadyListen: name + ".ready:80", PeerListen: name + ".peer:80",
-		MetricsListen: name + ".metrics:80", LogLevel: "info", MemoryMB: 284, CPUCores: cpu, LinkMbps: 1000, MinLeaseTTL: 300 * time.Millisecond, MaxGrantTTL: 10 * time.Second,
+		MetricsListen: name + ".metrics:80", LogLevel: "info", MemoryMB: 284, CPUCores: cores, LinkMbps: 1000, MinLeaseTTL: 300 * time.Millisecond, MaxGrantTTL: 10 * time.Second,
 		ShutdownGrace: 6 * time.Second, RetryBudgetRatio: 0.5, RetryBudgetSlack: 500, RetryBudgetWindow: 10 * time.Second,
 		SlowStartFactor: slowStartFactor, SlowStartSlack: slowStartSlack, EvacuationTimeout: testEvacuationTimeout, DrainTimeout: rangeowner.DrainGrace, GrantTTL: f.grantTTL, MaxRenewalAge: 2 * time.Second}
 	ctx, stop := context.WithCancel(context.Background())
@@ -333,7 +333,7 @@
 	}
 }
 
-// ready reports whether the host answers its readiness probe with 200.
+// ready reports whether the host responds to its readiness probe with 200.
 func (h *testHost) ready() bool {
 	resp, err := h.http.Get("http://" + h.cfg.ReadyListen + "/ready")
 	if err != nil {
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -45,7 +45,7 @@
 	ReadyPath string
 	// DroppedLogLines returns how many log lines have been dropped since the start.
 	DroppedLogLines func() int64
-	// Net opens the host's sockets and Clock measures its lease and grants. If
+	// Net opens the host's sockets and Clock times its planner lease and grants. If
 	// nil, the kernel's are used. Fleet tests supply their own, so that order and
 	// outcome don't depend on the machine's load.
 	Net   Network
@@ -135,7 +135,7 @@
 
 // Run serves until ctx ends or a component fails. The end of ctx starts a graceful
 // shutdown: the host reports unready, serves until the platform routes no more
-// callers to it, and returns once the requests in flight are answered. Each
+// callers to it, and returns once the requests in flight have their responses. Each
 // value from reload replaces the settings that can change at run time.
 func Run(ctx context.Context, cfg *settings.EntryHost, plat Platform, reload <-chan *settings.EntryHost, zl *zap.Logger) error {
 	debug.SetGCPercent(gcPercent)
@@ -265,7 +265,7 @@
 	h.dispatch.ServeHTTP(w, r)
 }
 
-// serveReady answers the platform's readiness probe. The host is unready until
+// serveReady responds to the platform's readiness probe. The host is unready until
 // it knows the desired state, and while it is stopping.
 func (h *host) serveReady(w http.ResponseWriter, _ *http.Request) {
 	v := h.views.Load()
@@ -289,7 +289,7 @@
 	h.zl.Info("stopping", zap.Int("event", events.EntryHostStopping), zap.Int64("in_flight", h.inFlight.Load()))
 	deadline := began.Add(h.cfg.ShutdownGrace - shutdownMargin)
 	h.dispatch.StopBy(deadline.Add(-responseWriteMargin))
-	h.controller.resign(workCtx)
+	h.controller.beginShutdown(workCtx)
 	time.Sleep(readinessPropagationDelay)
 	// Shutdown, unlike Close, lets responses that are being written finish.
 	shutdownCtx, cancel := context.WithDeadline(workCtx, deadline)
--- a/internal/entryhost/loadsampler.go
+++ b/internal/entryhost/loadsampler.go
@@ -18,8 +18,8 @@
 const maxSummarySamples = 512
 
 // loadSampler collects samples of callers' requests to keyed services for the
-// next load summary, the peer.ServiceLoads that a host sends to the planner or
-// its relay. It is safe for concurrent use.
+// next load summary: the peer.ServiceLoad values that a host sends to the planner
+// or its relay. It is safe for concurrent use.
 type loadSampler struct {
 	mu        sync.Mutex
 	byService map[string]*serviceReservoir
--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -22,12 +22,12 @@
 	// call also carries a load summary, and the planner must react within a
 	// second to a burst on a few keys.
 	followWait = 300 * time.Millisecond
-	// followTimeout bounds such a call. A planner that does not answer in time
+	// followTimeout bounds such a call. A planner that does not reply in time
 	// counts as lost, and the host reads the log service directly.
 	followTimeout = followWait + 400*time.Millisecond
 	// relayFollowTimeout bounds a call to a relay. It is shorter than
 	// followTimeout because the relay is in this host's data centre and
-	// normally answers within a millisecond.
+	// normally replies within a millisecond.
 	relayFollowTimeout = followWait + 250*time.Millisecond
 	// relayFollowWait replaces followWait on a relay, whose followers receive
 	// records later by its own wait.
@@ -44,7 +44,7 @@
 	directReadAge = 1500 * time.Millisecond
 	// defaultDiscoveryTimeout is how long a host that is no candidate and has
 	// read nothing yet looks for a planner before it reads all streams directly.
-	// An existing planner answers within 0.1 s, and without one callers wait. A
+	// An existing planner replies within 0.1 s, and without one callers wait. A
 	// candidate reads at once, because it may have to be the planner.
 	defaultDiscoveryTimeout = 300 * time.Millisecond
 	// firstStartDiscoveryTimeout replaces defaultDiscoveryTimeout at the fleet's
@@ -53,14 +53,12 @@
 	// stream's first direct read; see crashReadStartDelay.
 	firstStartDiscoveryTimeout = 3 * time.Second
 	// plannerRetryInterval is the pause between calls while no planner is
-	// known, this host is the planner, or the planner does not answer.
+	// known, this host is the planner, or the planner does not reply.
 	plannerRetryInterval = 150 * time.Millisecond
-	// While the followed host's replica is too old, the log service usually
-	// fails all hosts. A host that is no candidate then only probes it with
-	// single reads. It sends the first one at once, because the service may
-	// still answer this host. Afterwards all such hosts together send
-	// fleetProbesPerSecond, or each one per maxProbeInterval on average if that
-	// is more.
+	// While the followed host's replica is too old, the log service usually fails all hosts. A
+	// host that is no candidate then only probes it with single reads: the first at once, because
+	// the service may still respond to this host, and afterwards fleetProbesPerSecond of all such
+	// hosts together, or each one per maxProbeInterval on average if that is more.
 	fleetProbesPerSecond = 10
 	maxProbeInterval     = 2500 * time.Millisecond
 )
@@ -100,8 +98,8 @@
 	// which the planner has reached the log service without failure.
 	onPlannerFollowed func(logReachableFor time.Duration)
 	// onFollowFailed is called after a failed call, also one to a relay or to a
-	// host that answered without a replica. onStaleReplica is called on a host
-	// that is no candidate while the followed host answers with too old a replica
+	// host that replied without a replica. onStaleReplica is called on a host
+	// that is no candidate while the followed host replies with too old a replica
 	// or none.
 	onFollowFailed, onStaleReplica func()
 	zl                             *zap.Logger
@@ -113,7 +111,7 @@
 	// failed.
 	startedAt        time.Time
 	lastFollowFailed bool
-	// followedReplicaStale is set while the followed host answers that its
+	// followedReplicaStale is set while the followed host replies that its
 	// replica is too old, or that it has none.
 	followedReplicaStale bool
 	// probes schedules this host's probes of the log service while
@@ -136,11 +134,11 @@
 	// relayAddr is the relay that the planner at relayPlannerAddr has named for
 	// this host; empty if there is none.
 	relayAddr, relayPlannerAddr string
-	// lastPlannerStatus is from the planner's last answer; see replicaStatus.
+	// lastPlannerStatus is from the planner's last reply; see replicaStatus.
 	lastPlannerStatus atomic.Pointer[plannerStatus]
 }
 
-// plannerStatus is the planner's replica status at the time of an answer.
+// plannerStatus is the planner's replica status at the time of a reply.
 type plannerStatus struct {
 	receivedAt                  time.Time
 	replicaAge, logReachableFor time.Duration
@@ -179,7 +177,7 @@
 		s.startDirectReads(ctx) // reads the other streams too once they are too old
 		return
 	}
-	s.onStaleReplica() // the host that answered is alive, so this host does not seek the lease
+	s.onStaleReplica() // the host that replied is alive, so this host does not seek the lease
 	switch s.probes.next(time.Now(), s.fleet.Size(time.Now())) {
 	case probeNow:
 		go func() { s.probes.finish(s.otherReaders[probeReaderIndex].readOnce(ctx)) }()
@@ -188,7 +186,7 @@
 	}
 }
 
-// follow makes one call to the planner or its relay. If the relay's answer
+// follow makes one call to the planner or its relay. If the relay's reply
 // can't be used, it calls the planner too. It reports whether this host's
 // replica is now recent enough.
 func (s *logSyncer) follow(ctx context.Context) bool {
@@ -209,8 +207,8 @@
 	return s.followHost(ctx, planner, maxReplicaAge, followTimeout, loads)
 }
 
-// followHost makes one call to the host at addr and applies the answer. It
-// reports whether the call succeeded within timeout and the answer's replica
+// followHost makes one call to the host at addr and applies the reply. It
+// reports whether the call succeeded within timeout and the reply's replica
 // age is at most maxAge.
 func (s *logSyncer) followHost(ctx context.Context, addr string, maxAge, timeout time.Duration, loads []peer.ServiceLoad) bool {
 	req := peer.FollowRequest{Self: s.self(), Positions: map[metastore.Stream]int64{}, Loads: loads, Notices: s.feedback.Notices(time.Now()), Wait: followWait}
@@ -258,11 +256,10 @@
 	return true
 }
 
-// replicaStatus returns the status of this host's replica if other hosts may
-// follow it: if this host follows the planner itself or reads the log service.
-// A relay that has lost its planner thus spares its followers reading the log
-// service. The planner's LogReachableFor is passed on as received, because it
-// says nothing about the time since.
+// replicaStatus returns the status of this host's replica if other hosts may follow it: if this
+// host follows the planner itself or reads the log service. A relay that has lost its planner
+// thus spares its followers reading the log service. The planner's LogReachableFor is passed on
+// as received, because it does not cover the time since.
 func (s *logSyncer) replicaStatus(now time.Time) (peer.ReplicaStatus, bool) {
 	if status := s.lastPlannerStatus.Load(); status != nil {
 		if age := status.replicaAge + now.Sub(status.receivedAt); age <= maxRelayedReplicaAge {
@@ -301,11 +298,11 @@
 // planner's, so that the replica would look too old to the other hosts, which
 // would all read the log service.
 func (s *logSyncer) restartReadersOnPromotion() {
-	planning := s.isPlanner()
-	if planning && !s.wasPlanner {
+	planner := s.isPlanner()
+	if planner && !s.wasPlanner {
 		s.stopDirectReads()
 	}
-	s.wasPlanner = planning
+	s.wasPlanner = planner
 }
 
 // startDirectReads starts the reader of the ownership stream, which names the
--- a/internal/entryhost/logsyncer_test.go
+++ b/internal/entryhost/logsyncer_test.go
@@ -9,7 +9,7 @@
 // be avoided, in the strictest of the users' deployments.
 const maxLag = 2 * time.Second
 
-// The planner or relay that a host follows stops answering just when its replica
+// The planner or relay that a host follows stops replying just when its replica
 // has the greatest usable age. The host must still read what the log contains
 // within maxLag.
 func TestReplicaTimeoutsStayWithinMaxLag(t *testing.T) {
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -38,7 +38,7 @@
 }
 
 // The log service is down for 8 s. If every host retried each stream several times a
-// second, thousands of hosts would make more calls than the service can answer and
+// second, thousands of hosts would make more calls than the service can handle and
 // delay its recovery. Only a few hosts may call it, and the desired state published
 // on its return must be in force on every host in time.
 func TestFewHostsCallFailingLogService(t *testing.T) {
@@ -66,9 +66,9 @@
 	})
 }
 
-// The planner is killed. If every host found the new one by reading all streams of
-// the log itself, each change of planner would cost five calls per host. Hosts that
-// follow a live relay must need none.
+// The planner's host is isolated. If every host found the new planner by reading all
+// streams of the log itself, each change of planner would cost five calls per host.
+// Hosts that follow a running relay must need none.
 func TestPlannerChangeCostsFewCalls(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		const hosts = 30
@@ -116,7 +116,7 @@
 	return 0
 }
 
-// unresponsiveStore does not answer reads that begin while partitioned is set.
+// unresponsiveStore does not respond to reads that begin while partitioned is set.
 type unresponsiveStore struct {
 	*memstore.Log
 	partitioned atomic.Bool
@@ -135,11 +135,10 @@
 // readTimeoutSlack is how much longer than its wait a read may take.
 const readTimeoutSlack = 1500 * time.Millisecond
 
-// A network partition separates a host from the log service: its calls hang. An
-// upstream leaves meanwhile. If a read begun during the partition delays the next one
-// by 1.5 s, the host sends the upstream requests for more than 3 s after the
-// partition's end, because upstreams with missing entries stay in use for 2 s. Both
-// must be over within those 3 s.
+// A network partition separates a host from the log service: its calls hang. An upstream leaves
+// meanwhile. It must be marked as leaving within 3 s of the partition's end. If a read begun
+// during the partition delays the next one by 1.5 s, the host sends it requests for longer,
+// because upstreams with missing entries stay in use for 2 s.
 func TestLeavingUpstreamIsKnownInTimeAfterACut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 20 {
--- a/internal/entryhost/plannerevents.go
+++ b/internal/entryhost/plannerevents.go
@@ -19,7 +19,7 @@
 	planner.TermEnded:      {events.PlannerTermEnded, "planner term ended"},
 	planner.TableRecorded:  {events.OwnershipRecorded, "ownership recorded"},
 	planner.RecordConflict: {events.OwnershipConflict, "ownership append conflicted with another record"},
-	planner.UpstreamLost:   {events.OwnerLost, "upstream lost: it answers no grants; its keys move once its grants have expired"},
+	planner.UpstreamLost:   {events.OwnerLost, "upstream lost: it does not respond to grants; its keys move once its grants have expired"},
 	planner.GrantRejected:  {events.GrantRejected, "grant rejected"},
 	planner.ReleaseFailed:  {events.ReleaseFailed, "release failed"},
 }
--- a/internal/entryhost/readprobes.go
+++ b/internal/entryhost/readprobes.go
@@ -21,7 +21,7 @@
 )
 
 // readProbes schedules a host's probes while the followed host's replica is
-// stale: single reads that test whether the log service answers this host. It is
+// stale: single reads that test whether the log service responds to this host. It is
 // safe for concurrent use.
 type readProbes struct {
 	mu sync.Mutex
--- a/internal/entryhost/records.go
+++ b/internal/entryhost/records.go
@@ -185,11 +185,11 @@
 // rejectionLogInterval.
 func (c *controller) logRejectedRecord(server string, err error, now time.Time) {
 	if now.Sub(c.rejectionLoggedAt) < rejectionLogInterval {
-		c.rejectionsUnlogged++
+		c.rejectionsSuppressed++
 		return
 	}
-	c.zl.Error("upstream record rejected", zap.Int("event", events.UpstreamRecordRejected), zap.String("peer", server), zap.Int("untold", c.rejectionsUnlogged), ErrorField(err))
-	c.rejectionLoggedAt, c.rejectionsUnlogged = now, 0
+	c.zl.Error("upstream record rejected", zap.Int("event", events.UpstreamRecordRejected), zap.String("peer", server), zap.Int("untold", c.rejectionsSuppressed), ErrorField(err))
+	c.rejectionLoggedAt, c.rejectionsSuppressed = now, 0
 }
 
 // missingGraceUntil returns the time until which an upstream whose entry is
--- a/internal/entryhost/registry_test.go
+++ b/internal/entryhost/registry_test.go
@@ -108,13 +108,13 @@
 	}
 	c.onPlannerFollowed(time.Minute)
 	if u := views.Load().Upstreams.ByID["left"]; !u.Leaving {
-		t.Fatal("the upstream is not marked as leaving though the planner saw no outage")
+		t.Fatal("the upstream is not marked as leaving though the planner reports no outage")
 	}
 }
 
-// After a network partition a host can read one stream again, and the list of
-// upstreams half a second later. The grace period for expired entries must start with the first
-// stream, because it proves that the log service is back.
+// After a network partition a host can read one stream again, and the list of upstreams half a
+// second later. The grace period for expired entries must start with the first stream, because
+// it proves that the log service is back.
 func TestRelistGracePeriodStartsAtFirstRecoveredStream(t *testing.T) {
 	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
 	for _, s := range []metastore.Stream{metastore.StreamOperators, metastore.StreamUpstreams} {
@@ -150,7 +150,7 @@
 }
 
 // A host stalls for five seconds, during which the log service was down and entries
-// expired. It saw no outage, but must give missing upstreams the same grace period
+// expired. It detected no outage, but must give missing upstreams the same grace period
 // as after one: their entries are written again within two seconds.
 func TestStalledHostKeepsMissingUpstreams(t *testing.T) {
 	c := newController(zap.NewNop(), memstore.New(), decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
@@ -161,7 +161,7 @@
 	clock = clock.Add(followerTickInterval)
 	c.detectStall()
 	if now := time.Now(); c.missingGraceUntil(now).After(now) {
-		t.Fatal("missing upstreams get a grace period though the host neither stalled nor saw an outage")
+		t.Fatal("missing upstreams get a grace period though the host neither stalled nor detected an outage")
 	}
 	clock = clock.Add(5 * time.Second)
 	c.detectStall()
--- a/internal/entryhost/slowstart_test.go
+++ b/internal/entryhost/slowstart_test.go
@@ -42,11 +42,10 @@
 	wg.Wait()
 }
 
-// Upstreams restart one after the other, cold and idle, so that every host prefers
-// them. Without a limit on all of them together, a cold upstream gets several times the
-// rate that it can serve, and crashes with the requests that it runs. All hosts together must stay
-// within its capacity, with and without keys, and also if all upstreams of the
-// service are cold.
+// Upstreams restart one after the other, cold and idle, so that every host prefers them.
+// Without a limit on all hosts together, a cold upstream gets several times the rate that it
+// can serve, and crashes with the requests that it runs. All hosts together must stay within
+// its capacity, with and without keys, and also if all upstreams of the service are cold.
 func TestColdUpstreamStaysWithinCapacity(t *testing.T) {
 	const coldFor = 3 * time.Second
 	for _, c := range []struct{ service, route string }{{"sheets", "read.example"}, {"plain", unkeyedRoute}} {
@@ -116,7 +115,7 @@
 
 // A server crashes during an outage of the log service and restarts under its ID. It
 // is cold, but its entry can't be read. Hosts must not send it as much as its earlier
-// incarnation got, not even those that did not notice the crash.
+// incarnation got, not even those that did not detect the crash.
 func TestRestartedServerIsColdDuringLogOutage(t *testing.T) {
 	for _, c := range []struct {
 		service, route string
--- a/internal/entryhost/streamreader.go
+++ b/internal/entryhost/streamreader.go
@@ -12,11 +12,10 @@
 )
 
 const (
-	// plannerLongPoll is the longest time that a read by the planner or a
-	// candidate waits for a record; see longPollWait. Each read that returns
-	// proves the replica current, and all hosts follow the planner's, so the wait
-	// is short. While no records arrive, the planner's reads of the two streams
-	// that it must read cost the log service 2.9 calls a second.
+	// plannerLongPoll is the longest time that a read by the planner or a candidate waits for a
+	// record; see longPollWait. Each read that returns proves the replica current, and all hosts
+	// follow the planner's, so the wait is short. While no records arrive, the planner's reads of
+	// the two streams that it must read cost the log service 2.9 calls a second.
 	plannerLongPoll = 700 * time.Millisecond
 	// skipCheckInterval is how often a skipped stream is checked. Only the
 	// planner skips a stream: ownership, while no other host writes it.
@@ -37,14 +36,12 @@
 	maxProbeWait = 2 * time.Second
 	// immediateReadTimeout bounds a read that does not wait for a record.
 	// Without it, a read sent during a network partition would delay the next one
-	// until 1.5 s after the partition's end. A slow service answers within 0.3 s.
+	// until 1.5 s after the partition's end. A slow service responds within 0.3 s.
 	immediateReadTimeout = 600 * time.Millisecond
-	// plannerUpstreamBatchDelay and defaultUpstreamBatchDelay are the delays after
-	// a read of the upstreams stream that returned records, on the planner and on
-	// the other hosts that read the log service. A delay lets a burst of records
-	// cost one read. The other hosts' is longer, because at a fleet's start every
-	// host reads while every upstream writes: with the planner's delay on each,
-	// 91 hosts make some 1,800 calls in 2 s.
+	// plannerUpstreamBatchDelay and defaultUpstreamBatchDelay are the delays after a read of the
+	// upstreams stream that returned records, on the planner and on the other hosts, so that a
+	// burst of records costs one read. The others' is longer: at a fleet's start every host reads
+	// while every upstream writes, and with the planner's 91 hosts make some 1,800 calls in 2 s.
 	plannerUpstreamBatchDelay = 150 * time.Millisecond
 	defaultUpstreamBatchDelay = 600 * time.Millisecond
 	// plannerCrashBatchDelay and defaultCrashBatchDelay are the same for the crash
@@ -85,7 +82,7 @@
 // log service. While it does not, the others wait.
 type logHealth struct {
 	mu sync.Mutex
-	// recovered is closed when the service answers again; nil while it is
+	// recovered is closed when the service responds again; nil while it is
 	// reachable.
 	recovered chan struct{}
 }
--- a/internal/peek/peek_test.go
+++ b/internal/peek/peek_test.go
@@ -8,7 +8,7 @@
 
 // The state must be right while another goroutine waits to read, as net/http does to
 // detect that a client closes its connection: a call that waited for that read would
-// never see the close in time.
+// never detect the close in time.
 func TestConnState(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/peer/feedback.go
+++ b/internal/peer/feedback.go
@@ -27,13 +27,13 @@
 // Admit implements peerpb.Peer. It issues permits for requests to an upstream with a
 // rate limit.
 func (s *Server) Admit(_ context.Context, m *peerpb.AdmitRequest) (*peerpb.AdmitReply, error) {
-	permit, ok := s.IssuePermits(m.Upstream, m.PerSecond, int(m.Want))
+	reply, ok := s.IssuePermits(m.Upstream, m.PerSecond, int(m.Want))
 	if !ok {
 		return nil, twirp.NewError(twirp.Unavailable, "this host does not plan")
 	}
 	// WaitMs is rounded up: a host that retried just before the next permit is due
 	// would have to retry again.
-	return &peerpb.AdmitReply{Requests: uint32(permit.Permits), WaitMs: uint32((permit.Wait + time.Millisecond - 1).Milliseconds())}, nil
+	return &peerpb.AdmitReply{Requests: uint32(reply.Permits), WaitMs: uint32((reply.Wait + time.Millisecond - 1).Milliseconds())}, nil
 }
 
 func encodeNotices(ns []feedback.Notice) []*peerpb.UpstreamNotice {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -4,6 +4,7 @@
 // Some names differ from the terms of this package:
 //
 //	Admit                          acquire permits (a host), issue permits (the planner)
+//	Batch.Changes, Change          relay.Batch.Deltas, relay.Delta
 //	Retire                         retire the terms before the given one
 //	Eager                          fleet.Host.Candidate
 //	Planning                       the host is the planner
@@ -95,7 +96,7 @@
 	Notices []feedback.Notice
 }
 
-// ErrNoReplica means that the callee's log replica is not current: it is not the
+// ErrReplicaNotCurrent means that the callee's log replica is not current: it is not the
 // planner, has not followed it recently and has not read the log service recently.
 var ErrReplicaNotCurrent = errors.New("log replica is not current")
 
@@ -220,8 +221,8 @@
 	for _, r := range b.Records {
 		out.Records = append(out.Records, &peerpb.Record{Key: r.Key, Value: r.Value, Deleted: r.Value == nil, Offset: r.Offset})
 	}
-	for _, c := range b.Deltas {
-		out.Changes = append(out.Changes, &peerpb.Change{Key: c.Key, Offset: c.Offset, Value: c.Data})
+	for _, d := range b.Deltas {
+		out.Changes = append(out.Changes, &peerpb.Change{Key: d.Key, Offset: d.Offset, Value: d.Data})
 	}
 	return out
 }
@@ -241,7 +242,7 @@
 	return out
 }
 
-// ReplicaStatus says how current a host's log replica is.
+// ReplicaStatus states how current a host's log replica is.
 type ReplicaStatus struct {
 	// IsPlanner is set if the host is the planner, whose replica the others follow.
 	IsPlanner bool
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -22,13 +22,13 @@
 	limit    float64
 	limiters []*Limiter
 	planner  *Allocator
-	// cutOff reports whether a host can't reach the planner.
-	cutOff func(host int) bool
-	sent   []time.Time
+	// partitioned reports whether a host can't reach the planner.
+	partitioned func(host int) bool
+	sent        []time.Time
 }
 
 func newFleetSim(hosts int, limit float64, seed uint64) *fleetSim {
-	s := &fleetSim{rng: rand.New(rand.NewPCG(seed, 0)), limit: limit, planner: NewAllocator(), cutOff: func(int) bool { return false }}
+	s := &fleetSim{rng: rand.New(rand.NewPCG(seed, 0)), limit: limit, planner: NewAllocator(), partitioned: func(int) bool { return false }}
 	for i := range hosts {
 		s.limiters = append(s.limiters, s.newLimiter(i))
 	}
@@ -37,7 +37,7 @@
 
 func (s *fleetSim) newLimiter(host int) *Limiter {
 	l := NewLimiter(reportedBounds, func(_ context.Context, upstream string, perSecond float64, want int) (PermitReply, error) {
-		if s.cutOff(host) {
+		if s.partitioned(host) {
 			return PermitReply{}, errUnreachable
 		}
 		return s.planner.Take(upstream, perSecond, want, time.Now()), nil
@@ -109,16 +109,16 @@
 	forEachFleet(t, func(t *testing.T, s *fleetSim) {
 		demand := 7 * s.limit
 		s.run(t, demand, 10*time.Second)
-		s.cutOff = func(host int) bool { return host%2 == 0 }
+		s.partitioned = func(host int) bool { return host%2 == 0 }
 		s.run(t, demand, 20*time.Second)
-		s.cutOff = func(int) bool { return true }
+		s.partitioned = func(int) bool { return true }
 		s.run(t, demand, 20*time.Second)
-		s.cutOff = func(int) bool { return false }
+		s.partitioned = func(int) bool { return false }
 		for range 3 {
 			s.planner = NewAllocator()
 			s.run(t, demand, 10*time.Second)
 		}
-		s.cutOff = func(int) bool { return true }
+		s.partitioned = func(int) bool { return true }
 		for i := range len(s.limiters) / 2 {
 			s.limiters[i] = s.newLimiter(i)
 		}
--- a/internal/ratelimit/interval_test.go
+++ b/internal/ratelimit/interval_test.go
@@ -54,7 +54,7 @@
 }
 
 // A host whose share is zero must send nothing while a limit holds. Without a limit,
-// or with an unbounded share, no request may be held back.
+// or with an unbounded share, no request may be denied.
 func TestIntervalLimiter(t *testing.T) {
 	now := time.Now()
 	coldUntil := now.Add(time.Second)
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -18,9 +18,9 @@
 	// permitBatchSpan sets the size of a request for permits: as many as the host's
 	// equal share of the limit allows in this time, but at least one.
 	permitBatchSpan = 200 * time.Millisecond
-	// fallbackShare is the part of its equal share of the limit that a host uses when
-	// it can't reach the allocator; the others may still get permits.
-	fallbackShare = 0.5
+	// fallbackFraction is the fraction of its equal share of the limit that a host uses
+	// when it can't reach the allocator; the others may still get permits.
+	fallbackFraction = 0.5
 	// minDenyTime and maxDenyTime bound the time for which requests are denied before
 	// the allocator is called again.
 	minDenyTime = time.Millisecond
@@ -103,7 +103,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, permitCallTimeout)
 	defer cancel()
-	p, err := l.requestPermits(callCtx, id, perSecond, want)
+	reply, err := l.requestPermits(callCtx, id, perSecond, want)
 	if ctx.Err() != nil {
 		return false, 0
 	}
@@ -114,7 +114,7 @@
 		l.fallbackUntil = now.Add(permitRetryInterval)
 		return l.takeFallback(l.state(id), perSecond, now)
 	}
-	return l.state(id).applyReply(p, now)
+	return l.state(id).applyReply(reply, now)
 }
 
 // takeLocal decides without a call where it can: by permits that the host holds, by
@@ -139,11 +139,11 @@
 
 // applyReply applies the allocator's reply. The current request uses the first
 // permit.
-func (u *upstreamState) applyReply(p PermitReply, now time.Time) (ok bool, wait time.Duration) {
-	if p.Permits == 0 {
-		return false, u.deny(p.Wait, now)
+func (u *upstreamState) applyReply(reply PermitReply, now time.Time) (ok bool, wait time.Duration) {
+	if reply.Permits == 0 {
+		return false, u.deny(reply.Wait, now)
 	}
-	u.permits, u.permitsExpireAt = p.Permits-1, now.Add(permitTTL)
+	u.permits, u.permitsExpireAt = reply.Permits-1, now.Add(permitTTL)
 	return true, 0
 }
 
@@ -155,14 +155,14 @@
 	return wait
 }
 
-// takeFallback allows a request at a part of the host's equal share of the limit.
+// takeFallback allows a request at a fraction of the host's equal share of the limit.
 // With an unknown number of hosts it denies all: a host that has just started could
 // otherwise exceed the limit.
 func (l *Limiter) takeFallback(u *upstreamState, perSecond float64, now time.Time) (ok bool, wait time.Duration) {
 	if l.hosts == 0 {
 		return false, u.deny(permitRetryInterval, now)
 	}
-	rate := HostRate(l.bounds.UncoordinatedRate(perSecond) * fallbackShare / float64(l.hosts))
+	rate := HostRate(l.bounds.UncoordinatedRate(perSecond) * fallbackFraction / float64(l.hosts))
 	if u.fallback.Take(rate, now.Add(maxInterval), now) {
 		return true, 0
 	}
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -42,7 +42,7 @@
 	CrashesTargets Code = "ENDS_TARGETS"
 )
 
-// Outcome says whether the request was run.
+// Outcome states whether the request was run.
 type Outcome string
 
 const (
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -61,7 +61,7 @@
 	streams map[metastore.Stream]*stream
 	// updated is closed, and replaced, when a stream changes.
 	updated chan struct{}
-	// logFailedAt is when RecordLogFailure was last called for, or else when the
+	// logFailedAt is the time that RecordLogFailure recorded last, or else when the
 	// replica was created.
 	logFailedAt time.Time
 }
--- a/internal/relay/tables_test.go
+++ b/internal/relay/tables_test.go
@@ -47,18 +47,18 @@
 
 func (h *tableHost) applyDeltas(t *testing.T, b Batch) {
 	t.Helper()
-	for _, c := range b.Deltas {
-		h.deltaBytes += len(c.Data)
-		parsed, err := ownership.DecodeDelta(c.Data)
+	for _, encoded := range b.Deltas {
+		h.deltaBytes += len(encoded.Data)
+		delta, err := ownership.DecodeDelta(encoded.Data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		next, err := parsed.Apply(h.table)
+		next, err := delta.Apply(h.table)
 		if err != nil {
 			h.replica.RequestFullTables()
 			return
 		}
-		if h.replica.ApplyTables(b.NextOffset, map[int64]*ownership.Table{c.Offset: next}) {
+		if h.replica.ApplyTables(b.NextOffset, map[int64]*ownership.Table{encoded.Offset: next}) {
 			h.table = next
 		}
 	}
@@ -70,11 +70,10 @@
 	return from.replica.Fetch(context.Background(), offsets, time.Nanosecond)
 }
 
-// A planner records a table several times a second; a relay fetches from it and a host
-// from the relay. Replies get lost, repeat or arrive late, and hosts read single records
-// from the log service in between. Once all have fetched without loss they must have the
-// planner's table: a wrong one would send requests to upstreams that don't own their
-// keys, permanently.
+// A planner records a table several times a second; a relay fetches from it and a host from
+// the relay. Replies get lost, repeat or arrive late, and hosts read single records from the
+// log service in between. Once all have fetched without loss they must have the planner's
+// table: with a wrong one, requests go to upstreams that don't own their keys, permanently.
 func TestTablesConvergeThroughDeltas(t *testing.T) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 5))
