--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -20,7 +20,7 @@
 const (
 	// Served means that the upstream responded without a server error.
 	Served Outcome = iota
-	// Overloaded means that the upstream refused the request for lack of capacity.
+	// Overloaded means that the upstream rejected the request for lack of capacity.
 	Overloaded
 	// ConnRejected means that a new connection was reset or closed right after it was
 	// accepted: the upstream has too many, or a proxy in front of it cannot reach it.
@@ -32,13 +32,13 @@
 	Broken
 	// Crashed means that the upstream refused the connection: its port is closed.
 	Crashed
-	// Inconclusive means that the outcome says nothing about the upstream, for example
+	// Inconclusive means that the outcome shows nothing about the upstream, for example
 	// because the caller disconnected.
 	Inconclusive
 )
 
 const (
-	// overloadBackoff is how long an upstream counts as overloaded after it refused a
+	// overloadBackoff is how long an upstream counts as overloaded after it rejected a
 	// request: about the time until one of its slots is free.
 	overloadBackoff = 100 * time.Millisecond
 	// ejectionThreshold is the number of consecutive failures that eject an upstream.
@@ -82,11 +82,10 @@
 	crashedAt, recoveredAt time.Time
 }
 
-// slowStartUntil returns when the upstream's slow start ends: normally u.SlowUntil, which
-// its entry states. If the upstream seemed to have crashed, the server may have restarted
-// under the same ID, with a new entry that is not read yet. The slow start then ends
-// slowStart after now until the first response, from then on slowStart after that response
-// or at u.SlowUntil, whichever is later.
+// slowStartUntil returns when the upstream's slow start ends: u.SlowUntil, as its entry
+// states. If the upstream seemed to have crashed, the server may have restarted under its
+// ID, with an entry not read yet: the slow start then ends slowStart after now until the first
+// response, and after it slowStart after that response or at u.SlowUntil, whichever is later.
 func (st *upstreamState) slowStartUntil(u *catalogue.Upstream, slowStart time.Duration, now time.Time) time.Time {
 	switch {
 	case st.crashedAt.IsZero():
@@ -225,7 +224,8 @@
 // Criteria restricts and weighs the upstreams for one request.
 type Criteria struct {
 	// LocalDataCentre is this host's data centre. Traffic between data centres is
-	// expensive, so a remote upstream must be faster than a local one by FarPenalty.
+	// expensive, so a remote upstream must be faster than a local one by
+	// RemotePenalty.
 	LocalDataCentre string
 	RemotePenalty   time.Duration
 	// Excluded lists the IDs of upstreams that were already attempted.
@@ -368,11 +368,10 @@
 	}
 }
 
-// cost returns the expected time to a response: the mean of an estimate from this host's
-// own requests and one from the load of all hosts of the data centre. The former is more
-// recent in a small fleet, where each host sends to an upstream often; the latter is more
-// accurate in a large one. The cost includes the wait for this host's limiter: without it
-// Pick returns an upstream with nothing in flight though its limiter admits no request yet.
+// cost returns the expected time to a response: the mean of an estimate from this host's own
+// requests, more recent in a small fleet, where each host sends to an upstream often, and one
+// from the load of all hosts of the data centre, more accurate in a large one. It includes the
+// wait for this host's limiter: Pick must not return an idle upstream that may get none yet.
 func (st *upstreamState) cost(u *catalogue.Upstream, now time.Time) time.Duration {
 	s := st.limiter.State()
 	c := s.Latency + s.Latency*time.Duration(s.InFlight)/time.Duration(u.Slots)
--- a/internal/balance/load.go
+++ b/internal/balance/load.go
@@ -14,7 +14,7 @@
 	// InFlight is the host's number of requests in flight.
 	InFlight int
 	// Responses is the number of responses (outcome Served) since the host's last
-	// FlushLoadStats, Latency the sum of their latencies.
+	// FlushLoadStats, TotalLatency the sum of their latencies.
 	Responses    int
 	TotalLatency time.Duration
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,7 +1,7 @@
 // Package budget limits how often requests are retried.
 //
 // All hosts share the budget without communicating: the retries that a request
-// allows are available to the host that received it, and the fixed part is
+// allows are available to the host that received it, and the fixed number is
 // divided among the hosts.
 package budget
 
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Limits are one host's part of the budget.
+// Limits are one host's share of the budget.
 type Limits struct {
 	// Ratio is the number of retries allowed per request.
 	Ratio float64
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -27,7 +27,7 @@
 	// SlowUntil is the end of its slow start.
 	SlowUntil time.Time
 	// HandoverBy is set while operators evacuate its data centre, and after it has
-	// reported in its responses that it is leaving. Before LeaveBy it gets only
+	// reported in its responses that it is leaving. Before HandoverBy it gets only
 	// requests for keys that it still owns, after that none.
 	HandoverBy time.Time
 	// ReportedLeaving is set after it has reported in its responses that it is
@@ -35,7 +35,7 @@
 	ReportedLeaving bool
 }
 
-// HandingOver reports whether its keys must move to other owners by LeaveBy.
+// HandingOver reports whether its keys must move to other owners by HandoverBy.
 func (u *Upstream) HandingOver() bool { return !u.HandoverBy.IsZero() }
 
 // Draining reports whether its keys must move to other owners. It gets at most
--- a/internal/catalogue/incarnation.go
+++ b/internal/catalogue/incarnation.go
@@ -9,14 +9,10 @@
 // incarnations.
 const incarnationSeparator = "@"
 
-// IncarnationID returns the ID of the incarnation of a server that began at start,
-// in Unix milliseconds by the server's own clock; 0 if the server does not report
-// it.
-//
-// A server that restarts under its old ID has lost its grants and the fencing
-// tokens it has seen. If its incarnations shared an ID, an acknowledgement by the
-// first would count for the second, which could still accept a late grant from an
-// earlier planner for keys that another upstream owns by now.
+// IncarnationID returns the ID of a server's incarnation that began at start, in Unix
+// milliseconds by the server's own clock; 0 if it is not reported. Under a shared ID, an
+// acknowledgement by one would count for the next, which has lost its fencing tokens and
+// may accept a previous planner's late grant for keys that another upstream owns by now.
 func IncarnationID(server string, start int64) string {
 	if start == 0 && !strings.Contains(server, incarnationSeparator) {
 		return server
--- a/internal/crashes/correlation.go
+++ b/internal/crashes/correlation.go
@@ -9,7 +9,7 @@
 	// minCorrelatedServers is the number of servers from which failures at one moment
 	// count as correlated. Independent broken sends affect fewer servers a second.
 	minCorrelatedServers = 4
-	// maxFailures bounds the failures that are kept. A network cut of a data centre
+	// maxFailures bounds the failures that are kept. A network partition of a data centre
 	// breaks some hundreds of sends at one host.
 	maxFailures = 2048
 	// failureRetention is how long failures are kept. Some crashes are detected only when
@@ -19,7 +19,7 @@
 )
 
 // recentFailures holds recent crashes and broken sends, to recognise correlated failures.
-// The package comment says why they do not count.
+// The package comment explains why they do not count.
 type recentFailures struct{ failures []Crash }
 
 // add appends a failure and drops those that are too old or too many.
--- a/internal/crashes/correlation_test.go
+++ b/internal/crashes/correlation_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A network cut of a data centre breaks a host's sends to many servers at one moment, and
+// A network partition of a data centre breaks a host's sends to many servers at one moment, and
 // the servers' entries in the log service expire, as they cannot send heartbeats. The sends
 // have three fingerprints, in equal parts. No crash may be counted or written.
-func TestNetworkCutIsNotCountedAsCrashes(t *testing.T) {
+func TestNetworkPartitionIsNotCountedAsCrashes(t *testing.T) {
 	tracker := NewTracker(nil)
 	for i := range 30 {
 		crash := Crash{testFingerprint(i % 3), fmt.Sprint("s", i), testTime.Add(time.Duration(i) * 10 * time.Millisecond)}
--- a/internal/crashes/tracker.go
+++ b/internal/crashes/tracker.go
@@ -8,15 +8,14 @@
 )
 
 const (
-	// RefusalThreshold is the number of crashed servers from which a fingerprint is refused. One or
-	// two crashes may be chance: a crash also breaks the other requests on the server,
-	// and a retry of one may meet a second crash. A higher limit costs all other callers,
-	// as the keys of each crashed server are unserved until its grant expires, some three
-	// seconds.
+	// RefusalThreshold is the number of crashed servers from which a fingerprint is refused.
+	// One or two crashes may be chance: a crash also breaks the server's other requests, and
+	// a retry of one may meet a second crash. A higher threshold costs all other callers, as
+	// the keys of each crashed server are unserved until its grant expires, some three seconds.
 	RefusalThreshold = 3
 	// Retention is how long a crash counts. A fingerprint is allowed again a day later:
 	// the servers may run a version by then that survives it; if not, it crashes at most
-	// Limit servers a day, apart from trial requests (see AllowTrial).
+	// RefusalThreshold servers a day, apart from trial requests (see TakeTrial).
 	Retention = 24 * time.Hour
 	// maxFingerprints bounds the fingerprints that are tracked. Beyond it the one with
 	// the fewest crashes is evicted.
@@ -148,7 +147,7 @@
 	if len(times) < RefusalThreshold {
 		return 0
 	}
-	// The refusal ends when fewer than Limit crashes are within Retention.
+	// The refusal ends when fewer than RefusalThreshold crashes are within Retention.
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
 	return max(times[RefusalThreshold-1].Add(Retention).Sub(now), 0)
 }
@@ -242,9 +241,9 @@
 	}
 }
 
-// FilterPending removes the pending crashes that prove to be correlated failures, also from this
-// host's state, and returns the other changes that are not written yet. It should be called
-// only after the other failures of the same moment have been recorded.
+// FilterPending removes the pending crashes that prove to be correlated failures, also from
+// this host's state, and returns the other changes that are not written yet. It should be
+// called only after the other failures of the same moment have been recorded.
 func (t *Tracker) FilterPending() []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/crashes/tracker_test.go
+++ b/internal/crashes/tracker_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// A popular, harmless request is in progress on the servers again and again when another
+// A popular, harmless request is in flight on the servers again and again when another
 // request crashes them. Another host sees it succeed in between: no host may refuse it, in
 // whatever order the records arrive.
 func TestFingerprintThatSucceedsIsNotRefused(t *testing.T) {
--- a/internal/crashes/trial.go
+++ b/internal/crashes/trial.go
@@ -19,10 +19,9 @@
 }
 
 // TakeTrial reports whether one request with a refused fingerprint may be sent now and, if
-// so, schedules the next trial. The request's success lifts the refusal on all hosts; without
-// trials a mistaken refusal lasts a day. Of the hosts that share crashes only one sends
-// trials: a fatal request then crashes some twenty more servers on the first day and a dozen
-// on each later one.
+// so, schedules the next trial. A trial's success lifts the refusal on all hosts; without trials a
+// mistaken refusal lasts a day. Of the hosts that share crashes only one sends trials: a fatal
+// request then crashes some twenty more servers on the first day and a dozen on each later one.
 func (t *Tracker) TakeTrial(fp Fingerprint, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/feedback/tracker.go
+++ b/internal/feedback/tracker.go
@@ -130,8 +130,8 @@
 
 // Record applies the report of a response that this host received at now, to a
 // request sent at sent. A response without a limit ends the current one only if its
-// request was sent after the limit was last reported: the upstream may have answered
-// an earlier request before it set the limit.
+// request was sent after the limit was last reported: the upstream may have
+// responded to an earlier request before it set the limit.
 func (t *Tracker) Record(id string, r Report, sent, now time.Time) {
 	t.mu.Lock()
 	if t.upstreams[id] == nil && r == (Report{}) {
--- a/internal/feedback/tracker_test.go
+++ b/internal/feedback/tracker_test.go
@@ -7,7 +7,7 @@
 )
 
 // A response to a request that was sent before the limit was reported must not lift
-// the limit: the upstream may have answered before it set one.
+// the limit: the upstream may have responded before it set one.
 func TestRateLimitEndsOnlyWithALaterRequest(t *testing.T) {
 	tr, now := NewTracker(), time.Unix(1000, 0)
 	tr.Record("u", Report{RateLimit: 2}, now, now.Add(time.Second))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,7 +13,7 @@
 	// Healthy hosts call three times a second.
 	livenessTimeout = 1500 * time.Millisecond
 	// sizeRetention is how long after its last call a host counts in the fleet's size,
-	// by which hosts divide shared limits. A host that is cut off from the planner
+	// by which hosts divide shared limits. A host partitioned from the planner
 	// still serves requests and uses its share of connections and retries.
 	sizeRetention = time.Minute
 	// minLocalHostsForRelay is the least number of hosts in the planner's own data
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -54,7 +54,7 @@
 
 // The relay crashes. Its followers call the planner again, which must redirect them to
 // another candidate. A host that is not a candidate must never become the relay.
-func TestDeadRelayIsReplaced(t *testing.T) {
+func TestCrashedRelayIsReplaced(t *testing.T) {
 	f, now := New("home"), time.Unix(1000, 0)
 	for i := range 12 {
 		recordCall(f, "dc", i, i == 3 || i == 7, now)
@@ -78,7 +78,7 @@
 }
 
 // Hosts divide shared limits by the fleet's size. It must include hosts behind a relay
-// and, for a while, hosts that stopped calling: they may be cut off from the planner
+// and, for a while, hosts that stopped calling: they may be partitioned from the planner
 // and still serve. A host that follows the planner must count at least as many hosts
 // as the planner.
 func TestSizeCountsSilentAndIndirectHosts(t *testing.T) {
--- a/internal/keyload/estimator_test.go
+++ b/internal/keyload/estimator_test.go
@@ -51,8 +51,8 @@
 }
 
 // Capacity is estimated from response times, which include time in the upstream's
-// queue. An owner that responds slowly only because it is overloaded must not be
-// taken for a slow one.
+// queue. An owner that responds slowly only because it is overloaded must not
+// count as slow.
 func TestCapacityEstimateAllowsForQueueing(t *testing.T) {
 	e := New()
 	start := time.Unix(1000, 0)
--- a/internal/keyload/weight.go
+++ b/internal/keyload/weight.go
@@ -18,14 +18,10 @@
 	fullPreferenceUtilization = 0.6
 )
 
-// loadWeights returns the relative weight by which the load is divided among the
-// owners; nil if there is no capacity.
-//
-// A slow owner has long response times even under little load: with a third of the
-// capacity in use, owners 2.3 times as slow as others can take over 0.8 s for 3 to
-// 18 % of their requests, the others for at most 2 %. So while capacity is free the
-// load is divided by capacity times speed, and by capacity alone when all owners are
-// busy.
+// loadWeights returns the weights by which load is divided among the owners, nil without
+// capacity: capacity times speed while capacity is free, capacity alone when all are busy.
+// With a third of it in use, owners 2.3 times as slow as others can take over 0.8 s for 3
+// to 18 % of their requests, the others for at most 2 %.
 func loadWeights(l ownership.Load, owners []*catalogue.Upstream) map[string]float64 {
 	totalLoad, capacity := 0.0, 0.0
 	for _, r := range l.ByKey {
--- a/internal/ownership/capacity.go
+++ b/internal/ownership/capacity.go
@@ -5,11 +5,10 @@
 // serve more.
 const limitedUtilization = 0.8
 
-// LimitCapacity lowers owners' capacities to their rate limits, in the unit of
-// Capacity, where these are below. It sets Weight so that each limited owner gets
-// limitedUtilization of its rate limit, or the load that it would get without the
-// limit if that is less; the others divide the rest in proportion to their previous
-// weights. It changes nothing while no load is known.
+// LimitCapacity lowers owners' capacities to their rate limits, in the unit of Capacity,
+// where these are below, and sets Weight: each limited owner gets limitedUtilization of
+// its rate limit, or its load without the limit if that is less; the others divide the rest
+// in proportion to their previous weights. It changes nothing while no load is known.
 func (l *Load) LimitCapacity(rateLimits map[string]float64) {
 	weight := l.Weight
 	if weight == nil {
--- a/internal/ownership/delta.go
+++ b/internal/ownership/delta.go
@@ -12,11 +12,10 @@
 // of owners takes tens of kilobytes, while a few of its ranges change several
 // times a second; hosts that have the earlier table are sent only those ranges.
 type Delta struct {
-	// BaseDigest is the digest of the table that the delta applies to,
-	// ResultDigest that of the resulting table. A host that missed a delta or
-	// received one twice sees that a digest does not match and requests the
-	// whole table. Without the check it would keep a wrong owner for every key
-	// of a missed delta.
+	// BaseDigest is the digest of the table that the delta applies to, ResultDigest
+	// that of the resulting table. After a missed or duplicated delta a digest does
+	// not match, and the host requests the whole table; without the check it would
+	// keep a wrong owner for every key of a missed delta.
 	BaseDigest   uint64 `json:"base"`
 	ResultDigest uint64 `json:"result"`
 	// Next is the later table, with only those ranges that the earlier one
--- a/internal/ownership/rebalance.go
+++ b/internal/ownership/rebalance.go
@@ -87,10 +87,9 @@
 	slowToMoveFactor = 2
 )
 
-// Rebalance returns the moves that assign keys that have no owner or whose owner
-// is not a candidate, move the hottest key if it needs more capacity, and relieve
-// overloaded owners or refill those in Load.Refill. To relieve an owner it moves
-// about as much load as brings the owner down to LowWatermark. It returns nil if
+// Rebalance returns the moves that assign keys that have no owner or whose owner is not
+// a candidate, move the hottest key if it needs more capacity, and relieve overloaded
+// owners down to about LowWatermark or refill those in Load.Refill. It returns nil if
 // there are no candidates.
 func Rebalance(t *Table, load Load, lim Limits) []Move {
 	if len(load.Capacity) == 0 {
@@ -352,11 +351,10 @@
 	return nil
 }
 
-// exclude makes an owner that cannot be relieved now, for example because a single
-// key makes up its load, ineligible for further moves, and scales the fair loads of
-// the others to their total load. Otherwise it would remain the most loaded and no
-// other would be relieved: of 200 owners, half could be idle while 50 get two to ten
-// times their capacity.
+// exclude makes an owner that cannot be relieved now, for example one whose load is on a
+// single key, ineligible for further moves, and scales the others' fair loads to their
+// total load. Otherwise it would remain the most loaded and no other would be relieved:
+// of 200 owners, half could be idle while 50 get two to ten times their capacity.
 func (p *plan) exclude(owner *candidate) {
 	p.eligible = slices.DeleteFunc(p.eligible, func(c *candidate) bool { return c == owner })
 	totalLoad, totalFairLoad := 0.0, 0.0
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -52,11 +52,10 @@
 	MaxFencingToken int64 `json:"fence"`
 	// PreviousPlanners are the planners of earlier terms that may still send grants.
 	PreviousPlanners []PlannerHost `json:"earlier,omitempty"`
-	// Lost are the owners, sorted, that do not respond or are not listed, and
-	// to which this term's planner has stopped sending grants. It resumes
-	// sending grants to one only after a record that no longer lists it as
-	// lost, so that the next planner can bound how long lost owners may still
-	// hold their keys.
+	// Lost are the owners, sorted, that do not respond or are not listed, and to which
+	// this term's planner has stopped sending grants. It resumes only after a record that
+	// does not list the owner here, so that the next planner can bound how long lost
+	// owners may still hold their keys.
 	Lost []string `json:"lost,omitempty"`
 	// Ranges cover all keys in order.
 	Ranges []Range `json:"ranges"`
--- a/internal/planner/actions.go
+++ b/internal/planner/actions.go
@@ -49,7 +49,8 @@
 	Service, Addr string
 	Range         ownership.Range
 	TTL           time.Duration
-	DecidedAt     bootclock.Time
+	// DecidedAt is when Tick returned the grant.
+	DecidedAt bootclock.Time
 	// ExistingConnOnly restricts the grant to a connection that is already
 	// open; see the package comment.
 	ExistingConnOnly bool
--- a/internal/planner/doc.go
+++ b/internal/planner/doc.go
@@ -24,17 +24,17 @@
 // no longer hold the key, because
 //
 //   - no grant to U is in flight,
-//   - U answered a release, or maxGrantValidity has passed since the last grant
+//   - U responded to a release, or maxGrantValidity has passed since the last grant
 //     that may have reached it,
-//   - maxGrantValidity has passed since the last grant to U that got no answer,
+//   - maxGrantValidity has passed since the last grant to U that got no response,
 //     and
 //   - U has acknowledged a token of this term for the key, or maxGrantValidity
 //     has passed since the last grant that a previous planner may have sent.
 //
 // The last condition covers planners that do not know yet that they were
 // replaced. Such a planner last renewed its lease before the first record of
-// the next planner, and sends nothing later than MaxViewAge after that renewal;
-// history.go and retire.go compute the deadline.
+// the next planner, and sends nothing later than Options.MaxRenewalAge after that
+// renewal; history.go and retire.go compute the deadline.
 //
 // # Servers that restart under the same ID
 //
@@ -58,29 +58,29 @@
 // # Previous planners
 //
 // Until a previous planner is known to have stopped, it may still grant keys to
-// owners that do not answer this planner. Without a confirmation such keys would
-// have no owner for MaxViewAge plus maxGrantValidity after each change of
+// owners that do not respond to this planner. Without a confirmation such keys would
+// have no owner for MaxRenewalAge plus maxGrantValidity after each change of
 // planner, 9.2 s with the default settings. The planner therefore asks previous
 // planners to retire. One that was stopped or restarted, or still runs, confirms
 // that within milliseconds; one that is partitioned or stalled does not, and its
 // deadlines apply. Asking only the last one is not enough: if the lease changes
-// hands several times within MaxViewAge, for example five times in ten seconds,
+// hands several times within MaxRenewalAge, for example five times in ten seconds,
 // earlier ones may still send grants, and the keys would wait for them.
 //
 // # Handover
 //
-// An upstream that answers a release returns a handover token, and the grant to
+// An upstream that responds to a release returns a handover token, and the grant to
 // the new owner carries it. The token lets the new owner serve the keys at full
 // speed at once. Without it, requests for the keys are slow for seconds
-// (desired.Service.WarmUp). Keys whose old owner cannot answer a release move
-// without a handover.
+// (desired.Service.KeyWarmUp). Keys whose old owner cannot respond to a release
+// move without a handover.
 //
 // # Keys of many lost owners
 //
 // An owner is lost if it is gone, that is, not listed any more, or unresponsive,
-// that is, does not answer grants. Its keys move without a handover. If a
-// partition cuts off a third of the owners and the others get all their keys as
-// soon as the grants have expired, the others get twice the load that they can
+// that is, does not respond to grants. Its keys move without a handover. If a
+// partition makes a third of the owners unreachable and the others get all their
+// keys as soon as the grants have expired, the others get twice the load that they can
 // serve. Until some seconds after the partition, requests for all keys are then
 // refused, also for those whose owners were never lost. The planner therefore
 // reassigns such keys only as fast as the other owners' capacity allows. Some
--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -46,7 +46,7 @@
 	})
 }
 
-// simulate ticks the Planner for d, completes each call with the error that answer
+// simulate ticks the Planner for d, completes each call with the error that respond
 // returns for it, and returns the calls.
 func (h *harness) simulate(d time.Duration, answer func(Action) error) []Action {
 	var all []Action
@@ -60,7 +60,7 @@
 }
 
 // complete passes the result of a call to the Planner. Lease requests that succeed
-// get the lease; Retire calls stay unanswered.
+// get the lease; Retire calls get no response.
 func (h *harness) complete(a Action, err error) {
 	switch a := a.(type) {
 	case *AcquireLease:
--- a/internal/planner/history.go
+++ b/internal/planner/history.go
@@ -51,11 +51,10 @@
 	return now
 }
 
-// lostOwnerDeadlines returns the latest times at which a previous planner may send
-// a grant to the owners that base marks as lost. The planner of base had stopped
-// sending to them when the mark was seen. The planners before it had lost the
-// lease before its first record, and send nothing later than MaxViewAge after
-// that.
+// lostOwnerDeadlines returns the latest times at which a previous planner may send a
+// grant to the owners that base marks as lost. The planner of base had stopped sending
+// to them when the mark was seen. The planners before it had lost the lease before its
+// first record, and send nothing later than MaxRenewalAge after that.
 func (h *history) lostOwnerDeadlines(base *ownership.Table, opts *Options) map[string]bootclock.Time {
 	out := map[string]bootclock.Time{}
 	if h == nil || base == nil || base.Term != h.newestTerm {
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// An append is executed but its answer is lost, so the retry fails because the stream
+// An append is executed but its response is lost, so the retry fails because the stream
 // no longer ends at the expected offset. The planner must then read the stream, or every
 // later append would fail too.
 func TestPlannerReadsStreamAfterLostAppendAnswer(t *testing.T) {
@@ -55,7 +55,7 @@
 		return nil
 	})
 	if h.p.SoleWriter(h.now) {
-		t.Error("the planner still relies on being the sole writer after a lost answer")
+		t.Error("the planner still relies on being the sole writer after a lost response")
 	}
 	h.p.AdvanceStreamEnd(h.streamEnd + 1)
 	if !h.p.SoleWriter(h.now) {
@@ -154,10 +154,10 @@
 	h.p.StepDown(h.now)
 	got := h.simulate(noPlannerTimeout-simStep, succeedAll)
 	if len(got) != 1 {
-		t.Fatalf("calls %v, want one ReleaseLease", got)
+		t.Fatalf("calls %v, want one LeaveElection", got)
 	}
 	if _, ok := got[0].(*LeaveElection); !ok {
-		t.Fatalf("call of type %T, want a ReleaseLease", got[0])
+		t.Fatalf("call of type %T, want a LeaveElection", got[0])
 	}
 	h.simulate(noPlannerTimeout, succeedAll)
 	if !h.p.IsPlanner(h.now) {
@@ -189,10 +189,10 @@
 	h.p.PlannerSeen(h.now)
 	got := h.simulate(noPlannerTimeout/2, succeedAll)
 	if len(got) != 1 {
-		t.Fatalf("calls %v, want one ReleaseLease", got)
+		t.Fatalf("calls %v, want one LeaveElection", got)
 	}
 	if _, ok := got[0].(*LeaveElection); !ok {
-		t.Errorf("call of type %T, want a ReleaseLease", got[0])
+		t.Errorf("call of type %T, want a LeaveElection", got[0])
 	}
 }
 
@@ -229,7 +229,7 @@
 }
 
 // A planner is partitioned from the log for 5 s and another host replaces it. When the
-// first one reads the new table, its last lease renewal is still younger than MaxViewAge.
+// first one reads the new table, its last lease renewal is still younger than MaxRenewalAge.
 // It must not start a term on that renewal: the two planners would supersede each other,
 // and the keys of lost upstreams would wait for the grants of both to expire.
 func TestStaleLeaseRenewalStartsNoTerm(t *testing.T) {
@@ -285,7 +285,7 @@
 	}
 }
 
-// The planner must write a record before it assigns any key: the record tells the other
+// The planner must write a record before it assigns any key: the record shows the other
 // hosts which planner to follow. Keys must be assigned only after the upstreams had time
 // to register, or the first one would get them all.
 func TestFirstRecordPrecedesFirstAssignment(t *testing.T) {
@@ -340,7 +340,7 @@
 
 // A planner that is partitioned from the log learns from a fenced grant that there is a
 // newer planner. It must make no further calls to upstreams: they would all be rejected,
-// hundreds per second, until its last lease renewal is older than MaxViewAge.
+// hundreds per second, until its last lease renewal is older than MaxRenewalAge.
 func TestSupersededPlannerMakesNoCalls(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// An owner has 1.5 times its share of the load, and the answer to one of its grants was
+// An owner has 1.5 times its share of the load, and the response to one of its grants was
 // lost. Keys taken from it now would have no owner until that grant has expired, 3 s
 // later; while they stay, requests for them are slow but served. They must move only
 // once the grant has expired.
@@ -109,18 +109,18 @@
 		return nil
 	}
 	for !answerLost {
-		// Postpone the load check until a grant's answer has been lost.
+		// Postpone the load check until a grant's response has been lost.
 		h.p.terms[simService].nextRebalance = h.now.Add(rebalanceInterval)
 		h.simulate(simStep, answer)
 	}
 	before := h.table
 	h.simulate(2*time.Second, answer)
 	if n := len(h.p.terms[simService].moves); n > 0 {
-		t.Errorf("%d moves started while the owner's grant was unanswered", n)
+		t.Errorf("%d moves started while the response to the owner's grant was missing", n)
 	}
 	h.simulate(2*time.Second, answer)
 	if h.table.KeysMovedSince(before) == 0 {
-		t.Error("no key moved off the overloaded owner after the unanswered grant had expired")
+		t.Error("no key moved off the overloaded owner after the grant without a response had expired")
 	}
 }
 
@@ -132,7 +132,7 @@
 	h.setBusyKeys(&first)
 	records := 0
 	const duration = 2 * time.Second
-	var releases []Action // one is answered per step, as requests in flight complete
+	var releases []Action // one gets its response per step, as requests in flight complete
 	for end := h.now.Add(duration); h.now.Before(end); h.now = h.now.Add(simStep) {
 		for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
 			if record, ok := a.(*Append); ok && record.Cause == causeLoad {
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -18,14 +18,14 @@
 	old ownership.Range
 	// dest is the ID of the upstream that gets the keys.
 	dest string
-	// releaseInFlight is the release that awaits its answer; released is set
-	// once one was answered.
+	// releaseInFlight is the release that awaits its response; released is set
+	// once one got a response, or if there is no owner.
 	releaseInFlight *Release
 	released        bool
 	handoverToken   string
 	nextRelease     bootclock.Time
 	// releaseFailed is set once a release failed. Until relistUntil an owner
-	// that answers again is given time to be listed again.
+	// that responds again is given time to be listed again.
 	releaseFailed bool
 	relistUntil   bootclock.Time
 	cause         string
@@ -65,8 +65,8 @@
 
 // recentRenewalAge is how recently the lease must have been renewed for the
 // planner to move keys for load, to open connections for grants and to rely on
-// being the only writer of the ownership stream. Options.MaxViewAge is the longer
-// limit of the same time for acting as the planner at all.
+// being the only writer of the ownership stream. Options.MaxRenewalAge is the
+// longer limit of the same time for acting as the planner at all.
 const recentRenewalAge = 900 * time.Millisecond
 
 // planMoves starts the moves that the current owners and load require.
@@ -103,7 +103,7 @@
 	load, samples := t.p.Load(t.name, owners)
 	load.SlowToMove = t.ownersWithUnansweredGrants(owners, now)
 	if t.noKeyAssigned() {
-		// Requests that were refused because no key has an owner say little
+		// Requests that were refused because no key has an owner show little
 		// about load: after ten of them, those ten keys would be spread out and
 		// all others left in one range.
 		load.ByKey = nil
@@ -118,10 +118,10 @@
 	return load, lim
 }
 
-// ownersWithUnansweredGrants returns the owners that recently left a grant
-// unanswered. It may still take effect, so keys taken from them have no owner
+// ownersWithUnansweredGrants returns the owners that recently did not
+// respond to a grant. It may still take effect, so keys taken from them have no owner
 // until it expires: 3 s instead of the duration of the requests in flight. With
-// 6% of the answers lost, nine tenths of all load moves would wait that long.
+// 6% of the responses lost, nine tenths of all load moves would wait that long.
 func (t *term) ownersWithUnansweredGrants(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range owners {
@@ -229,11 +229,10 @@
 	}
 }
 
-// mayStartMove reports whether a move of the range need not wait for grants of
-// previous planners, or its owner is lost anyway. A range released before its
-// owner has acknowledged this term's token would have no owner until those grants
-// expire, up to 9.2 s later. The owner acknowledges the token with its first
-// grant, or is lost.
+// mayStartMove reports whether a move of the range need not wait for grants of previous
+// planners, or its owner is lost anyway. Released before its owner has acknowledged this
+// term's token, which it does with its first grant, the range would have no owner until
+// those grants expire, up to 9.2 s later.
 func (t *term) mayStartMove(old ownership.Range, now bootclock.Time) bool {
 	if old.Owner == "" || old.FencingToken > t.firstFencingToken || now.Sub(t.previous.grantsUntilFor(old.Owner)) > t.p.opts.maxGrantValidity() {
 		return true
@@ -308,7 +307,7 @@
 	}
 	m.releaseInFlight = nil
 	if errors.Is(err, ownership.ErrRejected) {
-		// Upstreams never reject a release, so another process answers at the
+		// Upstreams never reject a release, so another process responds at the
 		// address: the old owner has ended, and its grants with it.
 		m.released = true
 		return
@@ -330,7 +329,7 @@
 
 // cancelMovesOfReturnedOwners cancels the moves off owners that were lost, are
 // listed again, and whose keys no other upstream has been granted. When the
-// partition of a data centre heals, its upstreams answer up to a heartbeat before
+// partition of a data centre heals, its upstreams respond up to a heartbeat before
 // they are listed; moving a third of all keys off them would overload the others.
 func (t *term) cancelMovesOfReturnedOwners(now bootclock.Time) {
 	if t.pendingAppend != nil {
@@ -349,9 +348,9 @@
 	t.syncGrants(now)
 }
 
-// restoreOwner cancels the moves off an unresponsive upstream that answers again, and
+// restoreOwner cancels the moves off an unresponsive upstream that responds again, and
 // reports whether it did. No other upstream has been granted its keys, and perhaps
-// only the answers to its grants were lost. Moves with a release in flight go on.
+// only the responses to its grants were lost. Moves with a release in flight go on.
 func (t *term) restoreOwner(id string, now bootclock.Time) bool {
 	srv, u := t.server(id), t.upstreams[id]
 	if !srv.unresponsive || u == nil || t.drainingOrCold(u) || t.pendingAppend != nil {
@@ -366,7 +365,7 @@
 
 // startExclusions no longer treats upstreams as unresponsive once they own no keys,
 // and instead excludes them for a time that doubles with each exclusion. Otherwise
-// an upstream that answers only intermittently would be given keys again and again,
+// an upstream that responds only intermittently would be given keys again and again,
 // only to lose them.
 func (t *term) startExclusions(now bootclock.Time) {
 	owns := map[string]bool{}
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -10,7 +10,7 @@
 	"github.com/papayatide/papayatide/internal/ownership"
 )
 
-// A host loses the planner lease and regains it while an upstream does not answer. Its
+// A host loses the planner lease and regains it while an upstream does not respond. Its
 // past term knows when the last grant was sent, so the upstream's keys must move without
 // waiting for grants that another planner may have sent. If they waited, they would have
 // no owner for 10 s.
@@ -51,9 +51,9 @@
 	}
 }
 
-// The keys of an owner that stops answering must move once its grants are certain to
+// The keys of an owner that stops responding must move once its grants are certain to
 // have expired, and no later: at least one grant TTL after the last grant that may have
-// arrived, and at most 1.5 grant TTLs after the owner's last answer.
+// arrived, and at most 1.5 grant TTLs after the owner's last response.
 func TestUnresponsiveOwnersKeysMoveOnceGrantsExpire(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
@@ -80,15 +80,15 @@
 	// The last grant that arrived was sent up to a renewal interval earlier.
 	waited := movedAt.Sub(unresponsiveSince)
 	if minWait := testOptions.GrantTTL - testOptions.GrantTTL/renewalsPerTTL; waited < minWait {
-		t.Errorf("keys moved %v after the owner stopped answering, before its grants had expired", waited)
+		t.Errorf("keys moved %v after the owner stopped responding, before its grants had expired", waited)
 	}
 	if maxWait := testOptions.GrantTTL * 3 / 2; waited > maxWait {
-		t.Errorf("keys moved %v after the owner stopped answering, want at most 1.5 grant TTLs", waited)
+		t.Errorf("keys moved %v after the owner stopped responding, want at most 1.5 grant TTLs", waited)
 	}
 }
 
-// An upstream executes all calls, but its answers get lost for 2 s, so it is considered
-// lost. When it answers a release it must get its keys back: moved elsewhere, they would
+// An upstream executes all calls, but its responses get lost for 2 s, so it is considered
+// lost. When it responds to a release it must get its keys back: moved elsewhere, they would
 // have no owner until all grants that it may have received have expired.
 func TestOwnerThatAnswersAgainKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
@@ -110,19 +110,19 @@
 		}
 	}
 	if owned == 0 {
-		t.Fatal("the upstream lost its keys although it answers again")
+		t.Fatal("the upstream lost its keys although it responds again")
 	}
 	for _, a := range h.simulate(time.Second+testOptions.GrantTTL/renewalsPerTTL, succeedAll) {
 		if g, ok := a.(*Grant); ok && g.Addr == "a" {
 			return
 		}
 	}
-	t.Fatal("the upstream's grants are not renewed after it answered again")
+	t.Fatal("the upstream's grants are not renewed after it responded again")
 }
 
-// Guards against two owners after a late answer to a release. An upstream is considered
-// lost and two of its ranges are being released. It answers one release, so it may keep
-// its keys. Later, load requires moves off the upstream, and the answer to the other
+// Guards against two owners after a late response to a release. An upstream is considered
+// lost and two of its ranges are being released. It responds to one release, so it may keep
+// its keys. Later, load requires moves off the upstream, and the response to the other
 // release arrives. It must not move a range that the upstream has been granted again.
 func TestAnswerToEarlierReleaseIsIgnored(t *testing.T) {
 	h := newHarness(t, "a", "b")
@@ -176,7 +176,7 @@
 	h.p.ReleaseDone(secondRelease, "token", nil, h.now)
 	step(100 * time.Millisecond)
 	if got := h.table.Find(secondRelease.Range.From).Owner; regranted && got != "a" {
-		t.Fatalf("keys %d to %d moved to %q on the answer to a release that was sent before they were granted to a again", secondRelease.Range.From, secondRelease.Range.To, got)
+		t.Fatalf("keys %d to %d moved to %q on the response to a release that was sent before they were granted to a again", secondRelease.Range.From, secondRelease.Range.To, got)
 	}
 }
 
@@ -232,7 +232,7 @@
 	}
 }
 
-// The planner changes while an upstream does not answer. If the previous planner confirms that
+// The planner changes while an upstream does not respond. If the previous planner confirms that
 // it sends no more grants, the upstream's keys must wait for one grant TTL only. A
 // confirmation by a host of another name at its address must not count; the keys then
 // wait for all grants that the previous planner may send, 9.2 s.
@@ -262,7 +262,7 @@
 }
 
 // When a term starts, the new planner already knows that an upstream is overloaded. The
-// upstream takes 0.5 s to answer grants. Its keys must not be released before it has
+// upstream takes 0.5 s to respond to grants. Its keys must not be released before it has
 // acknowledged the term's token: they would have no owner until all grants of previous
 // planners have expired.
 func TestNoReleaseBeforeOwnerAcknowledgesTerm(t *testing.T) {
@@ -313,14 +313,14 @@
 	}
 }
 
-// A partition of some seconds cuts off a data centre: its upstream does not answer, and
+// A data centre is partitioned for some seconds: its upstream does not respond, and
 // its entry lapses, which sets Leaving (see catalogue.Upstream.Unlisted). After the
-// partition it answers 0.5 s before it is listed again. It must keep its keys, because no
+// partition it responds 0.5 s before it is listed again. It must keep its keys, because no
 // other upstream has been granted them.
 func TestOwnerBackFromPartitionKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
-	// Unanswered grants keep the keys at their owner until they expire; the
+	// Grants without a response keep the keys at their owner until they expire; the
 	// partition ends before that.
 	answersLost := func(a Action) error {
 		switch a := a.(type) {
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -7,20 +7,19 @@
 	// Host is this host's name, PeerAddr the address at which its peers reach it.
 	Host, PeerAddr string
 	// GrantTTL is how long a grant lasts. It bounds how long the keys of an
-	// upstream that stops answering have no owner.
+	// upstream that stops responding have no owner.
 	GrantTTL time.Duration
 	// MaxRenewalAge is the longest time since the last lease renewal for which a
 	// host acts as the planner and renews grants; see recentRenewalAge for the
 	// stricter limit of other actions. During an outage of the log service keys
-	// stay owned for MaxViewAge + GrantTTL.
+	// stay owned for MaxRenewalAge + GrantTTL.
 	MaxRenewalAge time.Duration
 	// LeaseTTL is how long the planner lease stays valid after its last renewal.
 	LeaseTTL time.Duration
-	// Candidate hosts always compete for the planner lease. Other hosts, with
-	// slow links or processors, do so only if they have seen no planner for
-	// noPlannerTimeout. All hosts read new records from the planner's host or
-	// through relays, so a planner with a slow link delays them all: with a
-	// 10 Mbit/s link, half of 91 hosts fall back to reading the log service.
+	// Candidate hosts always compete for the planner lease. Other hosts, with slow links
+	// or processors, do so only after noPlannerTimeout without a planner. All hosts read
+	// new records from the planner's host or through relays, so a slow planner delays them
+	// all: with a 10 Mbit/s link, half of 91 hosts fall back to reading the log service.
 	Candidate bool
 }
 
@@ -34,7 +33,7 @@
 	renewalsPerTTL = 3
 	// grantRetryDelay is the delay before a failed grant is retried.
 	grantRetryDelay = 100 * time.Millisecond
-	// unresponsiveAfterFraction is the fraction of the grant TTL without an answer
+	// unresponsiveAfterFraction is the fraction of the grant TTL without a response
 	// to any grant after which an upstream is considered unresponsive.
 	unresponsiveAfterFraction = 0.5
 	// releaseRetryDelay is the delay before a failed release is retried.
@@ -46,11 +45,11 @@
 	// failureEventInterval is the minimum interval between two events for
 	// failed calls of one kind to one upstream.
 	failureEventInterval = time.Second
-	// relistGrace is how long an owner that answers again after a silence has
+	// relistGrace is how long an owner that responds again after a silence has
 	// to get listed again. Upstreams write their entries about every 0.9 s.
 	relistGrace = time.Second
 	// appendRetryDelay is the delay before the next append after a conflict or
-	// a missing answer.
+	// a missing response.
 	appendRetryDelay = 150 * time.Millisecond
 	// minRegistrationWait is how long after the first upstream was seen the
 	// first assignment of a service's keys waits for others to register.
@@ -61,11 +60,10 @@
 	// others are overloaded: without the wait, the first 81 of 181 would get all keys.
 	registrationQuiet   = 700 * time.Millisecond
 	maxRegistrationWait = 4 * time.Second
-	// highWatermark and lowWatermark are multiples of an owner's fair load, its
-	// part of the total load (see ownership.Limits). An owner at or above
-	// highWatermark gives up keys until it is down to lowWatermark. An owner's
-	// load estimate rests on about fifty requests, so chance alone sometimes
-	// makes it a third too high.
+	// highWatermark and lowWatermark are multiples of an owner's fair load (see
+	// ownership.Load and Limits). From an owner at or above highWatermark keys move away
+	// until it is down to lowWatermark. An owner's load estimate rests on about fifty
+	// requests, so chance alone sometimes makes it a third too high.
 	highWatermark, lowWatermark = 1.35, 1.05
 	// baseLoadMoves is the default number of concurrent load moves that are
 	// allowed in a service of any size.
@@ -95,7 +93,7 @@
 	// do not hold the lease lapse after two.
 	stepDownAfterTTLs = 2.5
 	// minAcquireInterval is the minimum interval between lease requests while
-	// the planner does not answer.
+	// the planner does not respond.
 	minAcquireInterval = 200 * time.Millisecond
 )
 
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -13,12 +13,9 @@
 )
 
 // Planner is the state machine that runs on every host, whether or not the host
-// is the planner. Its methods must be called from one goroutine.
-//
-// Four operations end or restrict planning. StepDown: a planner that is not a
-// candidate gives up the lease. Resign: the host is about to shut down. Retire:
-// a newer planner asks this host to stop. ReleaseLease, an Action: this host
-// leaves the election, possibly without holding the lease.
+// is the planner. Its methods must be called from one goroutine. StepDown,
+// BeginShutdown and Retire end or restrict planning, as does the Action
+// LeaveElection.
 type Planner struct {
 	opts Options
 	// Load returns a service's load with the capacities of the given upstreams,
@@ -33,7 +30,7 @@
 	Cold func(*catalogue.Upstream) bool
 
 	lease plannerLease
-	// shuttingDown is set by Resign.
+	// shuttingDown is set by BeginShutdown.
 	shuttingDown bool
 	// terms holds the current terms by service, while this host is the planner.
 	terms map[string]*term
@@ -69,7 +66,7 @@
 	Table    *ownership.Table
 	Cause    string
 	// Age is the time since the last lease renewal; in UpstreamLost events, the
-	// time since the upstream's last answer.
+	// time since the upstream's last response.
 	Age time.Duration
 	Err error
 	// Suppressed is the number of events of this kind suppressed since the last one.
@@ -130,17 +127,16 @@
 }
 
 // IsPlanner reports whether this host may act as the planner now. It is true
-// for MaxViewAge after the last lease renewal, even if the lease has expired
+// for MaxRenewalAge after the last lease renewal, even if the lease has expired
 // since, unless this host knows that it no longer holds the lease.
 func (p *Planner) IsPlanner(now bootclock.Time) bool {
 	return p.lease.held && now.Sub(p.lease.renewedAt) <= p.opts.MaxRenewalAge
 }
 
-// SoleWriter reports whether the ownership stream contains only records that
-// this host has read or written: it renewed the lease within recentRenewalAge, is
-// not shutting down, every append was answered and no grant was fenced. Otherwise
-// only a read shows where the stream ends; without it every later append would
-// conflict.
+// SoleWriter reports whether this host knows every record of the ownership
+// stream: it renewed the lease within recentRenewalAge, is not shutting down, every
+// append got a response and no grant was fenced. Otherwise only a read shows where
+// the stream ends; without it every later append would conflict.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
 	return p.IsPlanner(now) && !p.shuttingDown && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= recentRenewalAge
 }
@@ -231,12 +227,10 @@
 	return p.shuttingDown || (!p.opts.Candidate && !p.lease.held && now.Sub(p.plannerSeenAt) < noPlannerTimeout)
 }
 
-// plannerExpected reports whether a planner, if there is one, would have
-// published a table by now. A planner writes its first record as soon as it
-// holds the lease; minRegistrationWait after the first upstream was listed is an
-// upper estimate of that time. Without this check the hosts that are not
-// candidates, 85 in one fleet, would request the lease before the first table
-// exists, and at the start of each fleet one of them would get it.
+// plannerExpected reports whether a planner, if there is one, has published a table
+// by now: it does so once it holds the lease, at most minRegistrationWait after the
+// first upstream was listed. Without the check one of the hosts that are not candidates,
+// 85 in one fleet, would get the lease at each start of a fleet, before the first table.
 func (p *Planner) plannerExpected(now bootclock.Time, v *view.View) bool {
 	if len(v.Tables) > 0 {
 		return true
@@ -250,10 +244,9 @@
 }
 
 // ShouldStepDown reports whether this host is the planner without being a
-// candidate and can give up the lease now. It first plans for stepDownAfterTTLs
-// lease TTLs: by then the other non-candidates have seen a planner and their
-// memberships have lapsed, so the lease goes to a candidate. The caller must
-// check that there is one.
+// candidate and may step down now: after stepDownAfterTTLs lease TTLs the
+// other non-candidates have seen a planner and their memberships have lapsed, so the
+// lease goes to a candidate. The caller must check that there is one.
 func (p *Planner) ShouldStepDown(now bootclock.Time) bool {
 	heldLongEnough := now.Sub(p.lease.acquiredAt) > time.Duration(stepDownAfterTTLs*float64(p.opts.LeaseTTL))
 	return !p.opts.Candidate && p.IsPlanner(now) && !p.lease.requestInFlight && heldLongEnough
@@ -407,7 +400,7 @@
 func (p *Planner) LogReconnected(now bootclock.Time) { p.plannerSeenAt = now }
 
 // PlannerLost brings the next lease request forward, because the planner did
-// not answer or is no longer the planner. The election reassigns the lease
+// not respond or is no longer the planner. The election reassigns the lease
 // whenever a member joins or leaves; this host may hold it already and learns
 // that only from its next request.
 func (p *Planner) PlannerLost() {
@@ -417,8 +410,7 @@
 }
 
 // BeginShutdown begins a planned shutdown: this host leaves the election and requests
-// the lease no more. If it is the planner, it starts no more moves but goes on
-// renewing its grants until its last lease renewal is older than MaxViewAge or
-// it learns of a newer planner, so that no grant expires before the next planner
-// renews it.
+// the lease no more. A planner starts no more moves but continues to renew its grants
+// until its last lease renewal is older than MaxRenewalAge or it learns of a newer
+// planner, so that no grant expires before the next planner renews it.
 func (p *Planner) BeginShutdown() { p.shuttingDown = true }
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -74,7 +74,7 @@
 }
 
 // RetireDone handles the result of a Retire: the name of the host that
-// answered, and whether it has retired. A process that was started after the
+// responded, and whether it has retired. A process that was started after the
 // term began always has.
 func (p *Planner) RetireDone(r *Retire, host string, retired bool, now bootclock.Time) {
 	t := p.terms[r.Service]
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -42,7 +42,7 @@
 // Guards against two owners when the planner changes often and each planner is
 // partitioned from some upstreams and from the log. A replaced planner can then still
 // reach upstreams that later planners consider lost, and sends them grants until
-// MaxViewAge after its last lease renewal.
+// MaxRenewalAge after its last lease renewal.
 func TestNoKeyHasTwoOwnersWhilePlannersArePartitioned(t *testing.T) {
 	partitions := faults{answerLost: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
 	seeds := uint64(120)
@@ -83,7 +83,7 @@
 
 // While a planner stalls for 4.5 s, the next one moves a range off an owner that has
 // acknowledged its token. The owner restarts and forgets the token. When the first planner
-// resumes, still within MaxViewAge, it must not renew the grant of that range. It does if
+// resumes, still within MaxRenewalAge, it must not renew the grant of that range. It does if
 // planners may open connections for grants at any time.
 func TestRestartedUpstreamGetsNoGrantFromReplacedPlanner(t *testing.T) {
 	simulate := func(dialsAllowed bool) error {
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -18,11 +18,11 @@
 	// maybeGrantedAt is when the last grant that may have reached the server completed.
 	maybeGrantedAt bootclock.Time
 	grantSent      bool
-	// unansweredAt is when the last grant without an answer was given up. It
+	// unansweredAt is when the last grant without a response was given up. It
 	// may take effect late, even after a release.
 	unansweredAt  bootclock.Time
 	hasUnanswered bool
-	// answeredAt is when the server last answered, or was first sent a grant.
+	// answeredAt is when the server last responded, or was first sent a grant.
 	answeredAt bootclock.Time
 	// ackedSpans are the spans for which the server has acknowledged this term's token.
 	ackedSpans []span
@@ -32,8 +32,8 @@
 	// grant. Until excludedUntil it gets no keys.
 	exclusions    int
 	excludedUntil bootclock.Time
-	// unresponsive is set when a grant fails and the server has answered none for
-	// unresponsiveAfterFraction of the grant TTL.
+	// unresponsive is set when a grant fails and the server has responded to none
+	// for unresponsiveAfterFraction of the grant TTL.
 	unresponsive bool
 }
 
@@ -69,7 +69,7 @@
 }
 
 // forPastIncarnation reports whether the grant was meant for an incarnation
-// that has ended. Its result says nothing about the current one.
+// that has ended. Its result does not apply to the current one.
 func (srv *serverState) forPastIncarnation(g *Grant) bool {
 	return catalogue.IsLaterIncarnation(srv.incarnation, g.Range.Owner)
 }
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -79,7 +79,7 @@
 	leaving bool
 	// incarnation counts its restarts. Each one forgets all grants and tokens.
 	incarnation int
-	// answersLostUntil is when most of its answers stop getting lost.
+	// answersLostUntil is when most of its responses stop getting lost.
 	answersLostUntil bootclock.Time
 	grants           []simGrant
 	// tokensSeen holds the highest fencing token seen for each span of keys.
@@ -258,7 +258,7 @@
 	deliver(func() { h.planner.AcquireLeaseDone(a, held, nil, s.now) })
 }
 
-// retire asks another host to retire. A stalled host does not answer.
+// retire asks another host to retire. A stalled host does not respond.
 func (s *simulation) retire(h *simHost, r *Retire, deliver func(func())) {
 	planner := h.planner
 	i := slices.IndexFunc(s.hosts, func(other *simHost) bool { return other.name == r.Host })
@@ -303,15 +303,15 @@
 	}
 }
 
-// answerOutageLossRate is the fraction of an upstream's answers lost during an answer outage.
+// answerOutageLossRate is the fraction of an upstream's responses lost during a response outage.
 const answerOutageLossRate = 0.85
 
-// callTimeout is how long a host waits for the answer to a call.
+// callTimeout is how long a host waits for the response to a call.
 const callTimeout = 300 * time.Millisecond
 
 // callUpstream delivers a call after a short network delay, unless a fault prevents
 // it, and passes the result to done. The upstream executes the call on arrival and
-// answers after work.
+// responds after work.
 func (s *simulation) callUpstream(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayArriveLate bool, done func(error)) {
 	if s.now.Before(h.unreachableUntil[id]) || !s.upstream(id).up {
 		err := ownership.ErrNotSent
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -10,16 +10,16 @@
 
 // faults holds the probability of each fault, per call or per second.
 type faults struct {
-	answerLost        float64 // per call: executed, answer lost
-	grantLate         float64 // per grant: executed 2 to 12 s later, no answer
-	answerOutage      float64 // per second: most of an upstream's answers are lost for a while
+	answerLost        float64 // per call: executed, response lost
+	grantLate         float64 // per grant: executed 2 to 12 s later, no response
+	answerOutage      float64 // per second: most of an upstream's responses are lost for a while
 	upstreamPartition float64 // per second: a host cannot reach an upstream for a while
-	appendAnswerLost  float64 // per append: record written, answer lost
+	appendAnswerLost  float64 // per append: record written, response lost
 	appendLate        float64 // per append: record written 1 to 6 s later if the stream still ends at the expected offset
 	logPartition      float64 // per second: the log service rejects a host's calls for a while
 	leaseChange       float64 // per second: the planner lease goes to a random host
 	stall             float64 // per second: a host stalls for a while
-	crash             float64 // per second: an upstream ends for good; a new one registers
+	crash             float64 // per second: an upstream crashes for good; a new one registers
 	restart           float64 // per second: an upstream restarts under its ID
 	leave             float64 // per second: an upstream starts to leave; a new one registers
 	hostRestart       float64 // per second: a host restarts
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -158,7 +158,7 @@
 	}
 	base := t.table
 	if base == nil {
-		// The first record assigns no keys yet. It tells the other hosts which
+		// The first record assigns no keys yet. It shows the other hosts which
 		// planner to follow before each of them has read the log for itself.
 		base = ownership.NewTable(t.name)
 	}
@@ -217,7 +217,7 @@
 }
 
 // drainingOrCold reports whether a listed upstream may own no keys now, even if
-// it answers, because it is draining, or cold while cold upstreams get no keys.
+// it responds, because it is draining, or cold while cold upstreams get no keys.
 func (t *term) drainingOrCold(u *catalogue.Upstream) bool {
 	return u.Draining() || (t.excludeCold && t.p.Cold(u))
 }
