--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -52,7 +52,7 @@
 	maxEntryWriteDelay = 2 * time.Second
 	// sampleSize is how many upstreams of the local data centre, and how many of the
 	// others, are compared for a request. The best of all would be the same upstream
-	// on every host of a large fleet, as the hosts share their load figures.
+	// on every host of a large fleet, as the hosts share their load statistics.
 	sampleSize = 3
 	// slowStartLatencyFactor is how many times slower an upstream is during its slow start.
 	slowStartLatencyFactor = 2
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -19,9 +19,9 @@
 // in flight the first looks idle, but its limiter would delay or refuse the request.
 func TestPickAvoidsUpstreamAtItsAdmissionLimit(t *testing.T) {
 	p, ups := NewPicker("h"), twoUpstreams()
-	share := admission.HostLimitRange(3, 0, 100)
+	limitRange := admission.HostLimitRange(3, 0, 100)
 	for range 40 {
-		if tk := p.Limiter("a").Acquire(context.Background(), 0, share); tk != nil {
+		if tk := p.Limiter("a").Acquire(context.Background(), 0, limitRange); tk != nil {
 			tk.Done(admission.Overloaded, time.Millisecond)
 		}
 		time.Sleep(time.Millisecond)
--- a/internal/keyload/estimator.go
+++ b/internal/keyload/estimator.go
@@ -135,9 +135,9 @@
 		out.ByKey[k] = s.rate(v, now)
 		requests += v.usual.Value(usualTimeConstant, now)
 	}
-	typical := s.workTimes.Median(owners, now)
+	median := s.workTimes.Median(owners, now)
 	for _, u := range owners {
-		out.Capacity[u.ID] = float64(u.Slots) / s.workTimes.Estimate(u, typical, now)
+		out.Capacity[u.ID] = float64(u.Slots) / s.workTimes.Estimate(u, median, now)
 	}
 	out.Weight = loadWeights(out, owners)
 	return out, requests
--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -48,12 +48,12 @@
 
 // simulate ticks the Planner for d, completes each call with the error that respond
 // returns for it, and returns the calls.
-func (h *harness) simulate(d time.Duration, answer func(Action) error) []Action {
+func (h *harness) simulate(d time.Duration, respond func(Action) error) []Action {
 	var all []Action
 	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
 		for _, a := range h.p.Tick(h.now, h.publisher.Load()) {
 			all = append(all, a)
-			h.complete(a, answer(a))
+			h.complete(a, respond(a))
 		}
 	}
 	return all
@@ -92,14 +92,14 @@
 }
 
 // simulateUntilMoved simulates until upstream a owns no key and returns how long that took.
-func (h *harness) simulateUntilMoved(answer func(Action) error) time.Duration {
+func (h *harness) simulateUntilMoved(respond func(Action) error) time.Duration {
 	h.t.Helper()
 	start := h.now
 	for owns(h.table, "a") {
 		if h.now.Sub(start) > 30*time.Second {
 			h.t.Fatal("upstream a still owns keys after 30 s")
 		}
-		h.simulate(simStep, answer)
+		h.simulate(simStep, respond)
 	}
 	return h.now.Sub(start)
 }
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -38,7 +38,7 @@
 // An append is executed but its response is lost, so the retry fails because the stream
 // no longer ends at the expected offset. The planner must then read the stream, or every
 // later append would fail too.
-func TestPlannerReadsStreamAfterLostAppendAnswer(t *testing.T) {
+func TestPlannerReadsStreamAfterLostAppendResponse(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	if !h.p.SoleWriter(h.now) {
@@ -281,7 +281,7 @@
 		t.Error("the planner still relies on being the sole writer although grants were fenced")
 	}
 	if lost > 0 {
-		t.Errorf("%d upstreams that answered are considered lost", lost)
+		t.Errorf("%d upstreams that responded are considered lost", lost)
 	}
 }
 
@@ -344,7 +344,7 @@
 func TestSupersededPlannerMakesNoCalls(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
-	answer := func(a Action) error {
+	respond := func(a Action) error {
 		switch a.(type) {
 		case *AcquireLease:
 			return metastore.ErrRejected
@@ -358,7 +358,7 @@
 		if _, ok := a.(*AcquireLease); !ok && fencedAt != 0 && fencedAt != h.now {
 			t.Errorf("%v after a grant was fenced, the superseded planner made a call of type %T", h.now.Sub(fencedAt), a)
 		}
-		err := answer(a)
+		err := respond(a)
 		if _, ok := a.(*Grant); ok && fencedAt == 0 {
 			fencedAt = h.now
 		}
--- a/internal/planner/load_test.go
+++ b/internal/planner/load_test.go
@@ -50,7 +50,7 @@
 	for _, id := range ids[:30] {
 		unreachable[id] = true
 	}
-	answer := func(a Action) error {
+	respond := func(a Action) error {
 		switch a := a.(type) {
 		case *Grant:
 			if unreachable[a.Addr] {
@@ -63,7 +63,7 @@
 		}
 		return nil
 	}
-	h.simulate(testOptions.GrantTTL*7/10, answer)
+	h.simulate(testOptions.GrantTTL*7/10, respond)
 	if lost := len(h.table.Lost); lost != 30 {
 		t.Fatalf("setup: %d owners are lost, want 30", lost)
 	}
@@ -73,7 +73,7 @@
 	}
 	h.setBusyKeys(&first)
 	before := h.table
-	h.simulate(500*time.Millisecond, answer)
+	h.simulate(500*time.Millisecond, respond)
 	if moved := h.table.KeysMovedSince(before); moved == 0 {
 		t.Error("no key of an overloaded owner moved while other owners were lost")
 	}
@@ -83,7 +83,7 @@
 // lost. Keys taken from it now would have no owner until that grant has expired, 3 s
 // later; while they stay, requests for them are slow but served. They must move only
 // once the grant has expired.
-func TestNoLoadMoveWhileOwnersGrantIsUnanswered(t *testing.T) {
+func TestNoLoadMoveWhileOwnerHasNotRespondedToGrant(t *testing.T) {
 	h, ids := newHarnessWithOwners(t, 20)
 	overloaded := ids[7]
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
@@ -100,25 +100,25 @@
 		}
 		return ownership.Load{ByKey: byKey, Capacity: capacity}, 10 * minSamples
 	}
-	answerLost := false
-	answer := func(a Action) error {
-		if g, ok := a.(*Grant); ok && g.Addr == overloaded && !answerLost {
-			answerLost = true
+	responseLost := false
+	respond := func(a Action) error {
+		if g, ok := a.(*Grant); ok && g.Addr == overloaded && !responseLost {
+			responseLost = true
 			return ownership.ErrNoResponse
 		}
 		return nil
 	}
-	for !answerLost {
+	for !responseLost {
 		// Postpone the load check until a grant's response has been lost.
 		h.p.terms[simService].nextRebalance = h.now.Add(rebalanceInterval)
-		h.simulate(simStep, answer)
+		h.simulate(simStep, respond)
 	}
 	before := h.table
-	h.simulate(2*time.Second, answer)
+	h.simulate(2*time.Second, respond)
 	if n := len(h.p.terms[simService].moves); n > 0 {
 		t.Errorf("%d moves started while the response to the owner's grant was missing", n)
 	}
-	h.simulate(2*time.Second, answer)
+	h.simulate(2*time.Second, respond)
 	if h.table.KeysMovedSince(before) == 0 {
 		t.Error("no key moved off the overloaded owner after the grant without a response had expired")
 	}
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -101,7 +101,7 @@
 // moved for it now.
 func (t *term) loadAndLimits(owners []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
 	load, samples := t.p.Load(t.name, owners)
-	load.SlowToMove = t.ownersWithUnansweredGrants(owners, now)
+	load.SlowToMove = t.ownersWithoutResponse(owners, now)
 	if t.noKeyAssigned() {
 		// Requests that were refused because no key has an owner show little
 		// about load: after ten of them, those ten keys would be spread out and
@@ -118,15 +118,15 @@
 	return load, lim
 }
 
-// ownersWithUnansweredGrants returns the owners that recently did not
+// ownersWithoutResponse returns the owners that recently did not
 // respond to a grant. It may still take effect, so keys taken from them have no owner
 // until it expires: 3 s instead of the duration of the requests in flight. With
 // 6% of the responses lost, nine tenths of all load moves would wait that long.
-func (t *term) ownersWithUnansweredGrants(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
+func (t *term) ownersWithoutResponse(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
 	for _, u := range owners {
 		srv := t.server(u.ID)
-		if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= t.p.opts.maxGrantValidity() {
+		if srv.hadNoResponse && now.Sub(srv.noResponseAt) <= t.p.opts.maxGrantValidity() {
 			out[u.ID] = true
 		}
 	}
@@ -342,7 +342,7 @@
 			return false
 		}
 		srv := t.server(u.ID)
-		srv.unresponsive, srv.answeredAt = false, now
+		srv.unresponsive, srv.respondedAt = false, now
 		return true
 	})
 	t.syncGrants(now)
@@ -357,7 +357,7 @@
 		return false
 	}
 	srv.unresponsive = false
-	srv.answeredAt = now
+	srv.respondedAt = now
 	t.moves = slices.DeleteFunc(t.moves, func(m *move) bool { return m.old.Owner == id && m.releaseInFlight == nil })
 	t.syncGrants(now)
 	return true
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -33,9 +33,9 @@
 	next := New(testOptions)
 	next.opts.Host = "other"
 	// The next planner's host follows the log throughout.
-	run := func(d time.Duration, answer func(Action) error) {
+	run := func(d time.Duration, respond func(Action) error) {
 		for end := h.now.Add(d); h.now.Before(end); {
-			h.simulate(simStep, answer)
+			h.simulate(simStep, respond)
 			next.observeView(h.now, h.publisher.Load())
 		}
 	}
@@ -90,7 +90,7 @@
 // An upstream executes all calls, but its responses get lost for 2 s, so it is considered
 // lost. When it responds to a release it must get its keys back: moved elsewhere, they would
 // have no owner until all grants that it may have received have expired.
-func TestOwnerThatAnswersAgainKeepsItsKeys(t *testing.T) {
+func TestOwnerThatRespondsAgainKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
 	lossUntil := h.now.Add(2 * time.Second)
@@ -124,11 +124,11 @@
 // lost and two of its ranges are being released. It responds to one release, so it may keep
 // its keys. Later, load requires moves off the upstream, and the response to the other
 // release arrives. It must not move a range that the upstream has been granted again.
-func TestAnswerToEarlierReleaseIsIgnored(t *testing.T) {
+func TestResponseToEarlierReleaseIsIgnored(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(12*time.Second, succeedAll)
 	var releases []*Release
-	answersLost := true
+	responsesLost := true
 	onGrant := func(*Grant) {}
 	step := func(d time.Duration) {
 		for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(simStep) {
@@ -138,7 +138,7 @@
 					releases = append(releases, a)
 				case *Grant:
 					onGrant(a)
-					if answersLost && a.Addr == "a" {
+					if responsesLost && a.Addr == "a" {
 						h.complete(a, ownership.ErrNoResponse)
 						continue
 					}
@@ -152,7 +152,7 @@
 	for len(releases) < 2 {
 		step(simStep)
 	}
-	answersLost = false
+	responsesLost = false
 	firstRelease, secondRelease := releases[0], releases[1]
 	regranted := false
 	onGrant = func(g *Grant) {
@@ -237,7 +237,7 @@
 // confirmation by a host of another name at its address must not count; the keys then
 // wait for all grants that the previous planner may send, 9.2 s.
 func TestLostOwnersKeysDoNotWaitForRetiredPlanner(t *testing.T) {
-	timeUntilMoved := func(answeringHost string) time.Duration {
+	timeUntilMoved := func(respondingHost string) time.Duration {
 		h := newHarness(t, "a", "b")
 		h.simulate(12*time.Second, succeedAll)
 		h.table = h.tableOfOtherPlanner()
@@ -248,7 +248,7 @@
 		h.publishView()
 		return h.simulateUntilMoved(func(a Action) error {
 			if r, ok := a.(*Retire); ok {
-				h.p.RetireDone(r, answeringHost, true, h.now)
+				h.p.RetireDone(r, respondingHost, true, h.now)
 			}
 			return upstreamAUnresponsive(a)
 		})
@@ -322,7 +322,7 @@
 	h.simulate(12*time.Second, succeedAll)
 	// Grants without a response keep the keys at their owner until they expire; the
 	// partition ends before that.
-	answersLost := func(a Action) error {
+	responsesLost := func(a Action) error {
 		switch a := a.(type) {
 		case *Grant:
 			if a.Addr == "a" {
@@ -333,12 +333,12 @@
 		}
 		return nil
 	}
-	h.simulate(1800*time.Millisecond, answersLost)
+	h.simulate(1800*time.Millisecond, responsesLost)
 	leaving := *h.upstreams["a"]
 	leaving.Leaving = true
 	h.upstreams["a"] = &leaving
 	h.publishView()
-	h.simulate(900*time.Millisecond, answersLost)
+	h.simulate(900*time.Millisecond, responsesLost)
 	h.simulate(500*time.Millisecond, succeedAll)
 	returned := leaving
 	returned.Leaving = false
--- a/internal/planner/record.go
+++ b/internal/planner/record.go
@@ -26,7 +26,7 @@
 	if m.old.FencingToken <= t.firstFencingToken && !t.previousGrantsExpired(m, now) {
 		return false
 	}
-	if srv.hasUnanswered && now.Sub(srv.unansweredAt) <= maxValidity {
+	if srv.hadNoResponse && now.Sub(srv.noResponseAt) <= maxValidity {
 		return false
 	}
 	return m.released || !srv.grantSent || now.Sub(srv.maybeGrantedAt) > maxValidity
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -18,12 +18,12 @@
 	// maybeGrantedAt is when the last grant that may have reached the server completed.
 	maybeGrantedAt bootclock.Time
 	grantSent      bool
-	// unansweredAt is when the last grant without a response was given up. It
-	// may take effect late, even after a release.
-	unansweredAt  bootclock.Time
-	hasUnanswered bool
-	// answeredAt is when the server last responded, or was first sent a grant.
-	answeredAt bootclock.Time
+	// noResponseAt is when the last grant without a response was given up, hadNoResponse
+	// whether there was one. It may take effect late, even after a release.
+	noResponseAt  bootclock.Time
+	hadNoResponse bool
+	// respondedAt is when the server last responded, or was first sent a grant.
+	respondedAt bootclock.Time
 	// ackedSpans are the spans for which the server has acknowledged this term's token.
 	ackedSpans []span
 	// throttles limits the events for failed calls.
@@ -54,12 +54,12 @@
 	}
 	switch {
 	case errors.Is(err, ownership.ErrNoResponse):
-		srv.hasUnanswered = true
-		srv.unansweredAt = now
+		srv.hadNoResponse = true
+		srv.noResponseAt = now
 	case errors.Is(err, ownership.ErrFenced):
-		srv.answeredAt = now
+		srv.respondedAt = now
 	case err == nil && !srv.forPastIncarnation(g):
-		srv.answeredAt = now
+		srv.respondedAt = now
 		srv.exclusions = 0
 		srv.ackedSpans = append(srv.ackedSpans, span{g.Range.From, g.Range.To})
 		if len(srv.ackedSpans) > maxAckedSpans {
@@ -80,7 +80,7 @@
 	srv.incarnation = incarnation
 	srv.ackedSpans = nil
 	srv.unresponsive, srv.exclusions, srv.excludedUntil = false, 0, 0
-	srv.answeredAt = now
+	srv.respondedAt = now
 }
 
 // maxAckedSpans bounds the spans kept per server. It must be at least the number
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -79,9 +79,9 @@
 	leaving bool
 	// incarnation counts its restarts. Each one forgets all grants and tokens.
 	incarnation int
-	// answersLostUntil is when most of its responses stop getting lost.
-	answersLostUntil bootclock.Time
-	grants           []simGrant
+	// responsesLostUntil is when most of its responses stop getting lost.
+	responsesLostUntil bootclock.Time
+	grants             []simGrant
 	// tokensSeen holds the highest fencing token seen for each span of keys.
 	tokensSeen []simGrant
 }
@@ -263,7 +263,7 @@
 	planner := h.planner
 	i := slices.IndexFunc(s.hosts, func(other *simHost) bool { return other.name == r.Host })
 	peer := s.hosts[i]
-	if s.now.Before(peer.stalledUntil) || s.rng.Float64() < s.faults.answerLost {
+	if s.now.Before(peer.stalledUntil) || s.rng.Float64() < s.faults.responseLost {
 		s.after(callTimeout, func() { deliver(func() { planner.RetireDone(r, "", false, s.now) }) })
 		return
 	}
@@ -292,10 +292,10 @@
 	switch x := s.rng.Float64(); {
 	case s.now.Before(h.logUnreachableUntil):
 		done(metastore.ErrRejected)
-	case x < s.faults.appendAnswerLost:
+	case x < s.faults.appendResponseLost:
 		_ = write()
 		done(metastore.ErrNoResponse)
-	case x < s.faults.appendAnswerLost+s.faults.appendLate:
+	case x < s.faults.appendResponseLost+s.faults.appendLate:
 		s.after(s.randomDuration(time.Second, 6*time.Second), func() { _ = write() })
 		done(metastore.ErrNoResponse)
 	default:
@@ -303,8 +303,8 @@
 	}
 }
 
-// answerOutageLossRate is the fraction of an upstream's responses lost during a response outage.
-const answerOutageLossRate = 0.85
+// responseOutageLossRate is the fraction of an upstream's responses lost during a response outage.
+const responseOutageLossRate = 0.85
 
 // callTimeout is how long a host waits for the response to a call.
 const callTimeout = 300 * time.Millisecond
@@ -325,10 +325,10 @@
 	s.after(s.randomDuration(time.Millisecond, 40*time.Millisecond), func() {
 		arrived := s.now
 		switch {
-		case x < s.faults.answerLost, x < answerOutageLossRate && s.now.Before(s.upstream(id).answersLostUntil):
+		case x < s.faults.responseLost, x < responseOutageLossRate && s.now.Before(s.upstream(id).responsesLostUntil):
 			_ = do(arrived)
 			s.after(callTimeout, func() { done(ownership.ErrNoResponse) })
-		case mayArriveLate && x < s.faults.answerLost+s.faults.grantLate:
+		case mayArriveLate && x < s.faults.responseLost+s.faults.grantLate:
 			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
 			s.after(callTimeout, func() { done(ownership.ErrNoResponse) })
 		default:
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -10,19 +10,19 @@
 
 // faults holds the probability of each fault, per call or per second.
 type faults struct {
-	answerLost        float64 // per call: executed, response lost
-	grantLate         float64 // per grant: executed 2 to 12 s later, no response
-	answerOutage      float64 // per second: most of an upstream's responses are lost for a while
-	upstreamPartition float64 // per second: a host cannot reach an upstream for a while
-	appendAnswerLost  float64 // per append: record written, response lost
-	appendLate        float64 // per append: record written 1 to 6 s later if the stream still ends at the expected offset
-	logPartition      float64 // per second: the log service rejects a host's calls for a while
-	leaseChange       float64 // per second: the planner lease goes to a random host
-	stall             float64 // per second: a host stalls for a while
-	crash             float64 // per second: an upstream crashes for good; a new one registers
-	restart           float64 // per second: an upstream restarts under its ID
-	leave             float64 // per second: an upstream starts to leave; a new one registers
-	hostRestart       float64 // per second: a host restarts
+	responseLost       float64 // per call: executed, response lost
+	grantLate          float64 // per grant: executed 2 to 12 s later, no response
+	responseOutage     float64 // per second: most of an upstream's responses are lost for a while
+	upstreamPartition  float64 // per second: a host cannot reach an upstream for a while
+	appendResponseLost float64 // per append: record written, response lost
+	appendLate         float64 // per append: record written 1 to 6 s later if the stream still ends at the expected offset
+	logPartition       float64 // per second: the log service rejects a host's calls for a while
+	leaseChange        float64 // per second: the planner lease goes to a random host
+	stall              float64 // per second: a host stalls for a while
+	crash              float64 // per second: an upstream crashes for good; a new one registers
+	restart            float64 // per second: an upstream restarts under its ID
+	leave              float64 // per second: an upstream starts to leave; a new one registers
+	hostRestart        float64 // per second: a host restarts
 }
 
 // busyRegionSize is the number of adjacent keys that have all the load.
@@ -68,8 +68,8 @@
 		if !u.up || !u.listed || u.leaving {
 			continue
 		}
-		if s.faultOccurs(s.faults.answerOutage, simStep) {
-			u.answersLostUntil = s.now.Add(s.randomDuration(1500*time.Millisecond, 4*time.Second))
+		if s.faultOccurs(s.faults.responseOutage, simStep) {
+			u.responsesLostUntil = s.now.Add(s.randomDuration(1500*time.Millisecond, 4*time.Second))
 		}
 		next := fmt.Sprintf("u%d", len(s.upstreams))
 		switch {
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -301,7 +301,7 @@
 		}
 		srv := t.server(u.ID)
 		if srv.grantsInFlight == 0 && !srv.grantSent {
-			srv.answeredAt = now
+			srv.respondedAt = now
 		}
 		srv.grantsInFlight++
 		srv.grantSent = true
@@ -333,9 +333,9 @@
 	if ag != nil {
 		ag.nextSendAt = now.Add(grantRetryDelay)
 	}
-	if !srv.unresponsive && !srv.forPastIncarnation(g) && now.Sub(srv.answeredAt) > time.Duration(unresponsiveAfterFraction*float64(t.p.opts.GrantTTL)) {
+	if !srv.unresponsive && !srv.forPastIncarnation(g) && now.Sub(srv.respondedAt) > time.Duration(unresponsiveAfterFraction*float64(t.p.opts.GrantTTL)) {
 		srv.unresponsive = true
-		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(srv.answeredAt), Err: err})
+		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(srv.respondedAt), Err: err})
 	}
 }
 
