--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -14,7 +14,7 @@
 
 var testOptions = Options{Candidate: true, GrantTTL: 3 * time.Second, MaxRenewalAge: 6 * time.Second, LeaseTTL: 1200 * time.Millisecond}
 
-var allFaults = faults{answerLost: 0.05, grantLate: 0.05, answerOutage: 0.05, upstreamPartition: 0.01, appendAnswerLost: 0.1, appendLate: 0.1, logPartition: 0.05,
+var allFaults = faults{responseLost: 0.05, grantLate: 0.05, responseOutage: 0.05, upstreamPartition: 0.01, appendResponseLost: 0.1, appendLate: 0.1, logPartition: 0.05,
 	leaseChange: 0.1, stall: 0.03, crash: 0.01, restart: 0.02, leave: 0.02, hostRestart: 0.03}
 
 // No key may ever have two owners. Three hosts are planner in turn while calls and
@@ -42,9 +42,9 @@
 // Guards against two owners when the planner changes often and each planner is
 // partitioned from some upstreams and from the log. A replaced planner can then still
 // reach upstreams that later planners consider lost, and sends them grants until
-// MaxViewAge after its last lease renewal.
+// MaxRenewalAge after its last lease renewal.
 func TestNoKeyHasTwoOwnersWhilePlannersArePartitioned(t *testing.T) {
-	partitions := faults{answerLost: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
+	partitions := faults{responseLost: 0.02, appendResponseLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
 	seeds := uint64(120)
 	if testing.Short() {
 		seeds = 10
@@ -61,7 +61,7 @@
 
 // restartFaults combines partitions between planners and the log with frequent
 // restarts of upstreams.
-var restartFaults = faults{answerLost: 0.02, grantLate: 0.02, appendAnswerLost: 0.02, upstreamPartition: 0.05, logPartition: 0.25, leaseChange: 0.3, stall: 0.05, restart: 0.15}
+var restartFaults = faults{responseLost: 0.02, grantLate: 0.02, appendResponseLost: 0.02, upstreamPartition: 0.05, logPartition: 0.25, leaseChange: 0.3, stall: 0.05, restart: 0.15}
 
 // Guards against two owners when planners that are partitioned from the log go on
 // renewing grants while upstreams restart under the same ID at any point of a move. A
@@ -83,7 +83,7 @@
 
 // While a planner stalls for 4.5 s, the next one moves a range off an owner that has
 // acknowledged its token. The owner restarts and forgets the token. When the first planner
-// resumes, still within MaxViewAge, it must not renew the grant of that range. It does if
+// resumes, still within MaxRenewalAge, it must not renew the grant of that range. It does if
 // planners may open connections for grants at any time.
 func TestRestartedUpstreamGetsNoGrantFromReplacedPlanner(t *testing.T) {
 	simulate := func(dialsAllowed bool) error {
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -158,7 +158,7 @@
 	}
 	base := t.table
 	if base == nil {
-		// The first record assigns no keys yet. It tells the other hosts which
+		// The first record assigns no keys yet. It shows the other hosts which
 		// planner to follow before each of them has read the log for itself.
 		base = ownership.NewTable(t.name)
 	}
@@ -217,7 +217,7 @@
 }
 
 // drainingOrCold reports whether a listed upstream may own no keys now, even if
-// it answers, because it is draining, or cold while cold upstreams get no keys.
+// it responds, because it is draining, or cold while cold upstreams get no keys.
 func (t *term) drainingOrCold(u *catalogue.Upstream) bool {
 	return u.Draining() || (t.excludeCold && t.p.Cold(u))
 }
@@ -301,7 +301,7 @@
 		}
 		srv := t.server(u.ID)
 		if srv.grantsInFlight == 0 && !srv.grantSent {
-			srv.answeredAt = now
+			srv.respondedAt = now
 		}
 		srv.grantsInFlight++
 		srv.grantSent = true
@@ -333,9 +333,9 @@
 	if ag != nil {
 		ag.nextSendAt = now.Add(grantRetryDelay)
 	}
-	if !srv.unresponsive && !srv.forPastIncarnation(g) && now.Sub(srv.answeredAt) > time.Duration(unresponsiveAfterFraction*float64(t.p.opts.GrantTTL)) {
+	if !srv.unresponsive && !srv.forPastIncarnation(g) && now.Sub(srv.respondedAt) > time.Duration(unresponsiveAfterFraction*float64(t.p.opts.GrantTTL)) {
 		srv.unresponsive = true
-		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(srv.answeredAt), Err: err})
+		t.p.OnEvent(Event{Kind: UpstreamLost, Service: t.name, Upstream: g.Range.Owner, Age: now.Sub(srv.respondedAt), Err: err})
 	}
 }
 
