--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -20,11 +20,11 @@
 	// initialLimit lets a dozen hosts send a burst at once; an upstream has
 	// 3 to 6 slots.
 	initialLimit = 4.0
-	// minLimit is the highest value of MinLimit, which is lower in large fleets.
+	// maxMinLimit is the highest LimitRange.MinLimit; in large fleets MinLimit is lower.
 	// Below 1, requests are spaced out in time; a dozen hosts with a limit of 1
 	// each would keep 12 requests at an upstream of 3 slots.
-	minLimit = 0.25
-	maxLimit = 32.0
+	maxMinLimit = 0.25
+	maxLimit    = 32.0
 	// limitIncrease is the limit's increase per round trip: each InTime signal
 	// adds limitIncrease/limit, or limitIncrease while the limit is below 1.
 	// Hosts of a large fleet, whose MinLimit is lower, add proportionally less.
@@ -87,7 +87,7 @@
 
 // NewLimiter returns a limiter for an upstream of which nothing is known.
 func NewLimiter() *Limiter {
-	return &Limiter{limit: initialLimit, limitRange: LimitRange{MaxLimit: maxLimit, MinLimit: minLimit}, latency: initialLatency}
+	return &Limiter{limit: initialLimit, limitRange: LimitRange{MaxLimit: maxLimit, MinLimit: maxMinLimit}, latency: initialLatency}
 }
 
 // LimitRange is the range of a host's limit for an upstream that all hosts of a
@@ -117,7 +117,7 @@
 // their number is unlimited. The sum of all hosts' minimum limits is at most
 // maxMinLimitSumPerSlot times the slots, whatever the size of the fleet.
 func HostLimitRange(slots, maxConnections, hosts int) LimitRange {
-	r := LimitRange{MaxLimit: maxLimit, MinLimit: min(minLimit, maxMinLimitSumPerSlot*float64(slots)/float64(hosts))}
+	r := LimitRange{MaxLimit: maxLimit, MinLimit: min(maxMinLimit, maxMinLimitSumPerSlot*float64(slots)/float64(hosts))}
 	if maxConnections > 0 {
 		// An upstream resets connections above maxConnections, and the requests on them may
 		// have run: callers would get a 502. A host opens a connection only while all its
@@ -191,8 +191,8 @@
 	l.limitRange = r
 }
 
-// scale is the ratio of MinLimit to its highest value, minLimit.
-func (r LimitRange) scale() float64 { return r.MinLimit / minLimit }
+// scale is the ratio of MinLimit to maxMinLimit.
+func (r LimitRange) scale() float64 { return r.MinLimit / maxMinLimit }
 
 // InFlight returns the number of requests in flight.
 func (l *Limiter) InFlight() int {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -184,7 +184,7 @@
 			time.Sleep(minDecreaseInterval)
 			ticket.Done(Overloaded, 0)
 		}
-		if l.limit != minLimit {
+		if l.limit != maxMinLimit {
 			t.Fatalf("limit %v after 20 Overloaded signals, want the minimum", l.limit)
 		}
 		start := time.Now()
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -22,8 +22,9 @@
 	Served Outcome = iota
 	// Overloaded means that the upstream rejected the request for lack of capacity.
 	Overloaded
-	// ConnRejected means that a new connection was reset or closed right after it was
-	// accepted: the upstream has too many, or a proxy in front of it cannot reach it.
+	// ConnRejected means that a new connection was reset while it was opened, or reset or
+	// closed right after it was accepted: the upstream has too many, or a proxy in front
+	// of it cannot reach it.
 	ConnRejected
 	// Failed means that the upstream could not be reached, responded with a server error,
 	// or did not respond in time.
@@ -83,9 +84,10 @@
 }
 
 // slowStartUntil returns when the upstream's slow start ends: u.SlowUntil, as its entry
-// states. If the upstream seemed to have crashed, the server may have restarted under its
-// ID, with an entry not read yet: the slow start then ends slowStart after now until the first
-// response, and after it slowStart after that response or at u.SlowUntil, whichever is later.
+// states. If the upstream seemed to have crashed, a later incarnation may already listen at
+// its address, with an entry that this host has not read yet. Until the first response after
+// the crash, the slow start is taken to begin now and ends at now+slowStart. From then on it
+// ends at recoveredAt+slowStart or u.SlowUntil, whichever is later.
 func (st *upstreamState) slowStartUntil(u *catalogue.Upstream, slowStart time.Duration, now time.Time) time.Time {
 	switch {
 	case st.crashedAt.IsZero():
@@ -371,7 +373,8 @@
 // cost returns the expected time to a response: the mean of an estimate from this host's own
 // requests, more recent in a small fleet, where each host sends to an upstream often, and one
 // from the load of all hosts of the data centre, more accurate in a large one. It includes the
-// wait for this host's limiter: Pick must not return an idle upstream that may get none yet.
+// wait for this host's limiter: without it, Pick would prefer an idle upstream to which the
+// limiter admits no request yet.
 func (st *upstreamState) cost(u *catalogue.Upstream, now time.Time) time.Duration {
 	s := st.limiter.State()
 	c := s.Latency + s.Latency*time.Duration(s.InFlight)/time.Duration(u.Slots)
--- a/internal/crashes/correlation.go
+++ b/internal/crashes/correlation.go
@@ -6,8 +6,9 @@
 	// correlationWindow is the largest distance in time between failures that count as
 	// one event.
 	correlationWindow = time.Second
-	// minCorrelatedServers is the number of servers from which failures at one moment
-	// count as correlated. Independent broken sends affect fewer servers a second.
+	// minCorrelatedServers is the minimum number of servers with failures within
+	// correlationWindow for these to count as correlated. Independent broken sends affect
+	// fewer servers a second.
 	minCorrelatedServers = 4
 	// maxFailures bounds the failures that are kept. A network partition of a data centre
 	// breaks some hundreds of sends at one host.
--- a/internal/crashes/tracker.go
+++ b/internal/crashes/tracker.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// RefusalThreshold is the number of crashed servers from which a fingerprint is refused.
+	// RefusalThreshold is the number of crashed servers at which a fingerprint is refused.
 	// One or two crashes may be chance: a crash also breaks the server's other requests, and
 	// a retry of one may meet a second crash. A higher threshold costs all other callers, as
-	// the keys of each crashed server are unserved until its grant expires, some three seconds.
+	// the keys of each crashed server are unserved for up to the grant TTL, 3 s by default.
 	RefusalThreshold = 3
 	// Retention is how long a crash counts. A fingerprint is allowed again a day later:
 	// the servers may run a version by then that survives it; if not, it crashes at most
@@ -26,8 +26,10 @@
 // server may have crashed or not, are described by the same fields.
 type Crash struct {
 	Fingerprint Fingerprint
-	// Server identifies the incarnation that crashed, by its ID in the catalogue if it
-	// has one. A restarted server is another incarnation, and its crash counts again.
+	// Server identifies the incarnation that crashed: its ID in the catalogue (see
+	// catalogue.IncarnationID), or in package router, which has no such IDs, the server's
+	// name and the time window of the crash. A restarted server is another incarnation,
+	// and its crash counts again.
 	Server string
 	// At is when the crash was observed.
 	At time.Time
--- a/internal/dispatch/broken.go
+++ b/internal/dispatch/broken.go
@@ -74,9 +74,11 @@
 )
 
 // unresolvedBrokenSendList holds broken sends whose upstream may have crashed although its
-// port is open: a proxy or load balancer keeps listening, or it restarted at once. The crash
-// shows when its entry in the log, which is of one incarnation, is removed or replaced by a
-// later one's. A send has the type Crash although it is not known yet whether it is one.
+// port is open: a proxy or load balancer in front of it keeps listening, or the upstream
+// restarted at once. An upstream's catalogue ID identifies one incarnation (by server and
+// start time, see catalogue.IncarnationID), so a crash shows when the ID is missing or
+// Unlisted: the entry was removed, or that of a later incarnation replaced it. A send has the
+// type Crash although it is not known yet whether it is one.
 type unresolvedBrokenSendList struct {
 	mu    sync.Mutex
 	sends []crashes.Crash
@@ -90,9 +92,9 @@
 	}
 }
 
-// resolve returns the broken sends whose upstream is now known to have crashed: its entry
-// is gone. It drops those, and the ones whose upstream is leaving as planned or still has
-// its entry after crashDetectionTimeout.
+// resolve returns the broken sends whose upstream is now known to have crashed: its ID is
+// missing or Unlisted. It drops those, and the ones whose upstream is leaving as planned or
+// is still listed after crashDetectionTimeout.
 func (s *unresolvedBrokenSendList) resolve(upstreams *catalogue.Snapshot, now time.Time) (crashed []crashes.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,11 +116,12 @@
 	}
 }
 
-// refusedFor returns how much longer requests with req's fingerprint are refused; 0 if not, or
-// if req is the trial, which it becomes if one is due. Without refusals the retries of one
-// request crash an owner of its key about every second, or dozens of upstreams of an unkeyed
-// service. Each crash leaves keys unserved until the owner's grant expires.
-func (d *Dispatcher) refusedFor(req *request) time.Duration {
+// refusedForUnlessTrial returns how much longer requests with req's fingerprint are refused;
+// 0 if they are not, or if req is sent as the trial request. If a trial is due, it takes the
+// trial and marks req as the trial request. Without refusals the retries of one request crash
+// an owner of its key about every second, or dozens of upstreams of an unkeyed service. Each
+// crash leaves keys unserved until the owner's grant expires.
+func (d *Dispatcher) refusedForUnlessTrial(req *request) time.Duration {
 	if !d.crashes.HasCrashes() {
 		return 0
 	}
--- a/internal/dispatch/broken_test.go
+++ b/internal/dispatch/broken_test.go
@@ -137,9 +137,10 @@
 }
 
 // After a broken send at an upstream whose port is open, the upstream counts as
-// crashed if within crashDetectionTimeout its entry is removed (Unlisted) or replaced by
-// that of a later incarnation. It does not if it leaves as planned ("leaving"), keeps its
-// entry ("on"), or loses it only after crashDetectionTimeout ("on later gone").
+// crashed if within crashDetectionTimeout it is Unlisted because its entry was removed, or
+// its ID is missing because a later incarnation, whose ID differs, replaced its entry
+// ("replaced"). It does not if it leaves as planned ("leaving"), stays listed ("on"), or
+// is missing only after crashDetectionTimeout ("on later gone").
 func TestUpstreamsThatStayOrLeaveHaveNotCrashed(t *testing.T) {
 	now := time.Now()
 	var sends unresolvedBrokenSendList
--- a/internal/dispatch/choose.go
+++ b/internal/dispatch/choose.go
@@ -9,10 +9,10 @@
 	"github.com/papayatide/papayatide/internal/view"
 )
 
-// chooseUpstream returns the upstream for the next attempt. A request without a key that no
-// upstream has received yet is refused if the latency expected at the chosen one exceeds the
-// objective: in the queue there it would also delay the requests behind it. That latency
-// covers the requests in flight there from all hosts of this host's data centre.
+// chooseUpstream returns the upstream for the next attempt. An unkeyed request that has not
+// been sent to any upstream yet is refused if the latency expected at the chosen upstream
+// exceeds the objective: in the queue there it would also delay the requests behind it. That
+// latency covers the requests in flight there from all hosts of this host's data centre.
 func (d *Dispatcher) chooseUpstream(ctx context.Context, req *request) (*catalogue.Upstream, *Refusal) {
 	if req.key >= 0 {
 		return d.chooseOwner(ctx, req)
--- a/internal/dispatch/connections_test.go
+++ b/internal/dispatch/connections_test.go
@@ -19,13 +19,13 @@
 // callers, must open at most two, which is twice its equal share. Callers that cannot
 // be served in time must get 503 with a Retry-After header.
 func TestConnectionsAreSharedAmongHosts(t *testing.T) {
-	// Both counters are of all connections that were ever opened; neither decreases.
-	var totalOpened, maxTotalOpened atomic.Int64
+	// opened counts the connections ever opened; highestOpened is its highest value seen.
+	var opened, highestOpened atomic.Int64
 	var conns sync.Map
 	f := startUpstream(t, func(w io.Writer, c net.Conn, r *http.Request, _ int64) bool {
 		if _, known := conns.LoadOrStore(c, true); !known {
-			if n := totalOpened.Add(1); n > maxTotalOpened.Load() {
-				maxTotalOpened.Store(n)
+			if n := opened.Add(1); n > highestOpened.Load() {
+				highestOpened.Store(n)
 			}
 		}
 		time.Sleep(30 * time.Millisecond)
@@ -48,7 +48,7 @@
 		})
 	}
 	wg.Wait()
-	if maxTotalOpened.Load() > 2 {
-		t.Errorf("%d connections opened, want 2 at most", maxTotalOpened.Load())
+	if highestOpened.Load() > 2 {
+		t.Errorf("%d connections opened, want 2 at most", highestOpened.Load())
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -34,10 +34,11 @@
 	retryAfterTimeout = 300 * time.Millisecond
 	// retryAfterMoved is about the time that a key takes to move to another owner.
 	retryAfterMoved = 250 * time.Millisecond
-	// retryAfterNoOwner covers the time until a lost upstream's grant expires; network partitions
-	// last seconds too. With 0.5 s most retries are refused again. Callers cap the delay at a
-	// third of their timeout. It also applies if a service has no upstream or the key's owner is
-	// ejected, and is the maximum for upstreams that are cold, rate-limited or in backoff.
+	// retryAfterNoOwner is half of the default grant TTL of 3 s, for which a lost upstream's keys
+	// have no owner; network partitions last seconds too. A delay of 0.5 s would have most retries
+	// refused again. Callers cap it at a third of their timeout. It also applies if a service has no
+	// upstream or the key's owner is ejected, and is the maximum for upstreams that are cold,
+	// rate-limited or in backoff.
 	retryAfterNoOwner = 1500 * time.Millisecond
 	// retryAfterJitter is the width of the jitter as a fraction of the delay.
 	retryAfterJitter = 0.5
@@ -270,17 +271,17 @@
 // contextDoneRefusal returns the refusal of a request whose context has ended: its
 // deadline passed, its caller disconnected or this host is stopping.
 func (d *Dispatcher) contextDoneRefusal(ctx context.Context, req *request) *Refusal {
-	unsentCause, sentCause := CauseTimeoutUnsent, CauseTimeout
+	notRunCause, mayHaveRunCause := CauseTimeoutUnsent, CauseTimeout
 	if errors.Is(ctx.Err(), context.Canceled) {
 		if !d.shutdown.stopped() {
 			return refusalWithStatus(CauseCallerDisconnected, http.StatusBadGateway)
 		}
-		unsentCause, sentCause = CauseStopping, CauseStopping
+		notRunCause, mayHaveRunCause = CauseStopping, CauseStopping
 	}
 	if req.attempts == 0 || !req.mayHaveRun {
-		return notRunRefusal(unsentCause, withJitter(retryAfterTimeout))
+		return notRunRefusal(notRunCause, withJitter(retryAfterTimeout))
 	}
-	return refusalWithStatus(sentCause, http.StatusGatewayTimeout)
+	return refusalWithStatus(mayHaveRunCause, http.StatusGatewayTimeout)
 }
 
 // Prune drops expired state, and records the broken sends that have turned out to
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,7 +1,7 @@
 // Package dispatch forwards callers' requests to upstreams and returns their
-// responses. It matches the route, chooses the owner of the key or the upstream
-// with the lowest expected latency, sends the request, and decides whether a
-// failed attempt may be retried.
+// responses. It matches the route, chooses the owner of the key or an upstream
+// with a low cost (see package balance), sends the request, and decides whether
+// a failed attempt may be retried.
 //
 // An attempt that the upstream certainly did not run may be retried on any
 // route; one that may have run is retried only on idempotent routes. A caller
--- a/internal/dispatch/forward.go
+++ b/internal/dispatch/forward.go
@@ -31,7 +31,7 @@
 		}
 		// Checked before retries too: after crashes.RefusalThreshold crashes, counted over
 		// all hosts, the next attempt would probably crash another upstream.
-		if left := d.refusedFor(req); left > 0 {
+		if left := d.refusedForUnlessTrial(req); left > 0 {
 			return nil, req.refusal(CauseCrashes, left)
 		}
 		u, refusal := d.chooseUpstream(ctx, req)
@@ -69,7 +69,7 @@
 	if req.callerDisconnected() {
 		return false, refusalWithStatus(CauseCallerDisconnected, http.StatusBadGateway)
 	}
-	if d.upstreamChanged(req, u) || d.refusedFor(req) > 0 {
+	if d.upstreamChanged(req, u) || d.refusedForUnlessTrial(req) > 0 {
 		return false, nil
 	}
 	if now := time.Now(); !d.picker.TakeSlowStartPermit(u, d.slowStart(req.service), now) {
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -23,7 +23,7 @@
 	CauseRateLimited        Cause = "upstream has reached the rate limit that it reports"
 	CauseBackoff            Cause = "upstream asked this host to pause"
 	CauseUnreachable        Cause = "upstream could not be reached"
-	CauseTimeoutUnsent      Cause = "time ran out before the request could be sent"
+	CauseTimeoutUnsent      Cause = "time ran out before the request could be sent" // or after upstreams rejected it without running it
 	CauseTimeout            Cause = "time ran out at the upstream"
 	CauseBrokenSend         Cause = "upstream broke off; the outcome is unknown"
 	CauseCrashes            Cause = "servers ended while they ran this request"
--- a/internal/dispatch/retry_after_test.go
+++ b/internal/dispatch/retry_after_test.go
@@ -10,8 +10,9 @@
 )
 
 // The Retry-After delay of a request refused by overloaded upstreams must leave time to
-// serve the retry within the latency objective. That of a request whose key has no
-// owner must cover the time until a lost owner's grant can have expired.
+// serve the retry within the latency objective. That of a request whose key has no owner
+// must be long enough that a lost owner's grant has often expired before the retry: at
+// least half of retryAfterNoOwner, which is itself half of the default grant TTL of 3 s.
 func TestRetryAfterOfRefusals(t *testing.T) {
 	overloaded := startUpstream(t, func(w io.Writer, _ net.Conn, r *http.Request, _ int64) bool {
 		return writeResponse(w, r, 503, "", "X-Not-Run: 1")
--- a/internal/ratelimit/allocator.go
+++ b/internal/ratelimit/allocator.go
@@ -29,36 +29,37 @@
 	maxBuckets = 4096
 )
 
-// bucket is the token bucket of one upstream.
+// bucket is the token bucket of one limit.
 type bucket struct {
 	tokens    float64
 	updatedAt time.Time
 }
 
-// Allocator divides the rate limits of upstreams among the hosts that request
-// permits. It is safe for concurrent use.
+// Allocator divides rate limits among the hosts that request permits. It is safe
+// for concurrent use.
 type Allocator struct {
-	mu      sync.Mutex
+	mu sync.Mutex
+	// buckets holds the buckets by limit ID; see Limiter.
 	buckets map[string]*bucket
 }
 
 // NewAllocator returns an allocator that has issued no permits.
 func NewAllocator() *Allocator { return &Allocator{buckets: map[string]*bucket{}} }
 
-// Take issues permits for up to want requests to an upstream with a limit of
-// perSecond. A new bucket holds a single token: the previous planner may have
-// emptied its own bucket just before.
-func (a *Allocator) Take(upstream string, perSecond float64, want int, now time.Time) PermitReply {
+// Take issues permits for up to want requests under a limit of perSecond. A new
+// bucket holds a single token: the previous planner may have emptied its own
+// bucket just before.
+func (a *Allocator) Take(limitID string, perSecond float64, want int, now time.Time) PermitReply {
 	if perSecond <= 0 {
 		return PermitReply{Wait: maxInterval}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	b := a.buckets[upstream]
+	b := a.buckets[limitID]
 	if b == nil {
 		a.prune(now)
 		b = &bucket{tokens: 1, updatedAt: now}
-		a.buckets[upstream] = b
+		a.buckets[limitID] = b
 	}
 	b.tokens = min(b.tokens+perSecond*now.Sub(b.updatedAt).Seconds(), max(minBurst, perSecond*burstWindow.Seconds()))
 	b.updatedAt = now
--- a/internal/ratelimit/bench_test.go
+++ b/internal/ratelimit/bench_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// BenchmarkLimiterClosed measures a host's cost per request while its requests are
-// denied: the planner issues no permit for their upstream.
+// BenchmarkLimiterClosed measures a host's cost per request while the limiter is closed:
+// the planner issues no permit for the upstream, so all requests to it are denied.
 func BenchmarkLimiterClosed(b *testing.B) {
 	l := NewLimiter(reportedBounds, func(context.Context, string, float64, int) (PermitReply, error) {
 		return PermitReply{Wait: time.Hour}, nil
--- a/internal/ratelimit/fleet_test.go
+++ b/internal/ratelimit/fleet_test.go
@@ -36,11 +36,11 @@
 }
 
 func (s *fleetSim) newLimiter(host int) *Limiter {
-	l := NewLimiter(reportedBounds, func(_ context.Context, upstream string, perSecond float64, want int) (PermitReply, error) {
+	l := NewLimiter(reportedBounds, func(_ context.Context, limitID string, perSecond float64, want int) (PermitReply, error) {
 		if s.partitioned(host) {
 			return PermitReply{}, errUnreachable
 		}
-		return s.planner.Take(upstream, perSecond, want, time.Now()), nil
+		return s.planner.Take(limitID, perSecond, want, time.Now()), nil
 	})
 	return l
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -27,13 +27,12 @@
 	maxDenyTime = time.Second
 )
 
-// PermitFunc requests permits from the allocator for up to want requests to an
-// upstream with a limit of perSecond. Its error means that the allocator could not
-// be reached.
-type PermitFunc func(ctx context.Context, upstream string, perSecond float64, want int) (PermitReply, error)
+// PermitFunc requests permits from the allocator for up to want requests under a
+// limit of perSecond. Its error means that the allocator could not be reached.
+type PermitFunc func(ctx context.Context, limitID string, perSecond float64, want int) (PermitReply, error)
 
-// upstreamState is the state of one upstream's limit on this host.
-type upstreamState struct {
+// limitState is the state of one limit on this host.
+type limitState struct {
 	// permits is the number of unused permits; they expire at permitsExpireAt.
 	permits         int
 	permitsExpireAt time.Time
@@ -43,14 +42,16 @@
 	fallback IntervalLimiter
 }
 
-// Limiter keeps one host to its part of the rate limits of upstreams. It is safe for
-// concurrent use.
+// Limiter keeps one host to its part of the rate limits that all hosts share. The ID of
+// a limit is the upstream's; for suspect requests, whose limit is per fingerprint, package
+// dispatch makes an ID from the fingerprint. A Limiter is safe for concurrent use.
 type Limiter struct {
 	bounds         Bounds
 	requestPermits PermitFunc
 
-	mu        sync.Mutex
-	upstreams map[string]*upstreamState
+	mu sync.Mutex
+	// limits holds the state of limits by ID.
+	limits map[string]*limitState
 	// hosts is the number of hosts that share the upstreams; 0 if unknown.
 	hosts int
 	// fallbackUntil is the time until which the allocator, after a failed call, is not
@@ -61,7 +62,7 @@
 // NewLimiter returns a limiter that gets permits with requestPermits. The bounds
 // apply while those calls fail.
 func NewLimiter(b Bounds, requestPermits PermitFunc) *Limiter {
-	return &Limiter{bounds: b, requestPermits: requestPermits, upstreams: map[string]*upstreamState{}}
+	return &Limiter{bounds: b, requestPermits: requestPermits, limits: map[string]*limitState{}}
 }
 
 // SetHostCount sets the number of hosts that share the upstreams; 0 if unknown.
@@ -71,39 +72,39 @@
 	l.hosts = n
 }
 
-// state returns the upstream's state; l.mu must be held.
-func (l *Limiter) state(id string) *upstreamState {
-	u := l.upstreams[id]
-	if u == nil {
-		u = &upstreamState{}
-		l.upstreams[id] = u
+// state returns the limit's state; l.mu must be held.
+func (l *Limiter) state(limitID string) *limitState {
+	s := l.limits[limitID]
+	if s == nil {
+		s = &limitState{}
+		l.limits[limitID] = s
 	}
-	return u
+	return s
 }
 
-// RetryAfter returns for how long requests to the upstream will certainly be denied;
+// RetryAfter returns for how long requests under the limit will certainly be denied;
 // 0 if they may be allowed.
-func (l *Limiter) RetryAfter(id string, now time.Time) time.Duration {
+func (l *Limiter) RetryAfter(limitID string, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if u := l.upstreams[id]; u != nil {
-		return max(u.deniedUntil.Sub(now), 0)
+	if s := l.limits[limitID]; s != nil {
+		return max(s.deniedUntil.Sub(now), 0)
 	}
 	return 0
 }
 
-// Take reports whether a request may be sent now to an upstream with a limit of
-// perSecond, and counts it. If not, wait is the time until the next may be allowed,
-// or 0 if ctx has ended.
-func (l *Limiter) Take(ctx context.Context, id string, perSecond float64) (ok bool, wait time.Duration) {
+// Take reports whether a request may be sent now under a limit of perSecond, and
+// counts it. If not, wait is the time until the next may be allowed, or 0 if ctx
+// has ended.
+func (l *Limiter) Take(ctx context.Context, limitID string, perSecond float64) (ok bool, wait time.Duration) {
 	now := time.Now()
-	ok, wait, want := l.takeLocal(id, perSecond, now)
+	ok, wait, want := l.takeLocal(limitID, perSecond, now)
 	if ok || want == 0 {
 		return ok, wait
 	}
 	callCtx, cancel := context.WithTimeout(ctx, permitCallTimeout)
 	defer cancel()
-	reply, err := l.requestPermits(callCtx, id, perSecond, want)
+	reply, err := l.requestPermits(callCtx, limitID, perSecond, want)
 	if ctx.Err() != nil {
 		return false, 0
 	}
@@ -112,26 +113,26 @@
 	now = time.Now()
 	if err != nil {
 		l.fallbackUntil = now.Add(permitRetryInterval)
-		return l.takeFallback(l.state(id), perSecond, now)
+		return l.takeFallback(l.state(limitID), perSecond, now)
 	}
-	return l.state(id).applyReply(reply, now)
+	return l.state(limitID).applyReply(reply, now)
 }
 
 // takeLocal decides without a call where it can: by permits that the host holds, by
 // an earlier denial, or by the fallback. Otherwise it returns in want the number of
 // permits to request, which is 0 if it has decided.
-func (l *Limiter) takeLocal(id string, perSecond float64, now time.Time) (ok bool, wait time.Duration, want int) {
+func (l *Limiter) takeLocal(limitID string, perSecond float64, now time.Time) (ok bool, wait time.Duration, want int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := l.state(id)
+	s := l.state(limitID)
 	switch {
-	case u.permits > 0 && now.Before(u.permitsExpireAt):
-		u.permits--
+	case s.permits > 0 && now.Before(s.permitsExpireAt):
+		s.permits--
 		return true, 0, 0
-	case now.Before(u.deniedUntil):
-		return false, u.deniedUntil.Sub(now), 0
+	case now.Before(s.deniedUntil):
+		return false, s.deniedUntil.Sub(now), 0
 	case now.Before(l.fallbackUntil):
-		ok, wait = l.takeFallback(u, perSecond, now)
+		ok, wait = l.takeFallback(s, perSecond, now)
 		return ok, wait, 0
 	}
 	return false, 0, max(int(math.Ceil(perSecond*permitBatchSpan.Seconds()/float64(max(l.hosts, 1)))), 1)
@@ -139,43 +140,43 @@
 
 // applyReply applies the allocator's reply. The current request uses the first
 // permit.
-func (u *upstreamState) applyReply(reply PermitReply, now time.Time) (ok bool, wait time.Duration) {
+func (s *limitState) applyReply(reply PermitReply, now time.Time) (ok bool, wait time.Duration) {
 	if reply.Permits == 0 {
-		return false, u.deny(reply.Wait, now)
+		return false, s.deny(reply.Wait, now)
 	}
-	u.permits, u.permitsExpireAt = reply.Permits-1, now.Add(permitTTL)
+	s.permits, s.permitsExpireAt = reply.Permits-1, now.Add(permitTTL)
 	return true, 0
 }
 
 // deny denies further requests for wait, clamped to [minDenyTime, maxDenyTime], and
 // returns the clamped wait.
-func (u *upstreamState) deny(wait time.Duration, now time.Time) time.Duration {
+func (s *limitState) deny(wait time.Duration, now time.Time) time.Duration {
 	wait = min(max(wait, minDenyTime), maxDenyTime)
-	u.deniedUntil = now.Add(wait)
+	s.deniedUntil = now.Add(wait)
 	return wait
 }
 
 // takeFallback allows a request at a fraction of the host's equal share of the limit.
 // With an unknown number of hosts it denies all: a host that has just started could
 // otherwise exceed the limit.
-func (l *Limiter) takeFallback(u *upstreamState, perSecond float64, now time.Time) (ok bool, wait time.Duration) {
+func (l *Limiter) takeFallback(s *limitState, perSecond float64, now time.Time) (ok bool, wait time.Duration) {
 	if l.hosts == 0 {
-		return false, u.deny(permitRetryInterval, now)
+		return false, s.deny(permitRetryInterval, now)
 	}
 	rate := HostRate(l.bounds.UncoordinatedRate(perSecond) * fallbackFraction / float64(l.hosts))
-	if u.fallback.Take(rate, now.Add(maxInterval), now) {
+	if s.fallback.Take(rate, now.Add(maxInterval), now) {
 		return true, 0
 	}
-	return false, u.deny(u.fallback.nextAllowed.Sub(now), now)
+	return false, s.deny(s.fallback.nextAllowed.Sub(now), now)
 }
 
-// Prune deletes the state of upstreams for which limited is false.
-func (l *Limiter) Prune(limited func(id string) bool) {
+// Prune deletes the state of limits for which limited is false.
+func (l *Limiter) Prune(limited func(limitID string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id := range l.upstreams {
-		if !limited(id) {
-			delete(l.upstreams, id)
+	for limitID := range l.limits {
+		if !limited(limitID) {
+			delete(l.limits, limitID)
 		}
 	}
 }
