--- a/internal/entryhost/actions.go
+++ b/internal/entryhost/actions.go
@@ -24,7 +24,7 @@
 		}()
 	case *planner.LeaveElection:
 		go func() {
-			if err := c.elector.release(ctx); err != nil {
+			if err := c.elector.leave(ctx); err != nil {
 				c.zl.Info("leaving the planner election failed; the membership will expire", zap.Int("event", events.PlannerLeaseLost), ErrorField(err))
 			}
 		}()
--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -262,9 +262,9 @@
 	health := &logHealth{}
 	newReader := func(s metastore.Stream, batchDelay func() time.Duration) *streamReader {
 		return &streamReader{store: c.store, stream: s, batchDelay: batchDelay, replica: c.replica, maxWait: func() time.Duration { return c.longPollWait(s) }, health: health,
-			isProbe:  s == metastore.StreamUpstreams,
-			apply:    func(b relay.Batch) { c.applyAndWait(ctx, b) },
-			onResult: func(err error) { c.post(ctx, func() { c.onStreamResult(s, err) }) }}
+			isRecoveryReader: s == metastore.StreamUpstreams,
+			apply:            func(b relay.Batch) { c.applyAndWait(ctx, b) },
+			onResult:         func(err error) { c.post(ctx, func() { c.onStreamResult(s, err) }) }}
 	}
 	noDelay := func() time.Duration { return 0 }
 	ownershipReader = newReader(metastore.StreamOwnership, noDelay)
--- a/internal/entryhost/elector.go
+++ b/internal/entryhost/elector.go
@@ -58,8 +58,8 @@
 	return e.memberNames
 }
 
-// release removes all members of this host from the group.
-func (e *plannerElector) release(ctx context.Context) error {
+// leave removes all members of this host from the group.
+func (e *plannerElector) leave(ctx context.Context) error {
 	for _, name := range e.memberNames {
 		if err := e.store.LeaveElection(ctx, name); err != nil {
 			return err
--- a/internal/entryhost/feedback.go
+++ b/internal/entryhost/feedback.go
@@ -30,8 +30,8 @@
 	failedPermitRequests = metrics.NewCounter(`papayatide_leave_unanswered_total`)
 )
 
-// onUpstreamReport handles a change in what an upstream reports about itself.
-func (h *host) onUpstreamReport(ctx context.Context, c feedback.Change) {
+// onUpstreamChange handles a change in what an upstream reports about itself.
+func (h *host) onUpstreamChange(ctx context.Context, c feedback.Change) {
 	upstreamReports.Inc()
 	h.zl.Info("upstream reported its state", zap.Int("event", events.UpstreamReported), zap.String("peer", c.Upstream),
 		zap.Float64("limit", c.RateLimit), zap.Float64("limit_before", c.PreviousRateLimit), zap.Bool("leaving", c.Leaving),
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -144,7 +144,7 @@
 	var g run.Group
 	// workCtx outlives ctx: the host keeps working until the graceful shutdown is done.
 	workCtx, cancel := context.WithCancel(context.Background())
-	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamReport(workCtx, c) }
+	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamChange(workCtx, c) }
 	g.Add(func() error { h.controller.run(workCtx); return nil }, func(error) { cancel() })
 	g.Add(func() error { h.controller.crashes.run(workCtx); return nil }, func(error) { cancel() })
 	h.logSyncer = h.newLogSyncer(workCtx)
@@ -222,7 +222,7 @@
 	}
 	peers := http.NewServeMux()
 	ps := peerpb.NewPeerServer(&peer.Server{Replica: h.controller.replica, ReplicaStatus: h.replicaStatus, Fleet: h.fleet, Name: h.cfg.Host, HostStatus: h.status, RetireTermsBefore: h.retire,
-		OnKeyLoads: func(l []peer.ServiceLoad) { h.receiveKeyLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.recordStats, PeerLoads: h.inFlightAggregator.othersInFlight,
+		OnKeyLoads: func(l []peer.ServiceLoad) { h.receiveKeyLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.recordStats, PeerLoads: h.inFlightAggregator.peerLoads,
 		Feedback: h.feedback, IssuePermits: h.issuePermits})
 	peers.Handle(ps.PathPrefix(), ps)
 	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.tracker, Log: h.zl})
--- a/internal/entryhost/registry_test.go
+++ b/internal/entryhost/registry_test.go
@@ -132,7 +132,7 @@
 
 // While the log service fails, only the probing reader may retry. The others must
 // wait until it succeeds.
-func TestOnlyProbeReadsDuringOutage(t *testing.T) {
+func TestOnlyRecoveryReaderRetriesDuringOutage(t *testing.T) {
 	log := memstore.New()
 	log.SetDown(true)
 	c := newController(zap.NewNop(), log, decoder{}, nil, view.NewPublisher(), planner.Options{Host: "h"}, testEvacuationTimeout)
@@ -198,7 +198,7 @@
 // unreadable entries under other keys. The upstream must get no new requests until
 // it writes its entry again, the other upstreams must be unaffected, and only one
 // line may be logged.
-func TestForeignEntryAddsNoUpstream(t *testing.T) {
+func TestUnreadableEntryAddsNoUpstream(t *testing.T) {
 	core, logs := observer.New(zap.ErrorLevel)
 	views := view.NewPublisher()
 	c := newController(zap.New(core), memstore.New(), decoder{}, nil, views, planner.Options{Host: "h"}, testEvacuationTimeout)
--- a/internal/entryhost/status.go
+++ b/internal/entryhost/status.go
@@ -16,10 +16,10 @@
 // keep the tables themselves: in a large fleet, maxOwnershipChanges of them take
 // some two megabytes.
 type ownershipChange struct {
-	at             time.Time
-	service, cause string
-	term, fence    int64
-	keys           int
+	at                    time.Time
+	service, cause        string
+	term, maxFencingToken int64
+	keys                  int
 }
 
 // ownershipHistory holds the latest ownership changes, oldest first. It is safe
@@ -33,7 +33,7 @@
 func (h *ownershipHistory) add(old, table *ownership.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.changes = append(h.changes, ownershipChange{at: time.Now(), service: table.Service, cause: table.Cause, term: table.Term, fence: table.MaxFencingToken,
+	h.changes = append(h.changes, ownershipChange{at: time.Now(), service: table.Service, cause: table.Cause, term: table.Term, maxFencingToken: table.MaxFencingToken,
 		keys: table.KeysMovedSince(old)})
 	if n := len(h.changes) - maxOwnershipChanges; n > 0 {
 		h.changes = append([]ownershipChange(nil), h.changes[n:]...)
@@ -74,7 +74,7 @@
 	}
 	for _, c := range h.controller.ownershipHistory.list() {
 		reply.Changes = append(reply.Changes, &peerpb.OwnershipChange{AgeMs: uint32(now.Sub(c.at).Milliseconds()), Service: c.service,
-			Term: c.term, Fence: c.fence, Keys: uint32(c.keys), Cause: c.cause})
+			Term: c.term, Fence: c.maxFencingToken, Keys: uint32(c.keys), Cause: c.cause})
 	}
 	return reply
 }
--- a/internal/entryhost/streamreader.go
+++ b/internal/entryhost/streamreader.go
@@ -31,9 +31,9 @@
 	// can't tell expired entries from upstreams that have left.
 	minReadRetryDelay = 100 * time.Millisecond
 	maxReadRetryDelay = 300 * time.Millisecond
-	// maxProbeWait is how long the other readers wait for the probing reader to
+	// maxRecoveryWait is how long the other readers wait for the probing reader to
 	// succeed before they retry themselves.
-	maxProbeWait = 2 * time.Second
+	maxRecoveryWait = 2 * time.Second
 	// immediateReadTimeout bounds a read that does not wait for a record.
 	// Without it, a read sent during a network partition would delay the next one
 	// until 1.5 s after the partition's end. A slow service responds within 0.3 s.
@@ -71,11 +71,11 @@
 	// may follow this host's replica, whose age only drops once a read has
 	// returned.
 	firstReadNoWait bool
-	// isProbe is set on the probing reader. While the service fails, it retries
+	// isRecoveryReader is set on the probing reader. While the service fails, it retries
 	// after its backoff alone; before a retry the other readers also wait up to
 	// maxProbeWait for it to succeed.
-	isProbe bool
-	health  *logHealth
+	isRecoveryReader bool
+	health           *logHealth
 }
 
 // logHealth shows the readers of one host whether the probing reader reaches the
@@ -141,14 +141,14 @@
 		}
 		noWait = err != nil // a read that waits for a record would detect the recovery late
 		r.onResult(err)
-		if r.isProbe {
+		if r.isRecoveryReader {
 			r.health.setReachable(err == nil)
 		}
 		if err != nil {
 			sleep(ctx, backoff/2+rand.N(backoff))
 			backoff = min(backoff*2, maxReadRetryDelay)
-			if !r.isProbe {
-				r.health.awaitRecovery(ctx, maxProbeWait)
+			if !r.isRecoveryReader {
+				r.health.awaitRecovery(ctx, maxRecoveryWait)
 			}
 			continue
 		}
