--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -49,7 +49,8 @@
 	followerTickInterval = 200 * time.Millisecond
 	// minTickInterval is the shortest interval between two ticks.
 	minTickInterval = 10 * time.Millisecond
-	// grantTimeout bounds a grant call, which normally takes 3 ms.
+	// grantTimeout bounds the time from the decision on a grant to the end of its
+	// call, which normally takes 3 ms.
 	grantTimeout = 300 * time.Millisecond
 	// maxGrantSendDelay is the longest delay between the decision on a grant
 	// and its sending, which the planner's bound on the grant's expiry assumes.
--- a/internal/entryhost/crash_test.go
+++ b/internal/entryhost/crash_test.go
@@ -112,9 +112,10 @@
 	return f.crashes[n-1]
 }
 
-// All servers of a service lose power at the same moment, each while it runs a page that most
-// callers request, and are back a second later. If these crashes count against the page's
-// fingerprint, hosts refuse the page for a day, and send nothing that could show it harmless.
+// All servers of a service lose power at the same moment, each while it processes a request
+// for a page that most callers request, and are back a second later. If these crashes count
+// against the page's fingerprint, hosts refuse the page for a day, and send nothing that could
+// show it harmless.
 // After this and other correlated failures, every host must serve it within maxRecoveryTime.
 func TestPopularPageIsServedAfterCorrelatedFailures(t *testing.T) {
 	crashAll := func(f *testFleet, ups []*rangeowner.Upstream) {
--- a/internal/entryhost/feedback.go
+++ b/internal/entryhost/feedback.go
@@ -30,10 +30,11 @@
 	failedPermitRequests = metrics.NewCounter(`papayatide_leave_unanswered_total`)
 )
 
-// onUpstreamChange handles a change in what an upstream reports about itself.
+// onUpstreamChange handles a change in what is known of an upstream: from a report
+// in a response to this host, or from another host's notice of a report or a crash.
 func (h *host) onUpstreamChange(ctx context.Context, c feedback.Change) {
 	upstreamReports.Inc()
-	h.zl.Info("upstream reported its state", zap.Int("event", events.UpstreamReported), zap.String("peer", c.Upstream),
+	h.zl.Info("upstream state changed", zap.Int("event", events.UpstreamReported), zap.String("peer", c.Upstream),
 		zap.Float64("limit", c.RateLimit), zap.Float64("limit_before", c.PreviousRateLimit), zap.Bool("leaving", c.Leaving),
 		zap.Duration("rest", c.Backoff), zap.Bool("ended", !c.CrashedAt.IsZero()), zap.String("from", c.From))
 	if !c.CrashedAt.IsZero() {
--- a/internal/entryhost/harness_test.go
+++ b/internal/entryhost/harness_test.go
@@ -343,21 +343,21 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// call sends a request with path /x and returns the status and body of the
-// response, or 0 and the error if there is none.
-func (h *testHost) call(method, host, id string, key int) (int, string) {
-	return h.callPath(method, host, "/x", id, key)
+// call sends a request with the given route as its Host and path /x. It returns the
+// status and body of the response, or 0 and the error if there is none.
+func (h *testHost) call(method, route, id string, key int) (int, string) {
+	return h.callPath(method, route, "/x", id, key)
 }
 
 // callPath is call with another path.
-func (h *testHost) callPath(method, host, path, id string, key int) (int, string) {
+func (h *testHost) callPath(method, route, path, id string, key int) (int, string) {
 	req, err := http.NewRequest(method, "http://"+h.cfg.Listen+path, nil)
 	if err != nil {
 		return 0, err.Error()
 	}
-	req.Host = host
+	req.Host = route
 	req.Header.Set("X-Id", id)
-	if host != unkeyedRoute {
+	if route != unkeyedRoute {
 		req.Header.Set("X-Key", strconv.Itoa(key))
 	}
 	req.Header.Set("X-Timeout-Ms", "2000")
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -99,7 +99,7 @@
 	// Go's soft memory limit, above which the collector runs more often.
 	memoryLimitFraction = 0.8
 	// minAssumedHosts is the smallest fleet size that the fixed part of the retry
-	// budget is divided by. It applies while the fleet size is still unknown.
+	// budget (Slack) is divided by, also while the fleet size is still unknown.
 	minAssumedHosts = 16
 )
 
@@ -349,8 +349,8 @@
 	h.loggedDroppedLines = total
 }
 
-// knownIn returns a function that reports whether s contains an upstream, which
-// for unlistedRetention it also does after the upstream was unlisted.
+// knownIn returns a function that reports whether s contains an upstream. An
+// unlisted upstream stays in the snapshot for unlistedRetention.
 func knownIn(s *catalogue.Snapshot) func(id string) bool {
 	return func(id string) bool { return s.ByID[id] != nil }
 }
--- a/internal/entryhost/inflight.go
+++ b/internal/entryhost/inflight.go
@@ -54,9 +54,10 @@
 	return true
 }
 
-// peerLoads returns, for each of the upstreams, the load of the other hosts
-// of the caller's data centre: their requests in flight and the work time of a
-// request. It returns nil for a caller in another data centre.
+// peerLoads returns, for each of the upstreams, the load of the other hosts of the
+// caller's data centre: their requests in flight, and the estimated time that the
+// upstream works on a request, without queueing. It returns nil for a caller in
+// another data centre.
 func (a *inFlightAggregator) peerLoads(caller fleet.Host, ids []string) []balance.PeerLoad {
 	if caller.DataCentre != a.dataCentre {
 		return nil
--- a/internal/entryhost/logsyncer.go
+++ b/internal/entryhost/logsyncer.go
@@ -56,9 +56,10 @@
 	// known, this host is the planner, or the planner does not reply.
 	plannerRetryInterval = 150 * time.Millisecond
 	// While the followed host's replica is too old, the log service usually fails all hosts. A
-	// host that is no candidate then only probes it with single reads: the first at once, because
-	// the service may still respond to this host, and afterwards fleetProbesPerSecond of all such
-	// hosts together, or each one per maxProbeInterval on average if that is more.
+	// host that is no candidate then only probes it with single reads. It sends the first at once,
+	// because the service may still respond to this host. After that it sends one per
+	// maxProbeInterval on average, or more often in a small fleet, whose hosts together send about
+	// fleetProbesPerSecond.
 	fleetProbesPerSecond = 10
 	maxProbeInterval     = 2500 * time.Millisecond
 )
@@ -98,9 +99,9 @@
 	// which the planner has reached the log service without failure.
 	onPlannerFollowed func(logReachableFor time.Duration)
 	// onFollowFailed is called after a failed call, also one to a relay or to a
-	// host that replied without a replica. onStaleReplica is called on a host
-	// that is no candidate while the followed host replies with too old a replica
-	// or none.
+	// host that replied that its replica is not current (peer.ErrReplicaNotCurrent).
+	// onStaleReplica is called on a host that is no candidate while the followed
+	// host replies so, or its replica is too old.
 	onFollowFailed, onStaleReplica func()
 	zl                             *zap.Logger
 
@@ -112,7 +113,7 @@
 	startedAt        time.Time
 	lastFollowFailed bool
 	// followedReplicaStale is set while the followed host replies that its
-	// replica is too old, or that it has none.
+	// replica is not current, or with a replica age above the greatest usable one.
 	followedReplicaStale bool
 	// probes schedules this host's probes of the log service while
 	// followedReplicaStale is set.
@@ -327,7 +328,7 @@
 // shouldReadOtherStreams reports whether the streams other than ownership must
 // be read directly. After a change of planner most hosts find the new one before
 // their replica is older than directReadAge, so that the change costs one or two
-// calls per host instead of six.
+// calls per host instead of five or six.
 func (s *logSyncer) shouldReadOtherStreams(now time.Time) bool {
 	switch {
 	case s.isPlanner() || s.self().Candidate:
--- a/internal/entryhost/outage_test.go
+++ b/internal/entryhost/outage_test.go
@@ -67,8 +67,9 @@
 }
 
 // The planner's host is isolated. If every host found the new planner by reading all
-// streams of the log itself, each change of planner would cost five calls per host.
-// Hosts that follow a running relay must need none.
+// streams of the log itself, each change of planner would cost five or six calls per
+// host. Hosts that follow a running relay need none. All hosts together may make at
+// most two calls for each host that is no candidate.
 func TestPlannerChangeCostsFewCalls(t *testing.T) {
 	runFleetTest(t, func(t *testing.T) {
 		const hosts = 30
--- a/internal/entryhost/registry_test.go
+++ b/internal/entryhost/registry_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// While the log service fails, only the probing reader may retry. The others must
-// wait until it succeeds.
+// While the log service fails, only the recovery reader may retry at once. The others
+// must wait until it succeeds, or for maxRecoveryWait.
 func TestOnlyRecoveryReaderRetriesDuringOutage(t *testing.T) {
 	log := memstore.New()
 	log.SetDown(true)
--- a/internal/entryhost/slowstart_test.go
+++ b/internal/entryhost/slowstart_test.go
@@ -42,7 +42,7 @@
 	wg.Wait()
 }
 
-// Upstreams restart one after the other, cold and idle, so that every host prefers them.
+// Two upstreams start, cold and idle, so that every host prefers them.
 // Without a limit on all hosts together, a cold upstream gets several times the rate that it
 // can serve, and crashes with the requests that it runs. All hosts together must stay within
 // its capacity, with and without keys, and also if all upstreams of the service are cold.
--- a/internal/entryhost/streamreader.go
+++ b/internal/entryhost/streamreader.go
@@ -31,7 +31,7 @@
 	// can't tell expired entries from upstreams that have left.
 	minReadRetryDelay = 100 * time.Millisecond
 	maxReadRetryDelay = 300 * time.Millisecond
-	// maxRecoveryWait is how long the other readers wait for the probing reader to
+	// maxRecoveryWait is how long the other readers wait for the recovery reader to
 	// succeed before they retry themselves.
 	maxRecoveryWait = 2 * time.Second
 	// immediateReadTimeout bounds a read that does not wait for a record.
@@ -40,8 +40,9 @@
 	immediateReadTimeout = 600 * time.Millisecond
 	// plannerUpstreamBatchDelay and defaultUpstreamBatchDelay are the delays after a read of the
 	// upstreams stream that returned records, on the planner and on the other hosts, so that a
-	// burst of records costs one read. The others' is longer: at a fleet's start every host reads
-	// while every upstream writes, and with the planner's 91 hosts make some 1,800 calls in 2 s.
+	// burst of records costs one read. That of the other hosts is longer: at a fleet's start every
+	// host reads while every upstream writes. If 91 hosts all used plannerUpstreamBatchDelay, they
+	// would make some 1,800 calls in 2 s.
 	plannerUpstreamBatchDelay = 150 * time.Millisecond
 	defaultUpstreamBatchDelay = 600 * time.Millisecond
 	// plannerCrashBatchDelay and defaultCrashBatchDelay are the same for the crash
@@ -71,14 +72,14 @@
 	// may follow this host's replica, whose age only drops once a read has
 	// returned.
 	firstReadNoWait bool
-	// isRecoveryReader is set on the probing reader. While the service fails, it retries
-	// after its backoff alone; before a retry the other readers also wait up to
-	// maxProbeWait for it to succeed.
+	// isRecoveryReader is set on the recovery reader, that of the upstreams stream.
+	// While the service fails, it retries as soon as its backoff has passed; the other
+	// readers then also wait up to maxRecoveryWait for it to succeed.
 	isRecoveryReader bool
 	health           *logHealth
 }
 
-// logHealth shows the readers of one host whether the probing reader reaches the
+// logHealth shows the readers of one host whether the recovery reader reaches the
 // log service. While it does not, the others wait.
 type logHealth struct {
 	mu sync.Mutex
@@ -87,7 +88,7 @@
 	recovered chan struct{}
 }
 
-// setReachable records whether the probing reader's last read succeeded.
+// setReachable records whether the recovery reader's last read succeeded.
 func (h *logHealth) setReachable(ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -100,8 +101,8 @@
 	}
 }
 
-// awaitRecovery waits until the probing reader succeeds, ctx ends or d has
-// passed. It returns at once if the probing reader's last read succeeded.
+// awaitRecovery waits until the recovery reader succeeds, ctx ends or d has
+// passed. It returns at once if the recovery reader's last read succeeded.
 func (h *logHealth) awaitRecovery(ctx context.Context, d time.Duration) {
 	h.mu.Lock()
 	recovered := h.recovered
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -167,9 +167,9 @@
 	}
 }
 
-// Age returns the time since the replica was last known to be up to date, of the
-// older of the streams of desired states and upstreams. The ownership stream does
-// not count: the planner writes it itself.
+// Age returns the time since the operators and upstreams streams were both last known
+// to be up to date: the age of the older one. The ownership stream does not count,
+// because the planner writes it itself, and neither does the crash stream.
 func (r *Replica) Age(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
