--- a/internal/entryhost/control.go
+++ b/internal/entryhost/control.go
@@ -49,7 +49,8 @@
 	followerTickInterval = 200 * time.Millisecond
 	// minTickInterval is the shortest interval between two ticks.
 	minTickInterval = 10 * time.Millisecond
-	// grantTimeout bounds a grant call, which normally takes 3 ms.
+	// grantTimeout bounds the time from the decision on a grant to the end of its
+	// call, which normally takes 3 ms.
 	grantTimeout = 300 * time.Millisecond
 	// maxGrantSendDelay is the longest delay between the decision on a grant
 	// and its sending, which the planner's bound on the grant's expiry assumes.
@@ -262,9 +263,9 @@
 	health := &logHealth{}
 	newReader := func(s metastore.Stream, batchDelay func() time.Duration) *streamReader {
 		return &streamReader{store: c.store, stream: s, batchDelay: batchDelay, replica: c.replica, maxWait: func() time.Duration { return c.longPollWait(s) }, health: health,
-			isProbe:  s == metastore.StreamUpstreams,
-			apply:    func(b relay.Batch) { c.applyAndWait(ctx, b) },
-			onResult: func(err error) { c.post(ctx, func() { c.onStreamResult(s, err) }) }}
+			isRecoveryReader: s == metastore.StreamUpstreams,
+			apply:            func(b relay.Batch) { c.applyAndWait(ctx, b) },
+			onResult:         func(err error) { c.post(ctx, func() { c.onStreamResult(s, err) }) }}
 	}
 	noDelay := func() time.Duration { return 0 }
 	ownershipReader = newReader(metastore.StreamOwnership, noDelay)
--- a/internal/entryhost/host.go
+++ b/internal/entryhost/host.go
@@ -99,7 +99,7 @@
 	// Go's soft memory limit, above which the collector runs more often.
 	memoryLimitFraction = 0.8
 	// minAssumedHosts is the smallest fleet size that the fixed part of the retry
-	// budget is divided by. It applies while the fleet size is still unknown.
+	// budget (Slack) is divided by, also while the fleet size is still unknown.
 	minAssumedHosts = 16
 )
 
@@ -144,7 +144,7 @@
 	var g run.Group
 	// workCtx outlives ctx: the host keeps working until the graceful shutdown is done.
 	workCtx, cancel := context.WithCancel(context.Background())
-	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamReport(workCtx, c) }
+	h.feedback.OnChange = func(c feedback.Change) { h.onUpstreamChange(workCtx, c) }
 	g.Add(func() error { h.controller.run(workCtx); return nil }, func(error) { cancel() })
 	g.Add(func() error { h.controller.crashes.run(workCtx); return nil }, func(error) { cancel() })
 	h.logSyncer = h.newLogSyncer(workCtx)
@@ -222,7 +222,7 @@
 	}
 	peers := http.NewServeMux()
 	ps := peerpb.NewPeerServer(&peer.Server{Replica: h.controller.replica, ReplicaStatus: h.replicaStatus, Fleet: h.fleet, Name: h.cfg.Host, HostStatus: h.status, RetireTermsBefore: h.retire,
-		OnKeyLoads: func(l []peer.ServiceLoad) { h.receiveKeyLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.recordStats, PeerLoads: h.inFlightAggregator.othersInFlight,
+		OnKeyLoads: func(l []peer.ServiceLoad) { h.receiveKeyLoads(workCtx, l) }, OnLoadStats: h.inFlightAggregator.recordStats, PeerLoads: h.inFlightAggregator.peerLoads,
 		Feedback: h.feedback, IssuePermits: h.issuePermits})
 	peers.Handle(ps.PathPrefix(), ps)
 	rs := refusedpb.NewRefusedServer(&refused.Server{Host: h.cfg.Host, Crashes: h.controller.crashes.tracker, Log: h.zl})
@@ -349,8 +349,8 @@
 	h.loggedDroppedLines = total
 }
 
-// knownIn returns a function that reports whether s contains an upstream, which
-// for unlistedRetention it also does after the upstream was unlisted.
+// knownIn returns a function that reports whether s contains an upstream. An
+// unlisted upstream stays in the snapshot for unlistedRetention.
 func knownIn(s *catalogue.Snapshot) func(id string) bool {
 	return func(id string) bool { return s.ByID[id] != nil }
 }
