--- a/internal/ownership/delta_test.go
+++ b/internal/ownership/delta_test.go
@@ -112,7 +112,7 @@
 }
 
 // BenchmarkChange measures a host's cost of receiving a change of three ranges in
-// a table of 900, as a whole table and as a delta.
+// a table of 900, as a whole table ("whole") and as a Delta ("change").
 func BenchmarkChange(b *testing.B) {
 	var moves []Move
 	for i := range 900 {
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -24,8 +24,9 @@
 	Owner string `json:"o,omitempty"`
 	// FencingToken is the fencing token of the owner's grant.
 	FencingToken int64 `json:"e"`
-	// HandoverToken is the token that the last owner returned when it released
-	// the keys; the next owner starts warm if its grant carries it.
+	// HandoverToken is the token that the previous owner returned when it released
+	// the keys, or empty if there is none. Owner serves them at full speed at once
+	// if its grant carries the token.
 	HandoverToken string `json:"h,omitempty"`
 }
 
@@ -52,7 +53,7 @@
 	MaxFencingToken int64 `json:"fence"`
 	// PreviousPlanners are the planners of earlier terms that may still send grants.
 	PreviousPlanners []PlannerHost `json:"earlier,omitempty"`
-	// Lost are the owners, sorted, that do not respond or are not listed, and to which
+	// Lost are the owners, sorted, that are unresponsive or no longer in the view, and to which
 	// this term's planner has stopped sending grants. It resumes only after a record that
 	// does not list the owner here, so that the next planner can bound how long lost
 	// owners may still hold their keys.
@@ -147,7 +148,7 @@
 	From, To int
 	// NewOwner is an upstream's ID.
 	NewOwner string
-	// HandoverToken is the token that the last owner returned when it released
+	// HandoverToken is the token that the previous owner returned when it released
 	// the keys; empty if there is none.
 	HandoverToken string
 }
--- a/internal/planner/doc.go
+++ b/internal/planner/doc.go
@@ -57,15 +57,16 @@
 //
 // # Previous planners
 //
-// Until a previous planner is known to have stopped, it may still grant keys to
-// owners that do not respond to this planner. Without a confirmation such keys would
+// Until a previous planner is known to send no more grants, it may still grant keys
+// to owners that do not respond to this planner. Without a confirmation such keys would
 // have no owner for MaxRenewalAge plus maxGrantValidity after each change of
 // planner, 9.2 s with the default settings. The planner therefore asks previous
-// planners to retire. One that was stopped or restarted, or still runs, confirms
-// that within milliseconds; one that is partitioned or stalled does not, and its
-// deadlines apply. Asking only the last one is not enough: if the lease changes
-// hands several times within MaxRenewalAge, for example five times in ten seconds,
-// earlier ones may still send grants, and the keys would wait for them.
+// planners to retire. If the host of one responds, it confirms that within milliseconds,
+// or once its last grants are no longer in flight, whether it was still planning, had
+// stepped down or has restarted. A host that is partitioned or stalled does not respond,
+// and the deadlines of its planner apply. Asking only the last one is not enough: if
+// the lease changes hands several times within MaxRenewalAge, for example five times in
+// ten seconds, earlier ones may still send grants, and the keys would wait for them.
 //
 // # Handover
 //
@@ -77,11 +78,13 @@
 //
 // # Keys of many lost owners
 //
-// An owner is lost if it is gone, that is, not listed any more, or unresponsive,
-// that is, does not respond to grants. Its keys move without a handover. If a
-// partition makes a third of the owners unreachable and the others get all their
-// keys as soon as the grants have expired, the others get twice the load that they can
-// serve. Until some seconds after the partition, requests for all keys are then
+// An owner is lost if it is gone, that is, no longer in the view, or unresponsive,
+// that is, it has neither accepted nor fenced a grant for some time. An upstream whose
+// entry in the log has lapsed stays in the view for a while (catalogue.Upstream.Unlisted)
+// and counts as leaving, not as gone, until it is removed. The keys of a lost owner
+// move without a handover. If a partition makes a third of the owners unreachable and
+// the others get all their keys as soon as the grants have expired, the others get
+// twice the load that they can serve. Until some seconds after the partition, requests for all keys are then
 // refused, also for those whose owners were never lost. The planner therefore
 // reassigns such keys only as fast as the other owners' capacity allows. Some
 // keys wait longer, mostly until their owners are back.
--- a/internal/planner/harness_test.go
+++ b/internal/planner/harness_test.go
@@ -24,7 +24,7 @@
 	warmUp time.Duration
 }
 
-// newHarness returns a harness with the given upstreams listed.
+// newHarness returns a harness with the given upstreams in the view.
 func newHarness(t *testing.T, ids ...string) *harness {
 	h := &harness{t: t, p: New(testOptions), now: bootclock.Time(time.Hour), upstreams: map[string]*catalogue.Upstream{}, publisher: view.NewPublisher()}
 	h.p.opts.Host = "me"
--- a/internal/planner/lease_test.go
+++ b/internal/planner/lease_test.go
@@ -235,16 +235,16 @@
 func TestStaleLeaseRenewalStartsNoTerm(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(10*time.Second, succeedAll)
-	logDown := func(a Action) error {
+	loseLeaseResponses := func(a Action) error {
 		if _, ok := a.(*AcquireLease); ok {
 			return metastore.ErrNoResponse
 		}
 		return nil
 	}
-	h.simulate(5*time.Second, logDown)
+	h.simulate(5*time.Second, loseLeaseResponses)
 	h.table = h.tableOfOtherPlanner()
 	h.publishView()
-	for _, a := range h.simulate(500*time.Millisecond, logDown) {
+	for _, a := range h.simulate(500*time.Millisecond, loseLeaseResponses) {
 		if appended, ok := a.(*Append); ok {
 			t.Fatalf("appends term %d on a lease renewal from before the other planner's term", appended.Table.Term)
 		}
--- a/internal/planner/moves.go
+++ b/internal/planner/moves.go
@@ -25,7 +25,7 @@
 	handoverToken   string
 	nextRelease     bootclock.Time
 	// releaseFailed is set once a release failed. Until relistUntil an owner
-	// that responds again is given time to be listed again.
+	// that responds again is given time until its entry is in the log again.
 	releaseFailed bool
 	relistUntil   bootclock.Time
 	cause         string
@@ -33,20 +33,20 @@
 
 // Causes of moves, as written to log messages and table records.
 const (
-	causeNoOwner   = "no owner"
-	causeRestarted = "owner restarted"
-	causeGone      = "owner gone"
-	causeLeaving   = "owner leaving"
-	causeEvacuated = "data centre evacuated"
-	causeCold      = "owner in its slow start"
-	causeLost      = "owner lost"
-	causeLoad      = "load"
+	causeNoOwner      = "no owner"
+	causeRestarted    = "owner restarted"
+	causeGone         = "owner gone"
+	causeLeaving      = "owner leaving"
+	causeEvacuated    = "data centre evacuated"
+	causeCold         = "owner in its slow start"
+	causeUnresponsive = "owner lost" // unresponsive, or excluded because it was
+	causeLoad         = "load"
 )
 
 // lacksHandover reports whether the move's keys come without a handover because
 // their owner was unresponsive or gone when the move started.
 func (m *move) lacksHandover() bool {
-	return m.handoverToken == "" && (m.cause == causeLost || m.cause == causeGone)
+	return m.handoverToken == "" && (m.cause == causeUnresponsive || m.cause == causeGone)
 }
 
 const (
@@ -80,15 +80,15 @@
 	t.nextRebalance, t.nextNewOwnerCheck = now.Add(rebalanceInterval), now.Add(newOwnerCheckInterval)
 	t.cancelMovesOfReturnedOwners(now)
 	t.startExclusions(now)
-	owners := t.eligibleUpstreams(now)
-	if len(owners) == 0 {
+	eligible := t.eligibleUpstreams(now)
+	if len(eligible) == 0 {
 		return
 	}
 	if t.moveToNewIncarnations(now) {
 		t.syncGrants(now)
 		return // recorded first; load is considered afterwards
 	}
-	load, lim := t.loadAndLimits(owners, now)
+	load, lim := t.loadAndLimits(eligible, now)
 	t.limiter.setLoad(t.warmUp, load)
 	planned := t.table.Apply(t.pendingMoves())
 	for _, m := range ownership.Rebalance(planned, load, lim) {
@@ -97,11 +97,11 @@
 	t.syncGrants(now)
 }
 
-// loadAndLimits returns the known load on the owners, and how far keys may be
-// moved for it now.
-func (t *term) loadAndLimits(owners []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
-	load, samples := t.p.Load(t.name, owners)
-	load.SlowToMove = t.ownersWithoutResponse(owners, now)
+// loadAndLimits returns the known load with the capacities of the eligible
+// upstreams, and how far keys may be moved for it now.
+func (t *term) loadAndLimits(eligible []*catalogue.Upstream, now bootclock.Time) (ownership.Load, ownership.Limits) {
+	load, samples := t.p.Load(t.name, eligible)
+	load.SlowToMove = t.upstreamsWithoutResponse(eligible, now)
 	if t.noKeyAssigned() {
 		// Requests that were refused because no key has an owner show little
 		// about load: after ten of them, those ten keys would be spread out and
@@ -109,7 +109,7 @@
 		load.ByKey = nil
 	}
 	lim := t.p.Limits
-	moveBudget := max(lim.MaxMoves, min(len(owners)/ownersPerMove, maxLoadMoves))
+	moveBudget := max(lim.MaxMoves, min(len(eligible)/upstreamsPerMove, maxLoadMoves))
 	lim.MaxMoves = max(moveBudget-t.loadMoveCount(), 0)
 	if samples < minSamples || now.Sub(t.p.lease.renewedAt) > recentRenewalAge {
 		// Keys released while the log is not writable would have no owner until it is.
@@ -118,13 +118,13 @@
 	return load, lim
 }
 
-// ownersWithoutResponse returns the owners that recently did not
+// upstreamsWithoutResponse returns the eligible upstreams that recently did not
 // respond to a grant. It may still take effect, so keys taken from them have no owner
 // until it expires: 3 s instead of the duration of the requests in flight. With
 // 6% of the responses lost, nine tenths of all load moves would wait that long.
-func (t *term) ownersWithoutResponse(owners []*catalogue.Upstream, now bootclock.Time) map[string]bool {
+func (t *term) upstreamsWithoutResponse(eligible []*catalogue.Upstream, now bootclock.Time) map[string]bool {
 	out := map[string]bool{}
-	for _, u := range owners {
+	for _, u := range eligible {
 		srv := t.server(u.ID)
 		if srv.hadNoResponse && now.Sub(srv.noResponseAt) <= t.p.opts.maxGrantValidity() {
 			out[u.ID] = true
@@ -146,9 +146,9 @@
 	return n
 }
 
-// moveToNewIncarnations moves the keys of ended incarnations to the listed newer
-// incarnation of the same server, and reports whether there are such keys. A late
-// grant for the old incarnation can reach only the new one, which gets the keys at
+// moveToNewIncarnations moves the keys of ended incarnations to the newer
+// incarnation of the same server, if one is in the view, and reports whether there
+// are such keys. A late grant for the old incarnation can reach only the new one, which gets the keys at
 // once; any other upstream would have to wait until the last grant has expired.
 func (t *term) moveToNewIncarnations(now bootclock.Time) bool {
 	found := false
@@ -169,7 +169,7 @@
 		return false
 	}
 	reg := t.p.registrations[t.name]
-	if reg.maxListed == 0 {
+	if reg.maxInView == 0 {
 		return true
 	}
 	elapsed := now.Sub(reg.firstAt)
@@ -182,7 +182,7 @@
 }
 
 // hasKeysNeedingNewOwner reports whether a range that is not being moved has no
-// owner, or one that is unlisted, draining, cold while cold upstreams get no
+// owner, or one that is not in the view, draining, cold while cold upstreams get no
 // keys, or unavailable.
 func (t *term) hasKeysNeedingNewOwner(now bootclock.Time) bool {
 	for _, r := range t.table.Ranges {
@@ -276,9 +276,9 @@
 	case u.HandingOver(): // evacuated, as it has not reported that it is leaving
 		return causeEvacuated
 	case t.unavailable(owner, now):
-		return causeLost
+		return causeUnresponsive
 	case t.drainingOrCold(u):
-		return causeCold
+		return causeCold // cold, as the cases above cover every draining upstream
 	}
 	return causeLoad
 }
@@ -327,10 +327,10 @@
 	}
 }
 
-// cancelMovesOfReturnedOwners cancels the moves off owners that were lost, are
-// listed again, and whose keys no other upstream has been granted. When the
+// cancelMovesOfReturnedOwners cancels the moves off owners that were lost, have an
+// entry in the log again, and whose keys no other upstream has been granted. When the
 // partition of a data centre heals, its upstreams respond up to a heartbeat before
-// they are listed; moving a third of all keys off them would overload the others.
+// they have an entry again; moving a third of all keys off them would overload the others.
 func (t *term) cancelMovesOfReturnedOwners(now bootclock.Time) {
 	if t.pendingAppend != nil {
 		return
--- a/internal/planner/moves_test.go
+++ b/internal/planner/moves_test.go
@@ -180,18 +180,18 @@
 	}
 }
 
-// Guards against load moves while the log service rejects this host's calls: keys
-// released then cannot be assigned to another owner.
+// Guards against load moves while the log service rejects this host's lease requests:
+// it may reject appends as well, and keys released then would have no owner.
 func TestNoLoadMovesWithoutRecentLeaseRenewal(t *testing.T) {
 	h := newHarness(t, "a", "b")
 	h.simulate(3*time.Second, succeedAll)
-	logDown := func(a Action) error {
+	rejectLeaseRequests := func(a Action) error {
 		if _, ok := a.(*AcquireLease); ok {
 			return metastore.ErrRejected
 		}
 		return nil
 	}
-	h.simulate(time.Second, logDown)
+	h.simulate(time.Second, rejectLeaseRequests)
 	byKey := make([]float64, ownership.KeySpaceSize)
 	for _, r := range h.table.Ranges {
 		if r.Owner == "a" {
@@ -201,7 +201,7 @@
 	h.p.Load = func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
 		return ownership.Load{ByKey: byKey, Capacity: slotsByID(owners)}, 1000
 	}
-	for _, a := range h.simulate(3*time.Second, logDown) {
+	for _, a := range h.simulate(3*time.Second, rejectLeaseRequests) {
 		if r, ok := a.(*Release); ok {
 			t.Fatalf("keys %d to %d were released", r.Range.From, r.Range.To)
 		}
@@ -315,7 +315,7 @@
 
 // A data centre is partitioned for some seconds: its upstream does not respond, and
 // its entry lapses, which sets Leaving (see catalogue.Upstream.Unlisted). After the
-// partition it responds 0.5 s before it is listed again. It must keep its keys, because no
+// partition it responds 0.5 s before it has an entry again. It must keep its keys, because no
 // other upstream has been granted them.
 func TestOwnerBackFromPartitionKeepsItsKeys(t *testing.T) {
 	h := newHarness(t, "a", "b")
--- a/internal/planner/options.go
+++ b/internal/planner/options.go
@@ -6,8 +6,9 @@
 type Options struct {
 	// Host is this host's name, PeerAddr the address at which its peers reach it.
 	Host, PeerAddr string
-	// GrantTTL is how long a grant lasts. It bounds how long the keys of an
-	// upstream that stops responding have no owner.
+	// GrantTTL is how long a grant lasts. The keys of an upstream that stops
+	// responding go to no other upstream for at least this long after the last
+	// grant that may have reached it; the package comment lists longer waits.
 	GrantTTL time.Duration
 	// MaxRenewalAge is the longest time since the last lease renewal for which a
 	// host acts as the planner and renews grants; see recentRenewalAge for the
@@ -33,20 +34,20 @@
 	renewalsPerTTL = 3
 	// grantRetryDelay is the delay before a failed grant is retried.
 	grantRetryDelay = 100 * time.Millisecond
-	// unresponsiveAfterFraction is the fraction of the grant TTL without a response
-	// to any grant after which an upstream is considered unresponsive.
+	// unresponsiveAfterFraction is the fraction of the grant TTL after which an
+	// upstream that has neither accepted nor fenced a grant is unresponsive.
 	unresponsiveAfterFraction = 0.5
 	// releaseRetryDelay is the delay before a failed release is retried.
 	releaseRetryDelay = 800 * time.Millisecond
 	// minExclusion is how long an upstream that was unresponsive gets no keys,
-	// even if it is listed. The time doubles with each exclusion, up to maxExclusion.
+	// even if it is in the view. The time doubles with each exclusion, up to maxExclusion.
 	minExclusion = time.Second
 	maxExclusion = 16 * time.Second
 	// failureEventInterval is the minimum interval between two events for
 	// failed calls of one kind to one upstream.
 	failureEventInterval = time.Second
 	// relistGrace is how long an owner that responds again after a silence has
-	// to get listed again. Upstreams write their entries about every 0.9 s.
+	// until its entry is in the log again. Upstreams write theirs about every 0.9 s.
 	relistGrace = time.Second
 	// appendRetryDelay is the delay before the next append after a conflict or
 	// a missing response.
@@ -68,12 +69,12 @@
 	// baseLoadMoves is the default number of concurrent load moves that are
 	// allowed in a service of any size.
 	baseLoadMoves = 24
-	// ownersPerMove: in a large service, one concurrent load move is allowed per
-	// this many owners. A move takes about a second, mostly to wait for requests
+	// upstreamsPerMove: in a large service, one concurrent load move is allowed per
+	// this many eligible upstreams. A move takes about a second, mostly to wait for requests
 	// in flight, and a hot region of 200 keys needs 150 new owners before the
 	// load shifts again.
-	ownersPerMove = 3
-	// maxLoadMoves is the maximum of the number that ownersPerMove allows. It
+	upstreamsPerMove = 3
+	// maxLoadMoves is the maximum of the number that upstreamsPerMove allows. It
 	// bounds the cost of a plan.
 	maxLoadMoves = 150
 	// loadRecordInterval is the minimum interval between records that contain only
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -14,13 +14,13 @@
 
 // Planner is the state machine that runs on every host, whether or not the host
 // is the planner. Its methods must be called from one goroutine. StepDown,
-// BeginShutdown and Retire end or restrict planning, as does the Action
-// LeaveElection.
+// BeginShutdown and Retire end or restrict planning; the Action LeaveElection
+// only ends the host's membership in the election.
 type Planner struct {
 	opts Options
 	// Load returns a service's load with the capacities of the given upstreams,
 	// and the number of requests that the estimate rests on.
-	Load func(service string, owners []*catalogue.Upstream) (ownership.Load, float64)
+	Load func(service string, upstreams []*catalogue.Upstream) (ownership.Load, float64)
 	// Limits configures rebalancing.
 	Limits ownership.Limits
 	// OnEvent is called with each event.
@@ -52,9 +52,9 @@
 
 // registrations records when a service's upstreams registered.
 type registrations struct {
-	// maxListed is the largest number of upstreams listed at once; firstAt and
+	// maxInView is the largest number of upstreams in the view at once; firstAt and
 	// lastAt are when it first and last rose.
-	maxListed       int
+	maxInView       int
 	firstAt, lastAt bootclock.Time
 }
 
@@ -66,7 +66,7 @@
 	Table    *ownership.Table
 	Cause    string
 	// Age is the time since the last lease renewal; in UpstreamLost events, the
-	// time since the upstream's last response.
+	// time since the upstream last accepted or fenced a grant, or was first sent one.
 	Age time.Duration
 	Err error
 	// Suppressed is the number of events of this kind suppressed since the last one.
@@ -84,6 +84,8 @@
 	TermEnded
 	TableRecorded
 	RecordConflict
+	// UpstreamLost: an upstream has become unresponsive (see the package comment).
+	// There is no event for one that is gone.
 	UpstreamLost
 	GrantRejected
 	ReleaseFailed
@@ -105,8 +107,8 @@
 func New(opts Options) *Planner {
 	return &Planner{opts: opts, terms: map[string]*term{}, pastTerms: map[string]*term{}, histories: map[string]*history{}, registrations: map[string]registrations{},
 		Limits: ownership.Limits{HighWatermark: highWatermark, LowWatermark: lowWatermark, MaxMoves: baseLoadMoves},
-		Load: func(_ string, owners []*catalogue.Upstream) (ownership.Load, float64) {
-			return ownership.Load{Capacity: slotsByID(owners)}, 0
+		Load: func(_ string, upstreams []*catalogue.Upstream) (ownership.Load, float64) {
+			return ownership.Load{Capacity: slotsByID(upstreams)}, 0
 		},
 		OnEvent: func(Event) {}, Cold: func(*catalogue.Upstream) bool { return false }}
 }
@@ -134,9 +136,10 @@
 }
 
 // SoleWriter reports whether this host knows every record of the ownership
-// stream: it renewed the lease within recentRenewalAge, is not shutting down, every
-// append got a response and no grant was fenced. Otherwise only a read shows where
-// the stream ends; without it every later append would conflict.
+// stream: it renewed the lease within recentRenewalAge, is not shutting down, and
+// no append has failed and no upstream has shown a newer planner's token after the end
+// of the stream was last known. Otherwise only a read shows where the stream ends;
+// without it every later append would conflict.
 func (p *Planner) SoleWriter(now bootclock.Time) bool {
 	return p.IsPlanner(now) && !p.shuttingDown && !p.streamEndUncertain && now.Sub(p.lease.renewedAt) <= recentRenewalAge
 }
@@ -185,14 +188,14 @@
 	}
 	for _, name := range v.Desired.KeyedServices() {
 		reg := p.registrations[name]
-		listed := len(v.Upstreams.ForService(name))
-		if listed <= reg.maxListed {
+		inView := len(v.Upstreams.ForService(name))
+		if inView <= reg.maxInView {
 			continue
 		}
-		if reg.maxListed == 0 {
+		if reg.maxInView == 0 {
 			reg.firstAt = now
 		}
-		reg.maxListed, reg.lastAt = listed, now
+		reg.maxInView, reg.lastAt = inView, now
 		p.registrations[name] = reg
 	}
 }
@@ -229,7 +232,7 @@
 
 // plannerExpected reports whether a planner, if there is one, has published a table
 // by now: it does so once it holds the lease, at most minRegistrationWait after the
-// first upstream was listed. Without the check one of the hosts that are not candidates,
+// first upstream was in the view. Without the check one of the hosts that are not candidates,
 // 85 in one fleet, would get the lease at each start of a fleet, before the first table.
 func (p *Planner) plannerExpected(now bootclock.Time, v *view.View) bool {
 	if len(v.Tables) > 0 {
@@ -362,7 +365,7 @@
 		// the stream shows whether it was.
 		p.streamEndUncertain = true
 		t.nextAppendAt = now.Add(appendRetryDelay)
-		t.appendRetryDue = true
+		t.appendNeedsRetry = true
 	}
 	return nil
 }
--- a/internal/planner/safety_test.go
+++ b/internal/planner/safety_test.go
@@ -14,7 +14,7 @@
 
 var testOptions = Options{Candidate: true, GrantTTL: 3 * time.Second, MaxRenewalAge: 6 * time.Second, LeaseTTL: 1200 * time.Millisecond}
 
-var allFaults = faults{responseLost: 0.05, grantLate: 0.05, responseOutage: 0.05, upstreamPartition: 0.01, appendResponseLost: 0.1, appendLate: 0.1, logPartition: 0.05,
+var allFaults = faults{responseLost: 0.05, grantLate: 0.05, responseOutage: 0.05, upstreamPartition: 0.01, appendResponseLost: 0.1, appendLate: 0.1, logOutage: 0.05,
 	leaseChange: 0.1, stall: 0.03, crash: 0.01, restart: 0.02, leave: 0.02, hostRestart: 0.03}
 
 // No key may ever have two owners. Three hosts are planner in turn while calls and
@@ -44,7 +44,7 @@
 // reach upstreams that later planners consider lost, and sends them grants until
 // MaxRenewalAge after its last lease renewal.
 func TestNoKeyHasTwoOwnersWhilePlannersArePartitioned(t *testing.T) {
-	partitions := faults{responseLost: 0.02, appendResponseLost: 0.02, upstreamPartition: 0.25, logPartition: 0.2, leaseChange: 0.5, stall: 0.02}
+	partitions := faults{responseLost: 0.02, appendResponseLost: 0.02, upstreamPartition: 0.25, logOutage: 0.2, leaseChange: 0.5, stall: 0.02}
 	seeds := uint64(120)
 	if testing.Short() {
 		seeds = 10
@@ -61,7 +61,7 @@
 
 // restartFaults combines partitions between planners and the log with frequent
 // restarts of upstreams.
-var restartFaults = faults{responseLost: 0.02, grantLate: 0.02, appendResponseLost: 0.02, upstreamPartition: 0.05, logPartition: 0.25, leaseChange: 0.3, stall: 0.05, restart: 0.15}
+var restartFaults = faults{responseLost: 0.02, grantLate: 0.02, appendResponseLost: 0.02, upstreamPartition: 0.05, logOutage: 0.25, leaseChange: 0.3, stall: 0.05, restart: 0.15}
 
 // Guards against two owners when planners that are partitioned from the log go on
 // renewing grants while upstreams restart under the same ID at any point of a move. A
@@ -93,7 +93,7 @@
 			return err
 		}
 		first := s.currentPlanner()
-		first.stalledUntil, first.logUnreachableUntil = s.now.Add(4500*time.Millisecond), s.now.Add(6500*time.Millisecond)
+		first.stalledUntil, first.logOutageUntil = s.now.Add(4500*time.Millisecond), s.now.Add(6500*time.Millisecond)
 		if err := s.run(2500 * time.Millisecond); err != nil {
 			return err
 		}
--- a/internal/planner/server.go
+++ b/internal/planner/server.go
@@ -11,7 +11,7 @@
 // serverState tracks the grants sent to one server. Its incarnations share the
 // state, because a grant sent to one may reach the next.
 type serverState struct {
-	// incarnation is the newest one that was listed or sent a grant.
+	// incarnation is the newest one that was in the view or sent a grant.
 	// Acknowledgements by earlier ones do not count for it.
 	incarnation    string
 	grantsInFlight int
@@ -22,7 +22,10 @@
 	// whether there was one. It may take effect late, even after a release.
 	noResponseAt  bootclock.Time
 	hadNoResponse bool
-	// respondedAt is when the server last responded, or was first sent a grant.
+	// respondedAt is when the server last accepted or fenced a grant; a rejection of
+	// another kind does not count. It is also set when the first grant is sent, when a
+	// newer incarnation starts, and when a move off the server is cancelled because
+	// the server is back.
 	respondedAt bootclock.Time
 	// ackedSpans are the spans for which the server has acknowledged this term's token.
 	ackedSpans []span
@@ -32,8 +35,8 @@
 	// grant. Until excludedUntil it gets no keys.
 	exclusions    int
 	excludedUntil bootclock.Time
-	// unresponsive is set when a grant fails and the server has responded to none
-	// for unresponsiveAfterFraction of the grant TTL.
+	// unresponsive is set when a grant fails and respondedAt is longer ago than
+	// unresponsiveAfterFraction of the grant TTL.
 	unresponsive bool
 }
 
--- a/internal/planner/sim_test.go
+++ b/internal/planner/sim_test.go
@@ -51,12 +51,12 @@
 
 // simHost is a host with its Planner, whether or not it is the planner.
 type simHost struct {
-	name                string
-	planner             *Planner
-	publisher           *view.Publisher
-	recordsRead         int
-	stalledUntil        bootclock.Time
-	logUnreachableUntil bootclock.Time
+	name           string
+	planner        *Planner
+	publisher      *view.Publisher
+	recordsRead    int
+	stalledUntil   bootclock.Time
+	logOutageUntil bootclock.Time
 	// unreachableUntil is when each upstream can be reached again.
 	unreachableUntil map[string]bootclock.Time
 	// connectedTo is the incarnation of each upstream to which a connection is open.
@@ -172,7 +172,7 @@
 	if s.now.Before(h.stalledUntil) {
 		return
 	}
-	if !s.now.Before(h.logUnreachableUntil) {
+	if !s.now.Before(h.logOutageUntil) {
 		s.updateView(h)
 	}
 	for _, a := range h.planner.Tick(s.now, h.publisher.Load()) {
@@ -243,7 +243,7 @@
 // acquireLease requests the planner lease, which goes to the first host that asks
 // after it has expired.
 func (s *simulation) acquireLease(h *simHost, a *AcquireLease, deliver func(func())) {
-	if s.now.Before(h.logUnreachableUntil) {
+	if s.now.Before(h.logOutageUntil) {
 		deliver(func() { h.planner.AcquireLeaseDone(a, false, metastore.ErrRejected, s.now) })
 		return
 	}
@@ -290,7 +290,7 @@
 		})
 	}
 	switch x := s.rng.Float64(); {
-	case s.now.Before(h.logUnreachableUntil):
+	case s.now.Before(h.logOutageUntil):
 		done(metastore.ErrRejected)
 	case x < s.faults.appendResponseLost:
 		_ = write()
@@ -311,8 +311,9 @@
 
 // callUpstream delivers a call after a short network delay, unless a fault prevents
 // it, and passes the result to done. The upstream executes the call on arrival and
-// responds after work.
-func (s *simulation) callUpstream(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayArriveLate bool, done func(error)) {
+// responds after work. If mayExecuteLate is set, a fault can make it execute the call 2
+// to 12 s after the arrival and never respond.
+func (s *simulation) callUpstream(h *simHost, id string, do func(arrived bootclock.Time) error, work time.Duration, mayExecuteLate bool, done func(error)) {
 	if s.now.Before(h.unreachableUntil[id]) || !s.upstream(id).up {
 		err := ownership.ErrNotSent
 		if s.rng.IntN(3) == 0 {
@@ -328,7 +329,7 @@
 		case x < s.faults.responseLost, x < responseOutageLossRate && s.now.Before(s.upstream(id).responsesLostUntil):
 			_ = do(arrived)
 			s.after(callTimeout, func() { done(ownership.ErrNoResponse) })
-		case mayArriveLate && x < s.faults.responseLost+s.faults.grantLate:
+		case mayExecuteLate && x < s.faults.responseLost+s.faults.grantLate:
 			s.after(s.randomDuration(2*time.Second, 12*time.Second), func() { _ = do(arrived) })
 			s.after(callTimeout, func() { done(ownership.ErrNoResponse) })
 		default:
--- a/internal/planner/simfaults_test.go
+++ b/internal/planner/simfaults_test.go
@@ -16,7 +16,7 @@
 	upstreamPartition  float64 // per second: a host cannot reach an upstream for a while
 	appendResponseLost float64 // per append: record written, response lost
 	appendLate         float64 // per append: record written 1 to 6 s later if the stream still ends at the expected offset
-	logPartition       float64 // per second: the log service rejects a host's calls for a while
+	logOutage          float64 // per second: for a while the log service rejects a host's lease requests and appends, and its view gets no updates
 	leaseChange        float64 // per second: the planner lease goes to a random host
 	stall              float64 // per second: a host stalls for a while
 	crash              float64 // per second: an upstream crashes for good; a new one registers
@@ -40,8 +40,8 @@
 		if s.faultOccurs(f.stall, simStep) {
 			h.stalledUntil = s.now.Add(s.randomDuration(time.Second, 8*time.Second))
 		}
-		if s.faultOccurs(f.logPartition, simStep) {
-			h.logUnreachableUntil = s.now.Add(s.randomDuration(time.Second, 9*time.Second))
+		if s.faultOccurs(f.logOutage, simStep) {
+			h.logOutageUntil = s.now.Add(s.randomDuration(time.Second, 9*time.Second))
 		}
 		if s.faultOccurs(f.hostRestart, simStep) {
 			s.restartHost(h)
--- a/internal/planner/term.go
+++ b/internal/planner/term.go
@@ -35,9 +35,13 @@
 	// otherPlannerSeenAt is when a table of another planner was last adopted.
 	otherPlannerSeenAt bootclock.Time
 
-	pendingAppend  *Append
-	appendRetryDue bool
-	nextAppendAt   bootclock.Time
+	// pendingAppend is the append whose outcome is not known yet, or nil.
+	// appendNeedsRetry is set while it is neither in flight nor known to have
+	// succeeded or failed; nextAppendAt is the earliest time of the retry, or of
+	// the next append.
+	pendingAppend    *Append
+	appendNeedsRetry bool
+	nextAppendAt     bootclock.Time
 	// lastRecordAt is when the last append other than the term's first was started.
 	lastRecordAt bootclock.Time
 
@@ -47,8 +51,9 @@
 	superseded   bool
 	supersededAt bootclock.Time
 
-	// upstreams holds the listed upstreams by incarnation ID (Upstream.ID),
-	// upstreamByServer by server ID, which all incarnations of a server share.
+	// upstreams holds the upstreams in the view by incarnation ID (Upstream.ID),
+	// upstreamByServer by server ID, which all incarnations of a server share. An
+	// upstream stays in the view for a while after its entry in the log has lapsed.
 	upstreams        map[string]*catalogue.Upstream
 	upstreamByServer map[string]*catalogue.Upstream
 	// warmUp is how long requests for keys are slow after a move without a handover.
@@ -90,8 +95,8 @@
 	return srv
 }
 
-// newerIncarnation returns the listed newer incarnation of the owner's server,
-// or nil. If there is one, the owner has ended.
+// newerIncarnation returns the newer incarnation of the owner's server in the
+// view, or nil. If there is one, the owner has ended.
 func (t *term) newerIncarnation(owner string) *catalogue.Upstream {
 	u := t.upstreamByServer[catalogue.ServerID(owner)]
 	if u != nil && catalogue.IsLaterIncarnation(u.ID, owner) {
@@ -119,7 +124,7 @@
 	}
 	if pending := t.pendingAppend; pending != nil && pending.Table.MaxFencingToken <= latest.MaxFencingToken {
 		t.pendingAppend = nil
-		t.appendRetryDue = false
+		t.appendNeedsRetry = false
 	}
 	if !t.started && latest.Planner == t.p.opts.Host && t.number != 0 && latest.Term == t.number {
 		t.start(now)
@@ -174,16 +179,16 @@
 	return []Action{t.pendingAppend}
 }
 
-// dueAppendRetry returns the pending append if its outcome is unknown and a retry is due.
+// dueAppendRetry returns the pending append if it needs a retry and the retry is due.
 func (t *term) dueAppendRetry(now bootclock.Time) []Action {
-	if !t.appendRetryDue || now.Before(t.nextAppendAt) {
+	if !t.appendNeedsRetry || now.Before(t.nextAppendAt) {
 		return nil
 	}
-	t.appendRetryDue = false
+	t.appendNeedsRetry = false
 	return []Action{t.pendingAppend}
 }
 
-// updateUpstreams reads the listed upstreams from the view.
+// updateUpstreams reads the upstreams from the view.
 func (t *term) updateUpstreams(v *view.View, now bootclock.Time) {
 	clear(t.upstreams)
 	clear(t.upstreamByServer)
@@ -216,7 +221,7 @@
 	return warm >= cold
 }
 
-// drainingOrCold reports whether a listed upstream may own no keys now, even if
+// drainingOrCold reports whether an upstream may own no keys now, even if
 // it responds, because it is draining, or cold while cold upstreams get no keys.
 func (t *term) drainingOrCold(u *catalogue.Upstream) bool {
 	return u.Draining() || (t.excludeCold && t.p.Cold(u))
